--- a/bench/model/_mechanisms.py
+++ b/bench/model/_mechanisms.py
@@ -19,9 +19,14 @@
 ONE = "lambda *args, **kwargs: 1.0"
 
 MECHANISMS = (
-    Mechanism("wait for the server's pace", PACE, "Pace.waits", NEVER),
+    Mechanism("wait for the server's pace", PACE, "Pace.should_wait", NEVER),
     Mechanism("follow the grid of changes", f"{POLICY}.pace._interference", "fit_grid", NOTHING),
-    Mechanism("length of slow stretches", f"{POLICY}.pace._stretches", "Stretches.left_s", ZERO),
+    Mechanism(
+        "length of slow stretches",
+        f"{POLICY}.pace._duration_history",
+        "DurationHistory.remaining_s",
+        ZERO,
+    ),
     Mechanism("turn first tries away while slow", ESTIMATES, "RunEstimates.misses_goal", NEVER),
     Mechanism(
         "ask again where none is quicker",
@@ -32,7 +37,7 @@
     Mechanism("tell others of each change of pace", FORECAST, "ForecastSelector.reported", NOTHING),
     Mechanism("silence of a server", TIMES, "ExecutionTimes.silence_ms", ZERO),
     Mechanism("hand back in a stall", TIMES, "ExecutionTimes.stalls_at", NOTHING),
-    Mechanism("silence of a node", f"{PLACING}._node_view", "NodeView.silence_ms", ZERO),
+    Mechanism("silence of a node", f"{PLACING}._node_view", "NodeView.stalled_ms", ZERO),
     Mechanism(
         "goal before deadline",
         ESTIMATES,
@@ -91,23 +96,25 @@
         "NamedRateGate.concurrency",
         "lambda self, service_ms, now: float('inf')",
     ),
-    Mechanism("own bonus", FORECAST, "OWN_BONUS", "0.0"),
+    Mechanism("own bonus", FORECAST, "LOCAL_LOAD_BONUS", "0.0"),
     Mechanism("jitter of loads", FORECAST, "LOAD_JITTER", "0.0"),
-    Mechanism("slowed nodes last", FORECAST, "SLOWED", "1e9"),
-    Mechanism("stragglers", FORECAST, "ForecastSelector._straggling", ONE),
-    Mechanism("usual pace of unknown nodes", FORECAST, "ForecastSelector._usual_slowdown", ONE),
+    Mechanism("slowed nodes last", FORECAST, "SLOWED_FACTOR", "1e9"),
+    Mechanism("stragglers", FORECAST, "ForecastSelector._straggler_factor", ONE),
+    Mechanism("usual pace of unknown nodes", FORECAST, "ForecastSelector._service_slowdown", ONE),
     Mechanism(
         "no second ask of full nodes",
         FORECAST,
-        "ForecastSelector._is_last_resort",
+        "ForecastSelector._accepts_any_answer",
         "lambda *args: True",
     ),
     Mechanism(
         "own data centre first", PREDICTED, "PredictedSelector._tier", "lambda self, member: 0"
     ),
-    Mechanism("outlier ejection", f"{PLACING}._outlier_ejection", "OutlierEjection.note", NOTHING),
+    Mechanism(
+        "outlier ejection", f"{PLACING}._outlier_ejection", "OutlierEjection.record", NOTHING
+    ),
     Mechanism("explorer", f"{PLACING}._explorer", "Explorer.pick", NOTHING),
-    Mechanism("sound nodes first", FORECAST, "ForecastSelector._is_sound", "lambda *args: True"),
+    Mechanism("sound nodes first", FORECAST, "ForecastSelector._is_healthy", "lambda *args: True"),
     Mechanism("hedges", f"{INGRESS}._service_state", "ServiceState.may_hedge", NEVER),
     Mechanism("first moments", f"{INGRESS}._start_up", "START_UP_S", "0.0"),
     Mechanism(
--- a/bench/model/_world.py
+++ b/bench/model/_world.py
@@ -20,7 +20,7 @@
 from bench.model._tally import RequestEnd
 from marjoramtide.exchange import LoadReport, Request, RequestFailedError
 from marjoramtide.membership import Member, MemberState
-from marjoramtide.policy import bulletin_readers
+from marjoramtide.policy import bulletin_recipients
 
 REGION = "region"
 # How long news of a member takes to each other node, in seconds: gossip in a fleet of some dozens.
@@ -165,7 +165,7 @@
         """Bring news of a server's pace to those that follow it."""
         if node.directory.own.state is not MemberState.READY:
             return
-        for reader in bulletin_readers(node.directory.own, node.directory.members()):
+        for reader in bulletin_recipients(node.directory.own, node.directory.members()):
             other = self.node_at(reader.peer_address)
             if other is None or self.rng.random() < self.lost_news:
                 continue
--- a/features/steps/bulletin_readers_steps.py
+++ b/features/steps/bulletin_recipients_steps.py
@@ -7,7 +7,7 @@
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from marjoramtide.membership import Member, MemberState
-from marjoramtide.policy import BulletinRoutes, bulletin_readers
+from marjoramtide.policy import BulletinRoutes, bulletin_recipients
 from marjoramtide.policy.placing._bulletin_routes import BulletinRoute
 
 use_step_matcher("parse")
@@ -30,7 +30,7 @@
 
 def pairs(members: list[Member]) -> list[tuple[Member, Member]]:
     """Return each teller with each of its readers."""
-    return [(own, reader) for own in members for reader in bulletin_readers(own, members)]
+    return [(own, reader) for own in members for reader in bulletin_recipients(own, members)]
 
 
 def followed(context: Any, service: str, *, near: bool) -> list[int]:
@@ -91,7 +91,7 @@
 def crosses_once(context: Any) -> None:
     for own in context.members:
         found = route(context, own)
-        crossed = Counter(each.data_centre for each in (*found.readers, *found.relays))
+        crossed = Counter(each.data_centre for each in (*found.recipients, *found.relays))
         del crossed[own.data_centre]
         assert set(crossed.values()) == {1} and len(crossed) == 2, crossed
 
@@ -100,11 +100,13 @@
 def reaches_all(context: Any) -> None:
     for own in context.members:
         found = route(context, own)
-        reached = Counter(each.node for each in (*found.readers, *found.relays))
+        reached = Counter(each.node for each in (*found.recipients, *found.relays))
         for relay in found.relays:
             routes = BulletinRoutes(random.Random(1))
-            reached.update(each.node for each in routes.passed_on(own, relay, context.members))
-        assert set(reached) == {each.node for each in bulletin_readers(own, context.members)}
+            reached.update(
+                each.node for each in routes.relay_recipients(own, relay, context.members)
+            )
+        assert set(reached) == {each.node for each in bulletin_recipients(own, context.members)}
         assert set(reached.values()) == {1}, reached
 
 
--- a/features/steps/pace_steps.py
+++ b/features/steps/pace_steps.py
@@ -14,7 +14,7 @@
 from features.steps.serving_steps import SilentTransport
 from marjoramtide.clock import FreezeDetector, ManualClock
 from marjoramtide.policy.pace import Pace
-from marjoramtide.policy.pace._stretches import Stretches
+from marjoramtide.policy.pace._duration_history import DurationHistory
 from marjoramtide.serving import ServerLoad, ServingService
 from marjoramtide.settings import Freshness, Place, TreeSettingsView
 from marjoramtide.telemetry import Metrics, Tracer
@@ -46,14 +46,14 @@
 
 @given("a server that was slow {count:d} times for {seconds:g} s")
 def given_slow_before(context: Any, count: int, seconds: float) -> None:
-    context.stretches = Stretches()
+    context.stretches = DurationHistory()
     for _ in range(count):
         context.stretches.note(seconds)
 
 
 def waits(context: Any, work_ms: float, elapsed_s: float) -> bool:
     pace = Pace(5.0, None, 2.0, 1.0, NOW - elapsed_s, stretches=context.stretches)
-    return pace.waits(work_ms, NOW)
+    return pace.should_wait(work_ms, NOW)
 
 
 @then("a request of {work:d} ms waits there when it has been slow for {seconds:g} s")
@@ -86,13 +86,13 @@
     def decisions(times: float) -> list[bool]:
         found = []
         for slowdown, best, elapsed_s, lengths, work_ms in context.drawn:
-            context.stretches = Stretches()
+            context.stretches = DurationHistory()
             for length in lengths:
                 context.stretches.note(length * times)
             pace = Pace(
                 slowdown, None, 2.0, best, NOW - elapsed_s * times, stretches=context.stretches
             )
-            found.append(pace.waits(work_ms * times, NOW))
+            found.append(pace.should_wait(work_ms * times, NOW))
         return found
 
     expected = decisions(1.0)
@@ -120,7 +120,7 @@
 @then("what comes does not wait for its pace")
 def then_no_wait(context: Any) -> None:
     pace = context.serving.interference.pace(context.clock.now)
-    assert not pace.waits(1000.0, context.clock.now), pace
+    assert not pace.should_wait(1000.0, context.clock.now), pace
 
 
 def tell(context: Any, slowdown: float, seconds: int) -> None:
--- a/features/steps/slowed_steps.py
+++ b/features/steps/slowed_steps.py
@@ -109,5 +109,5 @@
 @then("what is believed of it holds the slowdown")
 def believed(context: Any) -> None:
     state = context.dispatcher.state("mapdesk")
-    told = state.selector.believed("a", SystemClock().monotonic())
+    told = state.selector.node_snapshot("a", SystemClock().monotonic())
     assert told.get("slowdown") == SLOWED.slowdown, told
--- a/src/marjoramtide/daemon/_node_news.py
+++ b/src/marjoramtide/daemon/_node_news.py
@@ -45,12 +45,12 @@
         own = self.membership.self_member
         if own.state is MemberState.READY:
             route = self.routes.route(own, self.membership.members())
-            self.membership.publish(report_fields(report), route.readers, route.relays)
+            self.membership.publish(report_fields(report), route.recipients, route.relays)
 
     def passed_on_to(self, teller: Member) -> list[Member]:
         """Return the members of this data centre that follow a node elsewhere."""
         membership = self.membership
-        return self.routes.passed_on(teller, membership.self_member, membership.members())
+        return self.routes.relay_recipients(teller, membership.self_member, membership.members())
 
     def tell_claim(self, key: str, record: ClaimRecord) -> None:
         """Have some other nodes know of a claim, which would write it again if this one is lost."""
--- a/src/marjoramtide/ingress/_dispatcher.py
+++ b/src/marjoramtide/ingress/_dispatcher.py
@@ -316,7 +316,7 @@
         selector = attempts.state.selector
         started = self.clock.monotonic()
         # Taken now, since the log is to tell what the choice rested on, not what came of it.
-        believed = selector.believed(node, started)
+        believed = selector.node_snapshot(node, started)
         selector.sent(node, started)
         attempts.began(node, started)
         sent = self.known_statement(node)
--- a/src/marjoramtide/policy/__init__.py
+++ b/src/marjoramtide/policy/__init__.py
@@ -27,7 +27,7 @@
     BulletinRoutes,
     Selector,
     SmoothSplit,
-    bulletin_readers,
+    bulletin_recipients,
     make_selector,
     make_smooth_split,
 )
@@ -72,7 +72,7 @@
     "Suspicion",
     "TokenBucket",
     "Verdict",
-    "bulletin_readers",
+    "bulletin_recipients",
     "make_admission",
     "make_call_profile",
     "make_selector",
--- a/src/marjoramtide/policy/_smoothed.py
+++ b/src/marjoramtide/policy/_ewma.py
@@ -4,7 +4,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Smoothed:
+class Ewma:
     """A running mean of samples.
 
     ``rise`` and ``fall`` are the weights (0 to 1) of a sample above and below the mean. A larger
--- a/src/marjoramtide/policy/admission/_adaptive_limiter.py
+++ b/src/marjoramtide/policy/admission/_adaptive_limiter.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from marjoramtide.policy._smoothed import Smoothed
+from marjoramtide.policy._ewma import Ewma
 from marjoramtide.policy.admission._cut import Cut
 from marjoramtide.policy.admission._limiter import Limiter
 
@@ -33,8 +33,8 @@
 
     slots: int
     min_limit: int
-    recent: Smoothed = attrs.Factory(lambda: Smoothed(0.1, 0.1))
-    usual: Smoothed = attrs.Factory(lambda: Smoothed(0.01, 0.02))
+    recent: Ewma = attrs.Factory(lambda: Ewma(0.1, 0.1))
+    usual: Ewma = attrs.Factory(lambda: Ewma(0.01, 0.02))
     exact: float = 0.0
     cut: Cut | None = None
 
--- a/src/marjoramtide/policy/admission/_cut.py
+++ b/src/marjoramtide/policy/admission/_cut.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from marjoramtide.policy._smoothed import Smoothed
+from marjoramtide.policy._ewma import Ewma
 
 ENOUGH_SAMPLES = 6
 CURED_BELOW = 0.75
@@ -19,7 +19,7 @@
     began_at: float
     before_ms: float = 0.0
     ended: int = 0
-    after: Smoothed = attrs.Factory(lambda: Smoothed(0.3, 0.3))
+    after: Ewma = attrs.Factory(lambda: Ewma(0.3, 0.3))
 
     def note(self, duration_ms: float) -> None:
         """Take in an execution that ended under the lower limit."""
--- a/src/marjoramtide/policy/admission/_edf_admission.py
+++ b/src/marjoramtide/policy/admission/_edf_admission.py
@@ -134,7 +134,7 @@
 
     def set_pace(self, pace: Pace) -> None:
         self.runs.set_pace(pace)
-        self.resume_at = pace.settles_at if pace.settles_at < math.inf else None
+        self.resume_at = pace.decide_again_at if pace.decide_again_at < math.inf else None
 
     def resume(self, now: float) -> list[int]:
         if self.resume_at is not None and self.resume_at <= now:
@@ -166,7 +166,7 @@
             # Failure: a neighbour has slowed this server down since its last report, and a booking
             # that arrives now takes four times as long here, although others are quick. Turned away
             # at once it costs a hop; whoever asks again has found nobody quicker.
-            return _reject(ErrorCode.SLOWED, self.pace.quick_in_ms(now))
+            return _reject(ErrorCode.SLOWED, self.pace.recovers_in_ms(now))
         if profile.attempt == 1 and (wait_ms := self._long_wait_ms(profile, now)):
             # Failure: a server that has named a limit lets what arrives wait for its turn, late,
             # though others have room. Turned away at once it costs a hop.
@@ -202,7 +202,7 @@
         waits = self.runs.waits(profile, now)
         service_ms = self.times.expected_ms(now)
         if waits:
-            service_ms *= self.pace.best / self.pace.slowdown
+            service_ms *= self.pace.best_slowdown / self.pace.slowdown
         due = self.dues[ticket]
         remaining_ms = (due - now) * 1000
         standing = self.standings[ticket]
@@ -219,7 +219,7 @@
             # Slots are free, and it waits for the pace alone.
             wait_ms = 0.0
         if waits:
-            wait_ms += self.pace.quick_in_ms(now)
+            wait_ms += self.pace.recovers_in_ms(now)
         if profile.urgent and self.urgent_slots and own_ms:
             # Slots that only urgent requests use free at their pace, not at that of the rest.
             wait_ms = min(wait_ms, (ahead + 1) * own_ms / min(self.urgent_slots, self.limit))
--- a/src/marjoramtide/policy/admission/_execution_times.py
+++ b/src/marjoramtide/policy/admission/_execution_times.py
@@ -2,9 +2,9 @@
 
 import attrs
 
-from marjoramtide.policy._smoothed import Smoothed
+from marjoramtide.policy._ewma import Ewma
 from marjoramtide.policy.admission._kind_times import KindTimes
-from marjoramtide.policy.pace import patience_ms, silence_ms
+from marjoramtide.policy.pace import stall_threshold_ms, stalled_ms
 
 UNKNOWN = KindTimes()
 
@@ -21,9 +21,9 @@
     urgent lookup of twenty milliseconds is refused as too long for its deadline.
     """
 
-    mean: Smoothed = attrs.Factory(lambda: Smoothed(0.2, 0.2))
+    mean: Ewma = attrs.Factory(lambda: Ewma(0.2, 0.2))
     kinds: dict[str, KindTimes] = attrs.Factory(dict)
-    success: Smoothed = attrs.Factory(lambda: Smoothed(0.1, 0.1, 1.0, 1))
+    success: Ewma = attrs.Factory(lambda: Ewma(0.1, 0.1, 1.0, 1))
     running: dict[int, float] = attrs.Factory(dict)
     usual: dict[int, float] = attrs.Factory(dict)
     paces: dict[int, float] = attrs.Factory(dict)
@@ -95,7 +95,7 @@
     def silence_ms(self, now: float) -> float:
         """Return for how long the running ones have been owed beyond what is usual."""
         oldest = next(iter(self.running.values()), None)
-        return silence_ms(oldest, self.last_end, len(self.running), self.usual_ms(), now)
+        return stalled_ms(oldest, self.last_end, len(self.running), self.usual_ms(), now)
 
     def usual_ms(self) -> float:
         """Return how long the oldest running one may well take."""
@@ -108,5 +108,5 @@
         if not self.running or not self.mean.value:
             return None
         oldest = next(iter(self.running.values()))
-        patience = patience_ms(len(self.running), self.usual_ms()) / 1000
+        patience = stall_threshold_ms(len(self.running), self.usual_ms()) / 1000
         return max(oldest, self.last_end) + patience
--- a/src/marjoramtide/policy/admission/_kind_times.py
+++ b/src/marjoramtide/policy/admission/_kind_times.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from marjoramtide.policy._smoothed import Smoothed
+from marjoramtide.policy._ewma import Ewma
 
 # Mean deviations above the mean that a waiting request is kept time for: four in five take less.
 # On a fleet of ten nodes it was worth 0.006 to 0.011 of what callers are owed, half and double of
@@ -19,10 +19,10 @@
     made comparable, and ``deviation`` how far from it single ones lie on the mean.
     """
 
-    mean: Smoothed = attrs.Factory(lambda: Smoothed(0.2, 0.2))
-    deviation: Smoothed = attrs.Factory(lambda: Smoothed(0.05, 0.05))
-    quick: Smoothed = attrs.Factory(lambda: Smoothed(0.01, 0.3))
-    base: Smoothed = attrs.Factory(lambda: Smoothed(0.02, 0.02))
+    mean: Ewma = attrs.Factory(lambda: Ewma(0.2, 0.2))
+    deviation: Ewma = attrs.Factory(lambda: Ewma(0.05, 0.05))
+    quick: Ewma = attrs.Factory(lambda: Ewma(0.01, 0.3))
+    base: Ewma = attrs.Factory(lambda: Ewma(0.02, 0.02))
 
     def learn(self, duration_ms: float) -> None:
         """Take in a good execution."""
--- a/src/marjoramtide/policy/admission/_knee_limiter.py
+++ b/src/marjoramtide/policy/admission/_knee_limiter.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from marjoramtide.policy._smoothed import Smoothed
+from marjoramtide.policy._ewma import Ewma
 from marjoramtide.policy.admission._limiter import Limiter
 
 # The share of the slots that a server begins with that nothing is known of yet. Those that slow
@@ -51,15 +51,15 @@
     """
 
     slots: int
-    times: list[Smoothed] = attrs.field()
+    times: list[Ewma] = attrs.field()
     limit_now: int = attrs.field()
     pressed: int = 0
     since_lowered: int = 0
     choices: int = 0
 
     @times.default
-    def _unknown_times(self) -> list[Smoothed]:
-        return [Smoothed(WEIGHT, WEIGHT) for _ in range(self.slots)]
+    def _unknown_times(self) -> list[Ewma]:
+        return [Ewma(WEIGHT, WEIGHT) for _ in range(self.slots)]
 
     @limit_now.default
     def _first_limit(self) -> int:
@@ -121,7 +121,7 @@
     def _forget_above(self) -> None:
         self.since_lowered = 0
         for number in range(self.limit_now, self.slots):
-            self.times[number] = Smoothed(WEIGHT, WEIGHT)
+            self.times[number] = Ewma(WEIGHT, WEIGHT)
 
 
 @attrs.define(slots=True, eq=False, repr=False)
@@ -136,7 +136,7 @@
     count: int
 
 
-def rising(times: Sequence[Smoothed]) -> list[Level]:
+def rising(times: Sequence[Ewma]) -> list[Level]:
     """Return levels of which each takes clearly longer than the one before.
 
     That is what is called pooling adjacent violators, with a least step between two levels.
--- a/src/marjoramtide/policy/admission/_limiters.py
+++ b/src/marjoramtide/policy/admission/_limiters.py
@@ -2,7 +2,7 @@
 
 import math
 
-from marjoramtide.policy._unknown_policy import unknown_policy
+from marjoramtide.policy._unknown_policy import unknown_policy_error
 from marjoramtide.policy.admission._adaptive_limiter import AdaptiveLimiter
 from marjoramtide.policy.admission._fixed_limiter import FixedLimiter
 from marjoramtide.policy.admission._knee_limiter import KneeLimiter
@@ -20,4 +20,4 @@
         return FixedLimiter(settings.slots)
     if settings.limiter == "knee":
         return KneeLimiter(settings.slots)
-    raise unknown_policy("limiter", settings.limiter, LIMITERS, "policy.make_admission")
+    raise unknown_policy_error("limiter", settings.limiter, LIMITERS, "policy.make_admission")
--- a/src/marjoramtide/policy/admission/_run_estimates.py
+++ b/src/marjoramtide/policy/admission/_run_estimates.py
@@ -4,7 +4,7 @@
 
 from marjoramtide.policy._call_profile import CallProfile
 from marjoramtide.policy.admission._execution_times import ExecutionTimes
-from marjoramtide.policy.pace import ASSUMED_WORK_MS, Pace
+from marjoramtide.policy.pace import DEFAULT_WORK_MS, Pace
 
 
 @attrs.define(slots=True, eq=False, repr=False)
@@ -41,12 +41,12 @@
 
     def waits(self, profile: CallProfile, now: float) -> bool:
         """Tell whether a request should wait for the server's pace, see ``Pace.waits``."""
-        return self.pace.waits(self.work_ms(profile), now)
+        return self.pace.should_wait(self.work_ms(profile), now)
 
     def work_ms(self, profile: CallProfile) -> float:
         """Return how long a request runs undisturbed, or others do while its kind is new."""
         known_ms = self.times.kind(profile.kind).mean.value or self.times.mean.value
-        return known_ms or ASSUMED_WORK_MS
+        return known_ms or DEFAULT_WORK_MS
 
     def kept_ms(self, profile: CallProfile, due: float) -> float:
         """Return the time that a request is kept until it is due, 0 while its kind is new.
@@ -62,8 +62,8 @@
         own_ms = self.kept_ms(profile, due)
         if not own_ms:
             return 0.0
-        waits = self.pace.waits(own_ms, now)
-        paced_ms = own_ms * (self.pace.best if waits else self.pace.slowdown)
+        waits = self.pace.should_wait(own_ms, now)
+        paced_ms = own_ms * (self.pace.best_slowdown if waits else self.pace.slowdown)
         return max(paced_ms, self.times.silence_ms(now))
 
     def latest_start(self, profile: CallProfile, due: float) -> float:
@@ -75,4 +75,4 @@
         """
         times = self.times.kind(profile.kind)
         work_ms = times.planned_ms if due == profile.goal else times.quick.value
-        return due - work_ms * min(self.pace.slowdown, self.pace.best) / 1000
+        return due - work_ms * min(self.pace.slowdown, self.pace.best_slowdown) / 1000
--- a/src/marjoramtide/policy/budgets/_measuring_budget.py
+++ b/src/marjoramtide/policy/budgets/_measuring_budget.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from marjoramtide.policy._smoothed import Smoothed
+from marjoramtide.policy._ewma import Ewma
 
 ASSUMED_READ_MS = 5.0
 TRAFFIC_RECENT_S = 1.0
@@ -29,8 +29,8 @@
     per_s: float
     share: float
     slots: int
-    read_ms: Smoothed = attrs.Factory(lambda: Smoothed(1.0, 0.3, ASSUMED_READ_MS, 1))
-    execution_ms: Smoothed = attrs.Factory(lambda: Smoothed(0.05, 0.05))
+    read_ms: Ewma = attrs.Factory(lambda: Ewma(1.0, 0.3, ASSUMED_READ_MS, 1))
+    execution_ms: Ewma = attrs.Factory(lambda: Ewma(0.05, 0.05))
     last_read_at: float | None = None
     last_traffic_at: float | None = None
     in_doubt: bool = True
--- a/src/marjoramtide/policy/pace/__init__.py
+++ b/src/marjoramtide/policy/pace/__init__.py
@@ -7,15 +7,15 @@
 from marjoramtide.policy.pace._interference import Interference
 from marjoramtide.policy.pace._pace import Pace
 from marjoramtide.policy.pace._run_forecast import run_ms
-from marjoramtide.policy.pace._silence import patience_ms, silence_ms
-from marjoramtide.policy.pace._work_times import ASSUMED_WORK_MS, WorkTimes
+from marjoramtide.policy.pace._stall import stall_threshold_ms, stalled_ms
+from marjoramtide.policy.pace._work_times import DEFAULT_WORK_MS, WorkTimes
 
 __all__ = [
-    "ASSUMED_WORK_MS",
+    "DEFAULT_WORK_MS",
     "Interference",
     "Pace",
     "WorkTimes",
-    "patience_ms",
     "run_ms",
-    "silence_ms",
+    "stall_threshold_ms",
+    "stalled_ms",
 ]
--- a/src/marjoramtide/policy/pace/_stretches.py
+++ b/src/marjoramtide/policy/pace/_duration_history.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Stretches:
+class DurationHistory:
     """The lengths in seconds of the last stretches in which a server was slow."""
 
     lengths: deque[float] = attrs.Factory(lambda: deque(maxlen=KEPT))
@@ -19,7 +19,7 @@
         """Take in a stretch that has ended."""
         self.lengths.append(length_s)
 
-    def left_s(self, elapsed_s: float) -> float:
+    def remaining_s(self, elapsed_s: float) -> float:
         """Return for how many seconds more one that began ``elapsed_s`` ago is expected to last.
 
         That is the mean of what was left of the known ones that lasted longer, together with one
--- a/src/marjoramtide/policy/pace/_interference.py
+++ b/src/marjoramtide/policy/pace/_interference.py
@@ -7,10 +7,10 @@
 import attrs
 
 from marjoramtide.exchange import LoadReport
-from marjoramtide.policy._smoothed import Smoothed
+from marjoramtide.policy._ewma import Ewma
 from marjoramtide.policy.pace._change_grid import ChangeGrid, Window, fit_grid
+from marjoramtide.policy.pace._duration_history import DurationHistory
 from marjoramtide.policy.pace._pace import SLOW, Pace
-from marjoramtide.policy.pace._stretches import Stretches
 
 # Figures that differ by less than this factor are the same state.
 SAME_STATE = 1.15
@@ -51,19 +51,19 @@
     """
 
     slowdown: float = 1.0
-    usual: float = 1.0
+    usual_slowdown: float = 1.0
     seen_at: float | None = None
     grid: ChangeGrid | None = None
     misses: int = 0
     changes: deque[Window] = attrs.Factory(lambda: deque(maxlen=CHANGES_KEPT))
     history: deque[tuple[float, float]] = attrs.Factory(deque)
     slow_since: float | None = None
-    stretches: Stretches = attrs.Factory(Stretches)
-    states: Stretches = attrs.Factory(Stretches)
-    gap_s: Smoothed = attrs.Factory(lambda: Smoothed(0.2, 0.2))
+    stretches: DurationHistory = attrs.Factory(DurationHistory)
+    states: DurationHistory = attrs.Factory(DurationHistory)
+    gap_s: Ewma = attrs.Factory(lambda: Ewma(0.2, 0.2))
 
     @property
-    def is_told(self) -> bool:
+    def has_observations(self) -> bool:
         """Tell whether the backend server has said anything of its pace."""
         return self.seen_at is not None
 
@@ -76,7 +76,9 @@
             return True
         gap = now - before
         self.gap_s.add(gap)
-        self.usual += (self.slowdown - self.usual) * (1 - math.exp(-gap / USUAL_OVER_S))
+        self.usual_slowdown += (self.slowdown - self.usual_slowdown) * (
+            1 - math.exp(-gap / USUAL_OVER_S)
+        )
         if max(slowdown, self.slowdown) < SAME_STATE * min(slowdown, self.slowdown):
             return False
         changed_at = self._changed_at(before, now)
@@ -119,14 +121,14 @@
         """Note how long the state that ends at ``at`` has lasted, and the slow stretch it is of."""
         if self.history:
             self.states.note(at - self.history[-1][0])
-        is_slow = slowdown >= SLOW * self.best(at)
+        is_slow = slowdown >= SLOW * self.best_slowdown(at)
         if is_slow and self.slow_since is None:
             self.slow_since = at
         elif not is_slow and self.slow_since is not None:
             self.stretches.note(at - self.slow_since)
             self.slow_since = None
 
-    def best(self, now: float) -> float:
+    def best_slowdown(self, now: float) -> float:
         """Return the quickest state of late: above 1 on a server that is still cold.
 
         Failure without it: a server that has just started takes twice as long for some seconds. It
@@ -140,13 +142,13 @@
     def pace(self, now: float) -> Pace:
         """Return the pace of work that begins now."""
         holds_s = self.holds_s(now)
-        best = self.best(now)
+        best_slowdown = self.best_slowdown(now)
         told_at = now if self.seen_at is None else self.seen_at
         return Pace(
             slowdown=self.slowdown,
             holds_until=None if holds_s is None else now + holds_s,
-            usual=max(self.usual, best),
-            best=best,
+            usual_slowdown=max(self.usual_slowdown, best_slowdown),
+            best_slowdown=best_slowdown,
             slow_since=now if self.slow_since is None else self.slow_since,
             trusted_until=told_at + LOOKS_MISSED * max(self.gap_s.value, SEARCH_S),
             stretches=self.stretches,
@@ -154,23 +156,23 @@
 
     def annotate(self, report: LoadReport, now: float) -> LoadReport:
         """Return a report with what is known of the pace, and the time of undisturbed work."""
-        if not self.is_told:
+        if not self.has_observations:
             return report
         pace = self.pace(now)
         return attrs.evolve(
             report,
             service_time_ms=report.service_time_ms / pace.slowdown,
             slowdown=pace.slowdown,
-            holds_ms=-1.0 if self.grid is None else pace.quick_in_ms(now),
+            holds_ms=-1.0 if self.grid is None else pace.recovers_in_ms(now),
             period_ms=1000 * (self.states.mean_s if self.grid is None else self.grid.period),
-            usual_slowdown=pace.usual,
+            usual_slowdown=pace.usual_slowdown,
         )
 
     def holds_s(self, now: float) -> float | None:
         """Return for how many seconds the slowdown stays as it is, ``None`` while unknown."""
         return None if self.grid is None else self.grid.next_after(now) - now
 
-    def next_look_at(self, now: float) -> float:
+    def preferred_read_at(self, now: float) -> float:
         """Return when a look at the figure is worth most, in seconds."""
         last = self.seen_at if self.seen_at is not None else now - SEARCH_S
         if self.grid is None:
--- a/src/marjoramtide/policy/pace/_silence.py
+++ b/src/marjoramtide/policy/pace/_stall.py
@@ -4,7 +4,7 @@
 USUAL_TIMES_AT_LEAST = 1.5
 
 
-def silence_ms(
+def stalled_ms(
     oldest: float | None, last_answer: float, running: int, usual_ms: float, now: float
 ) -> float:
     """Return for how many milliseconds a server has owed an answer, 0 where that is usual.
@@ -23,9 +23,9 @@
     if oldest is None or usual_ms <= 0:
         return 0.0
     silence = (now - max(oldest, last_answer)) * 1000
-    return silence if silence > patience_ms(running, usual_ms) else 0.0
+    return silence if silence > stall_threshold_ms(running, usual_ms) else 0.0
 
 
-def patience_ms(running: int, usual_ms: float) -> float:
+def stall_threshold_ms(running: int, usual_ms: float) -> float:
     """Return after how long a silence is unusual while ``running`` requests are unanswered."""
     return usual_ms * max(USUAL_TIMES_AT_LEAST, USUAL_TIMES / running)
--- a/src/marjoramtide/policy/pace/_work_times.py
+++ b/src/marjoramtide/policy/pace/_work_times.py
@@ -2,12 +2,12 @@
 
 import attrs
 
-from marjoramtide.policy._smoothed import Smoothed
+from marjoramtide.policy._ewma import Ewma
 
 # What work is taken to need, in milliseconds, while nothing is known of it: between the shortest
 # and the longest kinds of the fleets measured, 22 ms and 680 ms. Only whether a slowed server is
 # shunned or waited for depends on it, and only until the first executions have ended.
-ASSUMED_WORK_MS = 100.0
+DEFAULT_WORK_MS = 100.0
 # Deviations above the mean that a request is planned to take: nine in ten take less.
 PLANNED_DEVIATIONS = 1.5
 
@@ -16,8 +16,8 @@
 class WorkTimes:
     """The mean, and the mean deviation from it, in milliseconds."""
 
-    mean: Smoothed = attrs.Factory(lambda: Smoothed(0.05, 0.05))
-    deviation: Smoothed = attrs.Factory(lambda: Smoothed(0.05, 0.05))
+    mean: Ewma = attrs.Factory(lambda: Ewma(0.05, 0.05))
+    deviation: Ewma = attrs.Factory(lambda: Ewma(0.05, 0.05))
 
     def learn(self, work_ms: float) -> None:
         """Take in one execution."""
--- a/src/marjoramtide/policy/placing/__init__.py
+++ b/src/marjoramtide/policy/placing/__init__.py
@@ -4,7 +4,7 @@
 date when it is read. A wrong choice costs a refusal and a second try.
 """
 
-from marjoramtide.policy.placing._bulletin_readers import bulletin_readers
+from marjoramtide.policy.placing._bulletin_readers import bulletin_recipients
 from marjoramtide.policy.placing._bulletin_routes import BulletinRoutes
 from marjoramtide.policy.placing._factories import SELECTORS, make_selector
 from marjoramtide.policy.placing._selector import Selector
@@ -15,7 +15,7 @@
     "BulletinRoutes",
     "Selector",
     "SmoothSplit",
-    "bulletin_readers",
+    "bulletin_recipients",
     "make_selector",
     "make_smooth_split",
 ]
--- a/src/marjoramtide/policy/placing/_bulletin_readers.py
+++ b/src/marjoramtide/policy/placing/_bulletin_readers.py
@@ -17,7 +17,7 @@
 KNOWN = 2 * FOLLOWED
 
 
-def bulletin_readers(own: Member, members: Collection[Member]) -> list[Member]:
+def bulletin_recipients(own: Member, members: Collection[Member]) -> list[Member]:
     """Return the members that follow ``own``, the same on each node that knows the same members.
 
     Failure: each change to each node grows with the square of the fleet: 7,000 datagrams a second
--- a/src/marjoramtide/policy/placing/_bulletin_routes.py
+++ b/src/marjoramtide/policy/placing/_bulletin_routes.py
@@ -7,7 +7,7 @@
 import attrs
 
 from marjoramtide.membership import Member
-from marjoramtide.policy.placing._bulletin_readers import bulletin_readers
+from marjoramtide.policy.placing._bulletin_readers import bulletin_recipients
 
 # So many readers in another data centre are told one by one: the loss of a relay costs more than
 # these datagrams.
@@ -16,9 +16,9 @@
 
 @attrs.frozen(slots=True)
 class BulletinRoute:
-    """To whom one piece of news goes: to ``readers``, and to ``relays`` that pass it on."""
+    """To whom one piece of news goes: to ``recipients``, and to ``relays`` that pass it on."""
 
-    readers: list[Member]
+    recipients: list[Member]
     relays: list[Member]
 
 
@@ -44,12 +44,14 @@
         route = BulletinRoute([], [])
         for centre, readers in self._readers(own, members).items():
             if centre == own.data_centre or len(readers) <= MOST_DIRECT:
-                route.readers.extend(readers)
+                route.recipients.extend(readers)
             else:
                 route.relays.append(self.rng.choice(readers))
         return route
 
-    def passed_on(self, teller: Member, own: Member, members: Sequence[Member]) -> list[Member]:
+    def relay_recipients(
+        self, teller: Member, own: Member, members: Sequence[Member]
+    ) -> list[Member]:
         """Return to whom ``own`` passes news of ``teller`` on."""
         readers = self._readers(teller, members).get(own.data_centre, [])
         return [reader for reader in readers if reader.node != own.node]
@@ -62,6 +64,6 @@
         found = self.readers.get(teller.node)
         if found is None:
             found = self.readers[teller.node] = defaultdict(list)
-            for reader in bulletin_readers(teller, members):
+            for reader in bulletin_recipients(teller, members):
                 found[reader.data_centre].append(reader)
         return found
--- a/src/marjoramtide/policy/placing/_completion_model.py
+++ b/src/marjoramtide/policy/placing/_completion_model.py
@@ -66,7 +66,7 @@
         # nodes that haven't refused anything yet.
         if view.back_off_until > now and (view.report is None or not urgent):
             predicted = max(predicted, (view.back_off_until - now) * 1000 + service_ms)
-        return max(predicted, view.silence_ms(predicted, now))
+        return max(predicted, view.stalled_ms(predicted, now))
 
     def _service_ms(self, view: NodeView, now: float) -> float:
         typical = self.usual.service_ms or self.typical_ms()
--- a/src/marjoramtide/policy/placing/_factories.py
+++ b/src/marjoramtide/policy/placing/_factories.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from marjoramtide.membership import Member
-from marjoramtide.policy._unknown_policy import unknown_policy
+from marjoramtide.policy._unknown_policy import unknown_policy_error
 from marjoramtide.policy.placing._completion_model import CompletionModel
 from marjoramtide.policy.placing._explorer import Explorer
 from marjoramtide.policy.placing._forecast_selector import ForecastSelector
@@ -40,7 +40,7 @@
     if settings.selector in BASELINES:
         return BASELINES[settings.selector](rng)
     if settings.selector not in FORECASTS:
-        raise unknown_policy("selector", settings.selector, SELECTORS, "policy.make_selector")
+        raise unknown_policy_error("selector", settings.selector, SELECTORS, "policy.make_selector")
     ejection = OutlierEjection(settings.ejection_cap)
     # Failure: hedges begin at a quantile that more requests reach than the budget pays for. It is
     # spent on those that come first, and the ones that hang find it empty. At the quantile that
--- a/src/marjoramtide/policy/placing/_forecast_selector.py
+++ b/src/marjoramtide/policy/placing/_forecast_selector.py
@@ -7,7 +7,7 @@
 from marjoramtide.exchange import LoadReport
 from marjoramtide.membership import MemberState
 from marjoramtide.policy._call_profile import CallProfile
-from marjoramtide.policy.pace import ASSUMED_WORK_MS, WorkTimes, run_ms
+from marjoramtide.policy.pace import DEFAULT_WORK_MS, WorkTimes, run_ms
 from marjoramtide.policy.placing._node_view import NodeView
 from marjoramtide.policy.placing._predicted_selector import DISTANCES_MS, PredictedSelector
 
@@ -17,7 +17,7 @@
 # Below it chance decides, so that the nodes that know the same best server don't all send there.
 LOAD_JITTER = 0.15
 # A node beside whose server the request began saves a hop: worth this much load.
-OWN_BONUS = 0.1
+LOCAL_LOAD_BONUS = 0.1
 # How long, in milliseconds, a slowdown is believed where nothing is known of when it ends.
 UNCERTAIN_MS = 300.0
 # For how many of its usual states a followed node that tells nothing new is believed to be as it
@@ -29,7 +29,7 @@
 STRAGGLES = 1.6
 SOUND_SUCCESS = 0.8
 # What takes so many times longer than undisturbed is slowed: above what a short wait adds.
-SLOWED = 1.4
+SLOWED_FACTOR = 1.4
 
 
 @attrs.define(slots=True, eq=False, repr=False)
@@ -54,14 +54,18 @@
             ((self._order(view, work_ms, left_ms, now), view) for view in pool),
             key=lambda each: each[0],
         )
-        if profile.attempt > 1 and order[0] == math.inf and not self._is_last_resort(profile, now):
+        if (
+            profile.attempt > 1
+            and order[0] == math.inf
+            and not self._accepts_any_answer(profile, now)
+        ):
             # Failure: more comes than can be done, and each request asks one full node after the
             # other. The asking alone then takes the processor time that the answers need. A first
             # try asks, since only the node itself knows; a second one needs a reason.
             return None
         return chosen
 
-    def _is_last_resort(self, profile: CallProfile, now: float) -> bool:
+    def _accepts_any_answer(self, profile: CallProfile, now: float) -> bool:
         """Tell whether a request is past its goal, so that any answer is better than none."""
         return not now < profile.goal < profile.deadline
 
@@ -77,16 +81,16 @@
     ) -> tuple[float, float]:
         """Return what nodes are compared by, the smallest first: in time, quick, near, idle."""
         expected_ms = self.forecast_ms(view, work_ms, now)
-        if expected_ms > left_ms or not self._is_sound(view, now):
+        if expected_ms > left_ms or not self._is_healthy(view, now):
             return math.inf, expected_ms / max(0.05, view.success_rate(now))
         load = self._load(view, now) + self.rng.random() * LOAD_JITTER
         if view.node == self.self_member.node:
-            load -= OWN_BONUS
+            load -= LOCAL_LOAD_BONUS
         # A slowed server may be in time, but each request holds its slot there for longer.
-        is_slow = expected_ms > SLOWED * (view.network.value + work_ms)
+        is_slow = expected_ms > SLOWED_FACTOR * (view.network.value + work_ms)
         return view.tier + len(DISTANCES_MS) * is_slow, load
 
-    def _is_sound(self, view: NodeView, now: float) -> bool:
+    def _is_healthy(self, view: NodeView, now: float) -> bool:
         return (
             view.member.state is not MemberState.SUSPECT
             and view.back_off_until <= now
@@ -106,17 +110,17 @@
         report = view.report
         network_ms = view.network.value
         if report is None:
-            return network_ms + work_ms * self._usual_slowdown()
+            return network_ms + work_ms * self._service_slowdown()
         age_ms = (now - view.reported_at) * 1000
         slowdown, holds_ms = pace_after(report, age_ms + network_ms, view.followed)
-        own_ms = work_ms * self._straggling(view, now)
+        own_ms = work_ms * self._straggler_factor(view, now)
         wait_ms = max(0.0, self._load(view, now) - 1) * report.service_time_ms * slowdown
         if wait_ms and holds_ms is not None:
             holds_ms = max(0.0, holds_ms - wait_ms)
         expected_ms = network_ms + wait_ms + run_ms(own_ms, slowdown, holds_ms, usual_of(report))
-        return max(expected_ms, view.silence_ms(expected_ms, now))
+        return max(expected_ms, view.stalled_ms(expected_ms, now))
 
-    def _usual_slowdown(self) -> float:
+    def _service_slowdown(self) -> float:
         """Return the mean slowdown of the nodes that have told of theirs, 1 where none has.
 
         Failure: a node that nothing was heard of yet is taken for quick, and preferred to those
@@ -125,7 +129,7 @@
         told = [usual_of(view.report) for view in self.views.values() if view.report is not None]
         return sum(told) / len(told) if told else 1.0
 
-    def _straggling(self, view: NodeView, now: float) -> float:
+    def _straggler_factor(self, view: NodeView, now: float) -> float:
         """Return how many times longer a server takes than the others, for reasons of its own."""
         usual_ms = self.model.usual.service_ms
         assert view.report is not None
@@ -139,7 +143,7 @@
         if known is not None:
             return known.planned_ms
         # Not 0, by which a slowed server would look as good as a quick one to every first request.
-        return self.model.usual.service_ms or ASSUMED_WORK_MS
+        return self.model.usual.service_ms or DEFAULT_WORK_MS
 
     def _left_ms(self, profile: CallProfile, now: float) -> float:
         """Return the time until the goal, or until the deadline where the goal has passed."""
--- a/src/marjoramtide/policy/placing/_node_view.py
+++ b/src/marjoramtide/policy/placing/_node_view.py
@@ -6,8 +6,8 @@
 
 from marjoramtide.exchange import LoadReport
 from marjoramtide.membership import Member
-from marjoramtide.policy._smoothed import Smoothed
-from marjoramtide.policy.pace import silence_ms
+from marjoramtide.policy._ewma import Ewma
+from marjoramtide.policy.pace import stalled_ms
 
 BELIEVED_S = 0.2
 BELIEVED_AT_MOST_S = 20.0
@@ -35,14 +35,14 @@
     distance_ms: float
     tier: int
     started_at: float
-    network: Smoothed = attrs.field(init=False)
+    network: Ewma = attrs.field(init=False)
     report: LoadReport | None = None
     reported_at: float = 0.0
     followed: bool = False
     outstanding: list[float] = attrs.Factory(list)
     sent_since: int = 0
-    elapsed: Smoothed = attrs.Factory(lambda: Smoothed(0.3, 0.3))
-    success: Smoothed = attrs.Factory(lambda: Smoothed(0.2, 0.2, 1.0, 1))
+    elapsed: Ewma = attrs.Factory(lambda: Ewma(0.3, 0.3))
+    success: Ewma = attrs.Factory(lambda: Ewma(0.2, 0.2, 1.0, 1))
     last_answer_at: float = 0.0
     judged_at: float = 0.0
     closed_until: float = 0.0
@@ -55,7 +55,7 @@
     believed_s: float = BELIEVED_S
 
     def __attrs_post_init__(self) -> None:
-        self.network = Smoothed(0.05, 0.3, self.distance_ms, 1)
+        self.network = Ewma(0.05, 0.3, self.distance_ms, 1)
 
     @property
     def node(self) -> str:
@@ -100,8 +100,8 @@
         Failure: a server crashes and is back, cold but sound. By its former failures and times it
         passes for a straggler, and stays idle while the others are full.
         """
-        self.elapsed = Smoothed(0.3, 0.3)
-        self.success = Smoothed(0.2, 0.2, 1.0, 1)
+        self.elapsed = Ewma(0.3, 0.3)
+        self.success = Ewma(0.2, 0.2, 1.0, 1)
         self.believed_s = BELIEVED_S
         self.back_off_until = 0.0
         self.ejected = False
@@ -138,10 +138,10 @@
             failing = max(failing, reported)
         return 1 - failing
 
-    def silence_ms(self, usual_ms: float, now: float) -> float:
+    def stalled_ms(self, usual_ms: float, now: float) -> float:
         """Return for how long own requests have been owed an answer beyond what is usual."""
         oldest = self.outstanding[0] if self.outstanding else None
-        return silence_ms(oldest, self.last_answer_at, len(self.outstanding), usual_ms, now)
+        return stalled_ms(oldest, self.last_answer_at, len(self.outstanding), usual_ms, now)
 
     def ramp(self, now: float, slow_start_s: float) -> float:
         """Return the share (0 to 1) of its full load that a node gets after a cold start."""
--- a/src/marjoramtide/policy/placing/_outlier_ejection.py
+++ b/src/marjoramtide/policy/placing/_outlier_ejection.py
@@ -28,7 +28,9 @@
 
     cap: float
 
-    def note(self, view: NodeView, succeeded: bool, views: Iterable[NodeView], now: float) -> None:
+    def record(
+        self, view: NodeView, succeeded: bool, views: Iterable[NodeView], now: float
+    ) -> None:
         """Take in the result of one request."""
         view.results += 1
         view.success.add(1.0 if succeeded else 0.0)
--- a/src/marjoramtide/policy/placing/_predicted_selector.py
+++ b/src/marjoramtide/policy/placing/_predicted_selector.py
@@ -191,7 +191,7 @@
         view.last_answer_at = now
         if served_ms is not None:
             view.network.add(max(0.0, elapsed_ms - served_ms))
-        self.ejection.note(view, succeeded, self.views.values(), now)
+        self.ejection.record(view, succeeded, self.views.values(), now)
 
     def rejected(
         self,
@@ -228,7 +228,7 @@
                 view.closed_until = now + UNREACHABLE_MS / 1000
             view.note_outcome(False, now)
             self._settle(view, None, elapsed_ms, now)
-            self.ejection.note(view, False, self.views.values(), now)
+            self.ejection.record(view, False, self.views.values(), now)
 
     def cancelled(self, node: str, now: float, *, elapsed_ms: float | None = None) -> None:
         view = self.views.get(node)
@@ -265,7 +265,7 @@
         base_ms = max(0.0, min(waits, default=NOBODY_S)) * 1000
         return self.hint.next_ms(max(base_ms, self.model.typical_ms()), self.rate_per_s, now)
 
-    def believed(self, node: str, now: float) -> dict[str, object]:
+    def node_snapshot(self, node: str, now: float) -> dict[str, object]:
         view = self.views.get(node)
         if view is None or view.report is None:
             return {"known": view is not None}
--- a/src/marjoramtide/policy/placing/_selector.py
+++ b/src/marjoramtide/policy/placing/_selector.py
@@ -95,7 +95,7 @@
         """Take in a load report that came beside any request."""
         return None
 
-    def believed(self, node: str, now: float) -> dict[str, object]:
+    def node_snapshot(self, node: str, now: float) -> dict[str, object]:
         """Return, for the log, what the choice of a node rests on."""
         return {}
 
--- a/src/marjoramtide/serving/_service.py
+++ b/src/marjoramtide/serving/_service.py
@@ -179,7 +179,9 @@
 
     def next_look_at(self, now: float) -> float | None:
         """Return when a look at the backend server's load is worth most, ``None`` while unknown."""
-        return self.interference.next_look_at(now) if self.interference.is_told else None
+        return (
+            self.interference.preferred_read_at(now) if self.interference.has_observations else None
+        )
 
     async def handle(self, request: Request, body: RequestBody) -> Answer:
         if request.service != self.service:
@@ -312,7 +314,7 @@
         now = self.clock.monotonic()
         answer.report = self.report(now)
         answer.served_ms = (now - execution.arrived) * 1000
-        if self.interference.is_told:
+        if self.interference.has_observations:
             answer.work_ms = self.interference.work_ms(execution.started, now)
         return answer
 
