--- a/features/policy/data_centres.feature
+++ b/features/policy/data_centres.feature
@@ -5,16 +5,16 @@
     Then between 95% and 100% of 500 next choices stay in its data centre
 
   Scenario: Load spills over when the nearest data centre is slow
-    # The caller waits at a full data centre while the next, one hop away, is idle.
+    # The nearest data centre is full, and the next one, a hop away, is idle.
     Given a predicting ingress node in a data centre with 3 of 9 serving nodes
     When the nodes of its data centre report 30 queued
     Then between 0% and 10% of 500 next choices stay in its data centre
 
   Scenario: Spilling over doesn't swing between data centres
-    # The caller sees latency swing up and down every few hundred milliseconds. All ingress nodes
-    # leave the slow data centre at once; their view is late, so they overload the next one before
-    # they see it, and all turn back at once.
+    # All ingress nodes leave a slow data centre at once. They see its load late, so they overload
+    # the next one before they notice, and all return at once: latency oscillates every few hundred
+    # milliseconds.
     Given two data centres whose latency follows their share of the load 200 ms late
     When load that needs a little of the second one is spread for 30 s
-    Then the share that leaves moves by less than 0.2 in the last 10 s
-    And what leaves is between 0.05 and 0.6
+    Then the share of requests that leave varies by less than 0.2 in the last 10 s
+    And the share of requests that leave is between 0.05 and 0.6
--- a/features/policy/interference.feature
+++ b/features/policy/interference.feature
@@ -72,35 +72,35 @@
     # Where chance decides who is told, some nodes know no quick server of a service at all, and
     # send to slow ones what others could run in time.
     Given a fleet of 4 data centres with 14 nodes of "desk" and 5 nodes of "ledger" in each
-    Then each node follows 8 to 10 of "desk" and all of "ledger" in its own data centre
-    And each node follows 2 to 6 of "desk" and 11 to 15 of "ledger" elsewhere
-    And nobody is told by more than 36 nodes
+    Then each node gets bulletins from 8 to 10 of "desk" and all of "ledger" in its own data centre
+    And each node gets bulletins from 2 to 6 of "desk" and 11 to 15 of "ledger" elsewhere
+    And no node gets bulletins from more than 36 nodes
     When a node of "desk" leaves
-    Then 3 in 4 of all pairs of teller and reader stay as they were
+    Then 3 in 4 of all pairs of sender and recipient stay as they were
 
   Scenario: Where the own data centre has enough nodes of a service, none elsewhere is followed
     # Five data centres of 40 nodes each. News of each change of pace to as many nodes elsewhere were
     # most of what the data centres sent each other, of nodes that are hardly ever asked from there.
     Given a fleet of 5 data centres with 29 nodes of "desk" and 5 nodes of "ledger" in each
-    Then each node follows 8 to 10 of "desk" and all of "ledger" in its own data centre
+    Then each node gets bulletins from 8 to 10 of "desk" and all of "ledger" in its own data centre
     # Eleven that its own data centre lacks, and of each of the other four one more by each of two
     # roundings at most.
-    And each node follows 0 to 0 of "desk" and 11 to 19 of "ledger" elsewhere
+    And each node gets bulletins from 0 to 0 of "desk" and 11 to 19 of "ledger" elsewhere
 
   Scenario: News that many nodes of another data centre follow crosses to it once
     # Three data centres, each with fewer nodes of a service than are followed. Each change of pace
     # is told to dozens of nodes elsewhere, and what the data centres send each other is mostly that.
     Given a fleet of 3 data centres with 10 nodes of "desk" and 7 nodes of "ledger" in each
-    Then news of each node crosses to each other data centre once
-    And with what is passed on there it reaches those that follow the node, and nobody twice
+    Then a bulletin of each node is sent to each other data centre once
+    And with what the relays forward it reaches each recipient exactly once
 
   Scenario: In a small fleet everybody is told directly
     Given a fleet of 3 data centres with 3 nodes of "desk" and 1 nodes of "ledger" in each
-    Then no news is passed on
+    Then no bulletin is relayed
 
   Scenario: In a small fleet everybody follows everybody
     Given a fleet of 3 data centres with 3 nodes of "desk" and 1 nodes of "ledger" in each
-    Then each node follows everybody
+    Then each node gets the bulletins of all others
 
   Scenario: Where nobody is in time, a second try asks nobody
     # More comes than can be done. Each request that asked one full node after the other would take
--- a/features/policy_fakes.py
+++ b/features/policy_fakes.py
@@ -1,4 +1,4 @@
-"""What drives pure decisions: a clock that scenarios move, and randomness with a fixed seed."""
+"""Harnesses for selectors and admissions, with a manual clock and a fixed random seed."""
 
 import itertools
 import random
@@ -37,7 +37,7 @@
 
 
 class Ingress:
-    """One selector with its clock, and answers that say what a scenario needs."""
+    """A selector with its clock; answers carry the load that a scenario gives."""
 
     def __init__(self, members: list[Member], seed: int = 1) -> None:
         self.members = members
@@ -46,7 +46,7 @@
         self.sequence = itertools.count(1)
 
     def answer(self, node: str, elapsed_ms: float = 20.0, ok: bool = True, **load: Any) -> None:
-        """Send a request to ``node`` and let it be answered ``elapsed_ms`` later."""
+        """Send a request to ``node`` and answer it ``elapsed_ms`` later."""
         self.selector.sent(node, self.now)
         self.now += elapsed_ms / 1000
         self.hear(node, elapsed_ms, ok, **load)
@@ -65,7 +65,7 @@
         return Counter({node: times / count for node, times in chosen.items()})
 
     def traffic(self, seconds: float, profile: CallProfile = LOOKUP) -> Counter[str | None]:
-        """Send 100 requests a second, each answered well after 20 ms; return where they went."""
+        """Send 100 requests a second, each answered after 20 ms; count them by node."""
         seen: Counter[str | None] = Counter()
         for _ in range(int(seconds * 100)):
             node = self.selector.choose(profile, self.now)
@@ -80,7 +80,7 @@
 
 
 class Serving:
-    """One admission with its clock, and what was offered to it."""
+    """An admission with its clock and the requests offered to it."""
 
     def __init__(self, admission: Admission) -> None:
         self.admission = admission
@@ -125,7 +125,7 @@
         self.finish_oldest(took_ms, succeeded)
 
     def saturate(self, took_ms: Callable[[int], float], count: int) -> None:
-        """Keep the server full for ``count`` completions."""
+        """Keep the server full until ``count`` requests have completed."""
         for _ in range(count):
             while self.offer("second-attempt", 100_000).verdict is Verdict.START:
                 pass
--- a/features/steps/bulletin_recipients_steps.py
+++ b/features/steps/bulletin_recipients_steps.py
@@ -1,4 +1,4 @@
-"""Steps on who is told of a change of a server's pace."""
+"""Steps for the recipients of bulletins on a change of a server's speed."""
 
 import random
 from collections import Counter
@@ -29,16 +29,20 @@
 
 
 def pairs(members: list[Member]) -> list[tuple[Member, Member]]:
-    """Return each teller with each of its readers."""
-    return [(own, reader) for own in members for reader in bulletin_recipients(own, members)]
+    """Return each sender with each of its recipients."""
+    return [
+        (sender, recipient)
+        for sender in members
+        for recipient in bulletin_recipients(sender, members)
+    ]
 
 
-def followed(context: Any, service: str, *, near: bool) -> list[int]:
-    """Return for each node how many nodes of a service it follows, itself counted as one."""
+def sender_counts(context: Any, service: str, *, near: bool) -> list[int]:
+    """Return for each node how many senders of a service it has, itself counted as one."""
     counts = Counter(
-        reader.node
-        for own, reader in pairs(context.members)
-        if own.service == service and (own.data_centre == reader.data_centre) is near
+        recipient.node
+        for sender, recipient in pairs(context.members)
+        if sender.service == service and (sender.data_centre == recipient.data_centre) is near
     )
     for member in context.members:
         counts[member.node] += near and member.service == service
@@ -46,39 +50,44 @@
 
 
 @then(
-    'each node follows {least:d} to {most:d} of "desk" and all of "ledger" in its own data centre'
+    'each node gets bulletins from {least:d} to {most:d} of "desk" '
+    'and all of "ledger" in its own data centre'
 )
-def follows_near(context: Any, least: int, most: int) -> None:
-    desks, ledgers = followed(context, "desk", near=True), followed(context, "ledger", near=True)
+def near_senders(context: Any, least: int, most: int) -> None:
+    desks, ledgers = sender_counts(context, "desk", near=True), sender_counts(
+        context, "ledger", near=True
+    )
     assert least <= min(desks) and max(desks) <= most, sorted(desks)
     assert set(ledgers) == {5}, sorted(ledgers)
 
 
 @then(
-    'each node follows {least:d} to {most:d} of "desk" '
+    'each node gets bulletins from {least:d} to {most:d} of "desk" '
     'and {few:d} to {many:d} of "ledger" elsewhere'
 )
-def follows_far(context: Any, least: int, most: int, few: int, many: int) -> None:
-    desks, ledgers = followed(context, "desk", near=False), followed(context, "ledger", near=False)
+def far_senders(context: Any, least: int, most: int, few: int, many: int) -> None:
+    desks, ledgers = sender_counts(context, "desk", near=False), sender_counts(
+        context, "ledger", near=False
+    )
     assert least <= min(desks) and max(desks) <= most, sorted(desks)
     assert few <= min(ledgers) and max(ledgers) <= many, sorted(ledgers)
 
 
-@then("nobody is told by more than {most:d} nodes")
-def told_by(context: Any, most: int) -> None:
-    counts = Counter(reader.node for _, reader in pairs(context.members))
+@then("no node gets bulletins from more than {most:d} nodes")
+def sender_limit(context: Any, most: int) -> None:
+    counts = Counter(recipient.node for _, recipient in pairs(context.members))
     assert max(counts.values()) <= most, counts.most_common(3)
 
 
 @when('a node of "desk" leaves')
 def node_leaves(context: Any) -> None:
-    context.before = {(own.node, reader.node) for own, reader in pairs(context.members)}
+    context.before = {(sender.node, recipient.node) for sender, recipient in pairs(context.members)}
     context.members = [each for each in context.members if each.node != "desk-b-3"]
 
 
-@then("{share:d} in {of:d} of all pairs of teller and reader stay as they were")
+@then("{share:d} in {of:d} of all pairs of sender and recipient stay as they were")
 def pairs_stay(context: Any, share: int, of: int) -> None:
-    after = {(own.node, reader.node) for own, reader in pairs(context.members)}
+    after = {(sender.node, recipient.node) for sender, recipient in pairs(context.members)}
     kept = len(after & context.before) / len(context.before)
     assert kept * of >= share, kept
 
@@ -87,7 +96,7 @@
     return BulletinRoutes(random.Random(own.node)).route(own, context.members)
 
 
-@then("news of each node crosses to each other data centre once")
+@then("a bulletin of each node is sent to each other data centre once")
 def crosses_once(context: Any) -> None:
     for own in context.members:
         found = route(context, own)
@@ -96,8 +105,8 @@
         assert set(crossed.values()) == {1} and len(crossed) == 2, crossed
 
 
-@then("with what is passed on there it reaches those that follow the node, and nobody twice")
-def reaches_all(context: Any) -> None:
+@then("with what the relays forward it reaches each recipient exactly once")
+def reaches_each_once(context: Any) -> None:
     for own in context.members:
         found = route(context, own)
         reached = Counter(each.node for each in (*found.recipients, *found.relays))
@@ -110,11 +119,11 @@
         assert set(reached.values()) == {1}, reached
 
 
-@then("no news is passed on")
-def nothing_passed_on(context: Any) -> None:
+@then("no bulletin is relayed")
+def nothing_relayed(context: Any) -> None:
     assert not any(route(context, own).relays for own in context.members)
 
 
-@then("each node follows everybody")
-def follows_everybody(context: Any) -> None:
+@then("each node gets the bulletins of all others")
+def all_senders(context: Any) -> None:
     assert len(pairs(context.members)) == len(context.members) * (len(context.members) - 1)
--- a/features/steps/interference_steps.py
+++ b/features/steps/interference_steps.py
@@ -168,7 +168,7 @@
             "nobody", None, 1.0, True, NOW, kind="k", work_ms=float(milliseconds)
         )
     for view in context.selector.views.values():
-        context.selector.work.setdefault("k", _work(milliseconds))
+        context.selector.work_times.setdefault("k", _work(milliseconds))
         assert view.report is not None
 
 
@@ -176,7 +176,7 @@
     from marjoramtide.policy.pace._work_times import WorkTimes
 
     work = WorkTimes()
-    work.learn(milliseconds)
+    work.add(milliseconds)
     return work
 
 
@@ -187,7 +187,7 @@
 
 @given('this node is not among those that "{node}" tells of its changes')
 def given_not_followed(context: Any, node: str) -> None:
-    context.selector.views[node].followed = False
+    context.selector.views[node].sends_bulletins = False
 
 
 @given('nothing was heard of "{node}" yet')
--- a/features/steps/selection_steps.py
+++ b/features/steps/selection_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the choice of a node."""
+"""Steps for the selection of a serving node."""
 
 import itertools
 from collections import Counter
@@ -145,7 +145,7 @@
         context.ingress.hear("n1", ms)
 
 
-@then("a second try with a budget of {share:g} waits for {ms:d} ms at least")
+@then("a hedge with a budget of {share:g} is delayed by at least {ms:d} ms")
 def step_hedge(context: Any, share: float, ms: int) -> None:
     assert RouteSettings().hedge_budget == share
     delay_ms = context.ingress.selector.hedge_delay_ms("n1", context.ingress.now)
@@ -232,16 +232,16 @@
     for tick in range(seconds * 100):
         late = seen[-20]
         near, far = context.near_ms(1 - late), context.far_ms(late)
-        seen.append(spill.push(near, far, 10.0, START + tick / 100))
+        seen.append(spill.update(near, far, 10.0, START + tick / 100))
     context.seen = seen
 
 
-@then("the share that leaves moves by less than {most:g} in the last 10 s")
+@then("the share of requests that leave varies by less than {most:g} in the last 10 s")
 def step_steady(context: Any, most: float) -> None:
     last = context.seen[-1000:]
     assert max(last) - min(last) < most, (min(last), max(last))
 
 
-@then("what leaves is between {low:g} and {high:g}")
+@then("the share of requests that leave is between {low:g} and {high:g}")
 def step_leaves(context: Any, low: float, high: float) -> None:
     assert low <= context.seen[-1] <= high, context.seen[-1]
--- a/features/steps/server_reports_steps.py
+++ b/features/steps/server_reports_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what other nodes hold of a server that has started again."""
+"""Steps for what other nodes know of a server that has restarted."""
 
 import random
 from typing import Any
@@ -10,14 +10,14 @@
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.peers import report_fields, unpack_report
 from marjoramtide.policy import make_selector
-from marjoramtide.policy.placing._node_view import BELIEVED_S
+from marjoramtide.policy.placing._node_view import MIN_HALF_LIFE_S
 from marjoramtide.settings import RouteSettings
 
 NOW = 100.0
 FAILURES = 20
-TOOK_MS = 900.0
-# The report of the version before, which knew no starts.
-FIELDS_BEFORE = (
+LATENCY_MS = 900.0
+# The fields of the previous version's report, which had no incarnation.
+PREVIOUS_FIELDS = (
     "in_use",
     "limit",
     "queued_urgent",
@@ -32,7 +32,7 @@
     "period_ms",
     "usual_slowdown",
 )
-ReportBefore = attrs.make_class("ReportBefore", list(FIELDS_BEFORE))
+PreviousReport = attrs.make_class("PreviousReport", list(PREVIOUS_FIELDS))
 
 
 def member(number: int) -> Member:
@@ -49,12 +49,12 @@
     settings = RouteSettings(service="s", selector="forecast")
     context.selector = make_selector(settings, member(0), random.Random(1))
     context.selector.update_members([member(number) for number in range(4)], NOW)
-    failing = report(7, success_rate=0.1, service_time_ms=TOOK_MS)
+    failing = report(7, success_rate=0.1, service_time_ms=LATENCY_MS)
     for number in range(count):
         now = NOW + number / 100
         for node in ("n0", "n2", "n3"):
             context.selector.answered(node, None, 10.0, True, now)
-        context.selector.answered("n1", failing, TOOK_MS, False, now)
+        context.selector.answered("n1", failing, LATENCY_MS, False, now)
     context.view = context.selector.views["n1"]
     assert context.view.ejected and context.view.success_rate(NOW + 0.2) < 0.5
 
@@ -74,7 +74,7 @@
     view = context.view
     assert not view.ejected and view.ejections == 0
     assert view.success_rate(NOW + 1) == 1.0
-    assert view.elapsed.value == 0.0 and view.believed_s == BELIEVED_S
+    assert view.latency_ms.value == 0.0 and view.half_life_s == MIN_HALF_LIFE_S
 
 
 @then("the report of the next start is believed")
@@ -89,14 +89,14 @@
 
 @then("a node of the version before reads both, and takes the later one for newer")
 def then_read_before(context: Any) -> None:
-    before, after = (ReportBefore(*report_fields(each)) for each in context.reports)
+    before, after = (PreviousReport(*report_fields(each)) for each in context.reports)
     assert before.sequence < after.sequence < 1 << 63
     assert (after.limit, after.slowdown) == (8, 2.0)
 
 
 @then("what a node of the version before reports is of the first start")
 def then_first_start(context: Any) -> None:
-    fields = attrs.astuple(ReportBefore(1, 8, 0, 0, 5.0, 1.0, True, 9.0, 77, 1.0, -1.0, 0.0, 1.0))
+    fields = attrs.astuple(PreviousReport(1, 8, 0, 0, 5.0, 1.0, True, 9.0, 77, 1.0, -1.0, 0.0, 1.0))
     read = unpack_report(list(fields))
     assert read is not None and (read.incarnation, read.sequence) == (0, 77), read
 
--- a/src/marjoramtide/policy/pace/_work_times.py
+++ b/src/marjoramtide/policy/pace/_work_times.py
@@ -19,8 +19,8 @@
     mean: Ewma = attrs.Factory(lambda: Ewma(0.05, 0.05))
     deviation: Ewma = attrs.Factory(lambda: Ewma(0.05, 0.05))
 
-    def learn(self, work_ms: float) -> None:
-        """Take in one execution."""
+    def add(self, work_ms: float) -> None:
+        """Add the undisturbed time of one execution."""
         if self.mean.count:
             self.deviation.add(abs(work_ms - self.mean.value))
         self.mean.add(work_ms)
--- a/src/marjoramtide/policy/placing/__init__.py
+++ b/src/marjoramtide/policy/placing/__init__.py
@@ -1,7 +1,8 @@
-"""Which node should be asked to serve a request?
+"""Selection of the node that serves a request.
 
-Made for servers whose pace changes within tenths of a second, and of which every report is out of
-date when it is read. A wrong choice costs a refusal and a second try.
+The selectors are built for backend servers whose speed changes within tenths of a second, so that
+every load report is out of date by the time it is read. A wrong choice costs a rejection and a
+retry.
 """
 
 from marjoramtide.policy.placing._bulletin_readers import bulletin_recipients
--- a/src/marjoramtide/policy/placing/_bulletin_routes.py
+++ b/src/marjoramtide/policy/placing/_bulletin_routes.py
@@ -1,4 +1,4 @@
-"""By which nodes news of a backend server's speed reaches those that follow it."""
+"""Routing of bulletins on a backend server's speed to their recipients."""
 
 import random
 from collections import defaultdict
@@ -9,14 +9,14 @@
 from marjoramtide.membership import Member
 from marjoramtide.policy.placing._bulletin_readers import bulletin_recipients
 
-# So many readers in another data centre are told one by one: the loss of a relay costs more than
-# these datagrams.
-MOST_DIRECT = 4
+# Up to this many recipients in another data centre are sent to directly: losing a bulletin with a
+# failed relay costs more than these datagrams.
+MAX_DIRECT_RECIPIENTS = 4
 
 
 @attrs.frozen(slots=True)
 class BulletinRoute:
-    """To whom one piece of news goes: to ``recipients``, and to ``relays`` that pass it on."""
+    """The nodes that one bulletin is sent to; ``relays`` forward it within their data centre."""
 
     recipients: list[Member]
     relays: list[Member]
@@ -24,46 +24,45 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class BulletinRoutes:
-    """Has news cross to another data centre once, to one of its readers there, which passes it on.
+    """Sends a bulletin to another data centre once, to a recipient there that forwards it.
 
-    Failure without it: where no data centre has enough nodes of a service, each change is told to
-    dozens of nodes elsewhere. Among 70 nodes in three data centres that were two thirds of all that
-    these sent each other.
+    Without relays, dozens of remote nodes are notified of each change where no data centre has
+    enough nodes of a service: two thirds of all traffic among 70 nodes in three data centres.
 
-    The relay is drawn anew each time, so one that has ended without a word loses some news only.
-    Who reads whom is worked out once for as long as the members stay the same: ``members`` is the
-    directory's own list, which a change replaces.
+    The relay is drawn for each bulletin, so a relay that has crashed loses only some of them. The
+    recipients are cached for as long as the members stay the same: ``members`` is the directory's
+    own list, which is replaced on each change.
     """
 
     rng: random.Random
     members: Sequence[Member] = ()
-    readers: dict[str, dict[str, list[Member]]] = attrs.Factory(dict)
+    recipients: dict[str, dict[str, list[Member]]] = attrs.Factory(dict)
 
     def route(self, own: Member, members: Sequence[Member]) -> BulletinRoute:
-        """Return the way of news of the own backend server."""
+        """Return the route of a bulletin on the own backend server."""
         route = BulletinRoute([], [])
-        for centre, readers in self._readers(own, members).items():
-            if centre == own.data_centre or len(readers) <= MOST_DIRECT:
-                route.recipients.extend(readers)
+        for data_centre, recipients in self._recipients(own, members).items():
+            if data_centre == own.data_centre or len(recipients) <= MAX_DIRECT_RECIPIENTS:
+                route.recipients.extend(recipients)
             else:
-                route.relays.append(self.rng.choice(readers))
+                route.relays.append(self.rng.choice(recipients))
         return route
 
     def relay_recipients(
-        self, teller: Member, own: Member, members: Sequence[Member]
+        self, sender: Member, own: Member, members: Sequence[Member]
     ) -> list[Member]:
-        """Return to whom ``own`` passes news of ``teller`` on."""
-        readers = self._readers(teller, members).get(own.data_centre, [])
-        return [reader for reader in readers if reader.node != own.node]
+        """Return the members to which ``own`` forwards a bulletin of ``sender``."""
+        recipients = self._recipients(sender, members).get(own.data_centre, [])
+        return [recipient for recipient in recipients if recipient.node != own.node]
 
-    def _readers(self, teller: Member, members: Sequence[Member]) -> dict[str, list[Member]]:
-        """Return the readers of a teller by data centre."""
+    def _recipients(self, sender: Member, members: Sequence[Member]) -> dict[str, list[Member]]:
+        """Return the recipients of a sender by data centre."""
         if members is not self.members:
             self.members = members
-            self.readers.clear()
-        found = self.readers.get(teller.node)
+            self.recipients.clear()
+        found = self.recipients.get(sender.node)
         if found is None:
-            found = self.readers[teller.node] = defaultdict(list)
-            for reader in bulletin_recipients(teller, members):
-                found[reader.data_centre].append(reader)
+            found = self.recipients[sender.node] = defaultdict(list)
+            for recipient in bulletin_recipients(sender, members):
+                found[recipient.data_centre].append(recipient)
         return found
--- a/src/marjoramtide/policy/placing/_counting_selector.py
+++ b/src/marjoramtide/policy/placing/_counting_selector.py
@@ -1,4 +1,4 @@
-"""What the baseline policies share."""
+"""The base class of the baseline policies."""
 
 import random
 from collections.abc import Collection
@@ -10,15 +10,15 @@
 from marjoramtide.policy._call_profile import CallProfile
 from marjoramtide.policy.placing._selector import Selector
 
-RETRY_AFTER_MS = (50, 150)
+RETRY_AFTER_RANGE_MS = (50, 150)
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class CountingSelector(Selector):
-    """Keeps the members and how many requests of this node each has outstanding.
+    """Counts the requests of this node that are outstanding at each member.
 
-    Policies for comparison derive from it and differ in ``choose`` alone: they neither hedge nor
-    eject, as their published forms don't.
+    The policies that serve for comparison derive from this class and differ in ``choose`` only. As
+    in their published forms, they neither hedge nor eject.
     """
 
     rng: random.Random
@@ -29,7 +29,7 @@
         return list(self.outstanding)
 
     def candidates(self, excluded: Collection[str]) -> list[str]:
-        """Return the members that may be asked."""
+        """Return the members that may be chosen."""
         return [node for node in self.outstanding if node not in excluded]
 
     def update_members(self, members: Collection[Member], now: float) -> None:
@@ -51,7 +51,7 @@
         kind: str = "",
         work_ms: float = 0.0,
     ) -> None:
-        self.settled(node)
+        self.note_finished(node)
 
     def rejected(
         self,
@@ -62,7 +62,7 @@
         *,
         elapsed_ms: float | None = None,
     ) -> None:
-        self.settled(node)
+        self.note_finished(node)
 
     def lost(
         self,
@@ -72,13 +72,13 @@
         elapsed_ms: float | None = None,
         unreachable: bool = False,
     ) -> None:
-        self.settled(node)
+        self.note_finished(node)
 
     def cancelled(self, node: str, now: float, *, elapsed_ms: float | None = None) -> None:
-        self.settled(node)
+        self.note_finished(node)
 
-    def settled(self, node: str) -> None:
-        """Count one request less as outstanding."""
+    def note_finished(self, node: str) -> None:
+        """Decrement the count of outstanding requests."""
         if self.outstanding.get(node, 0) > 0:
             self.outstanding[node] -= 1
 
@@ -88,7 +88,7 @@
         return None
 
     def retry_after_ms(self, now: float) -> int:
-        return self.rng.randint(*RETRY_AFTER_MS)
+        return self.rng.randint(*RETRY_AFTER_RANGE_MS)
 
     def explain(self, now: float) -> list[dict[str, object]]:
         return [{"node": node, "outstanding": count} for node, count in self.outstanding.items()]
--- a/src/marjoramtide/policy/placing/_factories.py
+++ b/src/marjoramtide/policy/placing/_factories.py
@@ -1,4 +1,4 @@
-"""Builds the selector that the settings name."""
+"""Construction of the selector that the settings name."""
 
 import random
 from collections.abc import Callable
@@ -25,28 +25,28 @@
     "two-choices": TwoChoices,
     "polled-reports": PolledReports,
 }
-FORECASTS: dict[str, type[PredictedSelector]] = {
+PREDICTORS: dict[str, type[PredictedSelector]] = {
     "predicted": PredictedSelector,
     "forecast": ForecastSelector,
 }
-SELECTORS = (*FORECASTS, *BASELINES)
+SELECTORS = (*PREDICTORS, *BASELINES)
 
 
 def make_selector(settings: RouteSettings, self_member: Member, rng: random.Random) -> Selector:
-    """Build the selector that ``settings.selector`` names, for one service on one ingress node.
+    """Return the selector that ``settings.selector`` names, for one service on one ingress node.
 
-    Raises ``bad-settings`` for a name that isn't one of ``SELECTORS``.
+    Raises ``bad-settings`` if the name isn't one of ``SELECTORS``.
     """
     if settings.selector in BASELINES:
         return BASELINES[settings.selector](rng)
-    if settings.selector not in FORECASTS:
+    if settings.selector not in PREDICTORS:
         raise unknown_policy_error("selector", settings.selector, SELECTORS, "policy.make_selector")
     ejection = OutlierEjection(settings.ejection_cap)
-    # Failure: hedges begin at a quantile that more requests reach than the budget pays for. It is
-    # spent on those that come first, and the ones that hang find it empty. At the quantile that
-    # just as many reach, the slowest get their second try.
+    # If more requests reach the quantile than the hedge budget covers, the budget is spent on the
+    # first ones, and requests that hang find it empty. At the quantile that matches the budget,
+    # the slowest requests are hedged.
     hedge_quantile = max(settings.hedge_quantile, 1 - settings.hedge_budget)
-    return FORECASTS[settings.selector](
+    return PREDICTORS[settings.selector](
         self_member=self_member,
         rng=rng,
         model=CompletionModel(settings.slots, settings.urgent_slots, settings.slow_start_s),
--- a/src/marjoramtide/policy/placing/_least_outstanding.py
+++ b/src/marjoramtide/policy/placing/_least_outstanding.py
@@ -1,4 +1,4 @@
-"""The member with the fewest own requests outstanding."""
+"""Selection by the fewest outstanding requests."""
 
 from collections.abc import Collection
 
@@ -10,7 +10,7 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class LeastOutstanding(CountingSelector):
-    """Asks the member that owes this node the fewest answers; ties are drawn at random."""
+    """Chooses the member with the fewest outstanding requests; ties are broken at random."""
 
     def choose(
         self, profile: CallProfile, now: float, excluded: Collection[str] = ()
--- a/src/marjoramtide/policy/placing/_polled_reports.py
+++ b/src/marjoramtide/policy/placing/_polled_reports.py
@@ -1,4 +1,4 @@
-"""Classic polling of load reports."""
+"""Selection by periodically polled load reports."""
 
 from collections.abc import Collection
 
@@ -11,15 +11,15 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class PolledReports(CountingSelector):
-    """Asks the member whose last polled report shows the least load, whatever happened since.
+    """Chooses the member with the least load in its last polled report, whatever happened since.
 
-    The view is renewed every ``period_ms`` from the reports that arrived in between; a member from
-    which none arrived counts as idle, as a poll of an unused server would show.
+    ``polled_loads`` is replaced every ``period_ms`` by the reports that arrived in between. A
+    member without a new report counts as idle, as a poll of an unused server would show.
     """
 
     period_ms: float = 100.0
-    view: dict[str, float] = attrs.Factory(dict)
-    arriving: dict[str, float] = attrs.Factory(dict)
+    polled_loads: dict[str, float] = attrs.Factory(dict)
+    new_loads: dict[str, float] = attrs.Factory(dict)
     polled_at: float = float("-inf")
 
     def choose(
@@ -29,8 +29,10 @@
         candidates = self.candidates(excluded)
         if not candidates:
             return None
-        least = min(self.view.get(node, 0.0) for node in candidates)
-        return self.rng.choice([node for node in candidates if self.view.get(node, 0.0) == least])
+        lowest = min(self.polled_loads.get(node, 0.0) for node in candidates)
+        return self.rng.choice(
+            [node for node in candidates if self.polled_loads.get(node, 0.0) == lowest]
+        )
 
     def answered(
         self,
@@ -44,7 +46,7 @@
         kind: str = "",
         work_ms: float = 0.0,
     ) -> None:
-        self.settled(node)
+        self.note_finished(node)
         self._receive(node, report)
 
     def rejected(
@@ -56,13 +58,13 @@
         *,
         elapsed_ms: float | None = None,
     ) -> None:
-        self.settled(node)
+        self.note_finished(node)
         self._receive(node, report)
 
     def _receive(self, node: str, report: LoadReport | None) -> None:
         if report is not None:
-            self.arriving[node] = report.load
+            self.new_loads[node] = report.load
 
     def _poll(self, now: float) -> None:
         if (now - self.polled_at) * 1000 >= self.period_ms:
-            self.view, self.arriving, self.polled_at = self.arriving, {}, now
+            self.polled_loads, self.new_loads, self.polled_at = self.new_loads, {}, now
--- a/src/marjoramtide/policy/placing/_random_choice.py
+++ b/src/marjoramtide/policy/placing/_random_choice.py
@@ -1,4 +1,4 @@
-"""Any member, with equal chances."""
+"""Random selection."""
 
 from collections.abc import Collection
 
@@ -10,7 +10,7 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class RandomChoice(CountingSelector):
-    """Asks a member drawn at random."""
+    """Chooses a member uniformly at random."""
 
     def choose(
         self, profile: CallProfile, now: float, excluded: Collection[str] = ()
--- a/src/marjoramtide/policy/placing/_recent_latency.py
+++ b/src/marjoramtide/policy/placing/_recent_latency.py
@@ -1,18 +1,18 @@
-"""Quantiles of the latencies seen most recently."""
+"""Quantiles of the most recent latencies."""
 
 import attrs
 
-WINDOW = 256
-ENOUGH = 20
-SORT_EVERY = 16
+WINDOW_SIZE = 256
+MIN_SAMPLES = 20
+SORT_INTERVAL = 16
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class RecentLatency:
-    """The last few hundred latencies in milliseconds, sorted anew every ``SORT_EVERY`` samples.
+    """The last ``WINDOW_SIZE`` latencies in milliseconds, sorted every ``SORT_INTERVAL`` samples.
 
     Sorting rarely keeps the cost of a sample near one microsecond; a quantile is then at most
-    ``SORT_EVERY`` samples old. ``median`` is known from the first sample on.
+    ``SORT_INTERVAL`` samples old. ``median`` is available from the first sample on.
     """
 
     samples: list[float] = attrs.Factory(list)
@@ -21,18 +21,21 @@
     median: float | None = None
 
     def add(self, latency_ms: float) -> None:
-        """Take in one latency, in place of the oldest where the window is full."""
-        if len(self.samples) < WINDOW:
+        """Add a latency; it replaces the oldest one when the window is full."""
+        if len(self.samples) < WINDOW_SIZE:
             self.samples.append(latency_ms)
         else:
-            self.samples[self.position % WINDOW] = latency_ms
+            self.samples[self.position % WINDOW_SIZE] = latency_ms
         self.position += 1
-        if self.position % SORT_EVERY == 0 or len(self.samples) <= SORT_EVERY:
+        if self.position % SORT_INTERVAL == 0 or len(self.samples) <= SORT_INTERVAL:
             self.ordered = sorted(self.samples)
             self.median = self.ordered[len(self.ordered) // 2]
 
     def quantile(self, share: float) -> float | None:
-        """Return the latency that ``share`` of the samples don't exceed, if there are enough."""
-        if len(self.samples) < ENOUGH:
+        """Return the latency that ``share`` of the samples don't exceed.
+
+        The result is ``None`` while there are fewer than ``MIN_SAMPLES``.
+        """
+        if len(self.samples) < MIN_SAMPLES:
             return None
         return self.ordered[min(len(self.ordered) - 1, int(share * len(self.ordered)))]
--- a/src/marjoramtide/policy/placing/_round_robin.py
+++ b/src/marjoramtide/policy/placing/_round_robin.py
@@ -1,4 +1,4 @@
-"""Each member in turn."""
+"""Round-robin selection."""
 
 from collections.abc import Collection
 
@@ -10,7 +10,7 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class RoundRobin(CountingSelector):
-    """Asks the members in turn, starting at a random one."""
+    """Chooses the members in turn, starting at a random one."""
 
     position: int = attrs.field(init=False)
 
--- a/src/marjoramtide/policy/placing/_selector.py
+++ b/src/marjoramtide/policy/placing/_selector.py
@@ -1,4 +1,4 @@
-"""The interface of every policy that chooses a backend server."""
+"""The interface of the selection policies."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Collection
@@ -9,25 +9,25 @@
 
 
 class Selector(ABC):
-    """Chooses among the members of one service, and learns from what became of each request.
+    """Chooses among the members of one service, and learns from the outcome of each request.
 
-    One instance serves one service on one ingress node. ``now`` is in seconds of the monotonic
-    clock; times are in milliseconds. Members are told by ``update_members`` whenever they change.
+    There is one selector for each service on each ingress node. ``now`` is in seconds of the
+    monotonic clock. ``update_members`` is called whenever the members change.
     """
 
     @abstractmethod
     def update_members(self, members: Collection[Member], now: float) -> None:
-        """Take the members that may take work, in place of the earlier ones."""
+        """Replace the members that may be sent requests."""
 
     @abstractmethod
     def choose(
         self, profile: CallProfile, now: float, excluded: Collection[str] = ()
     ) -> str | None:
-        """Return the identity of the node to ask, or ``None`` where none is left."""
+        """Return the identity of the node to send to, or ``None`` if there is none."""
 
     @abstractmethod
     def sent(self, node: str, now: float) -> None:
-        """Note a request sent to ``node``."""
+        """Record that a request was sent to ``node``."""
 
     @abstractmethod
     def answered(
@@ -42,12 +42,12 @@
         kind: str = "",
         work_ms: float = 0.0,
     ) -> None:
-        """Note an answer; ``succeeded`` is false for an error of the backend server.
+        """Record an answer; ``succeeded`` is false for an error of the backend server.
 
         ``elapsed_ms`` counts from ``sent``; ``served_ms`` is the part of it that the request spent
-        at the serving node, where that is known, so that the rest is the network's. ``work_ms`` is
-        how long the backend server would have taken undisturbed, 0 where that isn't known, and
-        ``kind`` that of the request's profile.
+        at the serving node, ``None`` if unknown; the rest is network time. ``work_ms`` is how long
+        the backend server would have taken without interference by its neighbours, 0 if unknown,
+        and ``kind`` is that of the request's profile.
         """
 
     @abstractmethod
@@ -60,7 +60,7 @@
         *,
         elapsed_ms: float | None = None,
     ) -> None:
-        """Note a refusal by the serving node: the request did not run there."""
+        """Record a rejection by the serving node: the request did not run there."""
 
     @abstractmethod
     def lost(
@@ -71,34 +71,34 @@
         elapsed_ms: float | None = None,
         unreachable: bool = False,
     ) -> None:
-        """Note that nothing will come back: the connection broke, or could not be made at all."""
+        """Record that no answer will arrive: the connection failed or could not be opened."""
 
     @abstractmethod
     def cancelled(self, node: str, now: float, *, elapsed_ms: float | None = None) -> None:
-        """Note that this node gave a request up itself.
+        """Record that this node cancelled a request itself.
 
-        The caller left, the deadline passed, or another try answered first. It says that the
-        answer takes longer than ``elapsed_ms``, and nothing of success.
+        The caller disconnected, the deadline passed, or another attempt was answered first. This
+        shows that the answer takes longer than ``elapsed_ms``, and nothing about success.
         """
 
     @abstractmethod
     def hedge_delay_ms(
         self, node: str, now: float, profile: CallProfile | None = None
     ) -> float | None:
-        """Return after how long a second try of an idempotent request pays, or ``None``."""
+        """Return the delay before a hedged attempt of an idempotent request, or ``None``."""
 
     @abstractmethod
     def retry_after_ms(self, now: float) -> int:
-        """Return when a refused caller should come back, spread over callers."""
+        """Return the delay that a rejected caller is given, spread over the callers."""
 
     def reported(self, node: str, report: LoadReport, now: float) -> None:
-        """Take in a load report that came beside any request."""
+        """Record a load report that arrived in a bulletin, not with an answer."""
         return None
 
     def node_snapshot(self, node: str, now: float) -> dict[str, object]:
-        """Return, for the log, what the choice of a node rests on."""
+        """Return what is known of a node, for the log of a decision."""
         return {}
 
     def explain(self, now: float) -> list[dict[str, object]]:
-        """Return, for operators, what is believed of each member and how it scores."""
+        """Return, for operators, what is known of each member and its score."""
         return []
--- a/src/marjoramtide/policy/placing/_smooth_split.py
+++ b/src/marjoramtide/policy/placing/_smooth_split.py
@@ -1,4 +1,4 @@
-"""Sharing requests out by weight."""
+"""Weighted distribution of requests."""
 
 import random
 from collections.abc import Sequence
@@ -8,13 +8,13 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class SmoothSplit:
-    """Draws parts so that each gets its share of any run of requests, not only of very long ones.
+    """Smooth weighted round robin, which keeps to the weights in short runs of requests too.
 
-    Smooth weighted round robin, as proxies commonly use it: each draw adds every weight to its
-    part's credit and takes the sum from the part with the most. After as many draws as the weights
-    add up to, each part has exactly its share, where random draws of 1 in 10 are off by a third
-    over a hundred requests. Nodes begin at different places of the round, so that a quiet fleet
-    does not send all its first requests to the heaviest part.
+    Each draw adds every weight to its part's credit and subtracts the sum of the weights from the
+    part with the most credit. After as many draws as the weights add up to, each part has exactly
+    its share, while random draws of 1 in 10 are off by a third over a hundred requests. Nodes start
+    at different positions of the cycle, so that at a low rate they don't all send their first
+    requests to the part with the largest weight.
     """
 
     parts: Sequence[tuple[str, int]]
@@ -36,7 +36,7 @@
 def make_smooth_split(
     parts: Sequence[tuple[str, int]], rng: random.Random | None = None
 ) -> SmoothSplit:
-    """Return a split that begins at a random place of its round, or at its start without ``rng``.
+    """Return a split at a random position of its cycle, or at the start without ``rng``.
 
     For example, ``make_smooth_split([("a", 3), ("b", 1)])`` draws a, a, b, a.
     """
--- a/src/marjoramtide/policy/placing/_two_choices.py
+++ b/src/marjoramtide/policy/placing/_two_choices.py
@@ -1,4 +1,4 @@
-"""The power of two choices."""
+"""Selection by the power of two choices."""
 
 from collections.abc import Collection
 
@@ -10,7 +10,10 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class TwoChoices(CountingSelector):
-    """Draws two members at random and asks the one that owes fewer answers (Mitzenmacher, 2001)."""
+    """Chooses the less loaded of two random members (Mitzenmacher, 2001).
+
+    The load of a member is its number of outstanding requests.
+    """
 
     def choose(
         self, profile: CallProfile, now: float, excluded: Collection[str] = ()
