--- a/features/policy/selection.feature
+++ b/features/policy/selection.feature
@@ -17,7 +17,7 @@
     Then 0 serving nodes are ejected
     And between 0% and 5% of 500 next routine choices fall on "n1"
 
-  Scenario: Many ingress nodes don't run after one report of an idle server
+  Scenario: Ingress nodes don't herd to one server that reports that it is idle
     # One server reports that it is idle while the others are nearly full. If all 40 ingress nodes
     # send their next request there at the same moment, callers see a burst of rejections.
     Given 40 predicting ingress nodes heard that "n1" is idle and 9 others are nearly full
--- a/features/steps/interference_steps.py
+++ b/features/steps/interference_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the decisions that go by a server's slowdown."""
+"""Steps for the decisions that depend on a server's slowdown."""
 
 import heapq
 import random
@@ -26,13 +26,13 @@
 PERIOD_S = 1 / 3
 SLOW_SHARE = 0.25
 NOW = 100.0
-LOOK_S = 0.001
+READ_INTERVAL_S = 0.001
 COLD_SLOWDOWN = 2.0
 COLD_SEEN_S = 1.65
 
 
 class Neighbours:
-    """A server that is four times slower in a quarter of its stretches."""
+    """A server that is four times slower in a quarter of its intervals."""
 
     def __init__(self, *, regular: bool) -> None:
         self.rng = random.Random(7)
@@ -47,17 +47,17 @@
         return self.slowdown
 
 
-@given("a server whose neighbours come and go at every third of a second, seen 40 times a second")
+@given("a server whose slowdown changes at every third of a second, read 40 times a second")
 def given_regular(context: Any) -> None:
     context.neighbours = Neighbours(regular=True)
 
 
-@given("a server whose neighbours come and go at any time, seen 40 times a second")
+@given("a server whose slowdown changes at any time, read 40 times a second")
 def given_irregular(context: Any) -> None:
     context.neighbours = Neighbours(regular=False)
 
 
-@given("looks at it are up to {milliseconds:d} ms late")
+@given("reads of it are up to {milliseconds:d} ms late")
 def given_late(context: Any, milliseconds: int) -> None:
     rng = random.Random(11)
     context.lateness = lambda: rng.uniform(0, milliseconds / 1000)
@@ -67,24 +67,24 @@
 def when_passed(context: Any, seconds: int) -> None:
     context.interference = Interference()
     context.now = 0.0
-    context.said, context.broken, context.lost = 0, 0, 0
-    context.looks = look(context, float(seconds))
+    context.predictions, context.wrong, context.discarded = 0, 0, 0
+    context.reads = read_until(context, float(seconds))
 
 
-@then("the times of its changes were lost at most once")
+@then("the grid of its changes was discarded at most once")
 def then_kept(context: Any) -> None:
     assert context.interference.grid is not None
-    assert context.lost <= 1, context.lost
+    assert context.discarded <= 1, context.discarded
 
 
-@then("it was looked at fewer than {count:d} times a second")
+@then("it was read fewer than {count:d} times a second")
 def then_few(context: Any, count: int) -> None:
-    assert context.looks < context.now * count, context.looks / context.now
+    assert context.reads < context.now * count, context.reads / context.now
 
 
-def look(context: Any, until: float) -> int:
-    """Look at the server when it is worth most; return how often."""
-    looks = 0
+def read_until(context: Any, until: float) -> int:
+    """Read the slowdown at the preferred times; return how often."""
+    reads = 0
     seen = context.interference
     lateness = getattr(context, "lateness", lambda: 0.0)
     while context.now < until:
@@ -93,11 +93,11 @@
         context.now = max(context.now + 0.002, seen.preferred_read_at(context.now)) + lateness()
         had_grid = seen.grid is not None
         changed = seen.observe(context.neighbours.at(context.now), context.now)
-        context.said += 1
-        context.broken += changed and context.now < held_until and before != seen.slowdown
-        context.lost += had_grid and seen.grid is None
-        looks += 1
-    return looks
+        context.predictions += 1
+        context.wrong += changed and context.now < held_until and before != seen.slowdown
+        context.discarded += had_grid and seen.grid is None
+        reads += 1
+    return reads
 
 
 @then("the next change is known to within {milliseconds:d} ms")
@@ -108,21 +108,21 @@
     assert abs(off - round(off)) * PERIOD_S * 1000 <= milliseconds, off
 
 
-@then("looks for the next {seconds:d} s are fewer than {count:d} a second")
-def looks_few(context: Any, seconds: int, count: int) -> None:
-    assert look(context, context.now + seconds) < seconds * count
+@then("reads for the next {seconds:d} s are fewer than {count:d} a second")
+def few_reads(context: Any, seconds: int, count: int) -> None:
+    assert read_until(context, context.now + seconds) < seconds * count
 
 
-@then("what was said to hold broke at most 1 time in {count:d}")
-def rarely_broken(context: Any, count: int) -> None:
-    assert context.broken * count <= context.said, (context.broken, context.said)
+@then("at most 1 in {count:d} predictions that the slowdown holds was wrong")
+def rarely_wrong(context: Any, count: int) -> None:
+    assert context.wrong * count <= context.predictions, (context.wrong, context.predictions)
 
 
 @given("a server that was {factor:d} times slower from {begin:f} s to {end:f} s")
-def given_stretch(context: Any, factor: int, begin: float, end: float) -> None:
+def given_slow_interval(context: Any, factor: int, begin: float, end: float) -> None:
     context.interference = Interference()
-    for step in range(round((end + 1) / LOOK_S)):
-        now = step * LOOK_S
+    for step in range(round((end + 1) / READ_INTERVAL_S)):
+        now = step * READ_INTERVAL_S
         slowed = begin <= now < end
         context.interference.observe(factor if slowed else 1.0, now)
 
@@ -133,7 +133,7 @@
     assert abs(counted - milliseconds) < 2, counted
 
 
-@given("nodes that tell their speed")
+@given("nodes that report their slowdown")
 def given_nodes(context: Any) -> None:
     rows = list(context.table)
     members = [
@@ -185,13 +185,13 @@
     return CallProfile(False, False, goal + 0.5, attempt, "k", goal)
 
 
-@given('this node is not among those that "{node}" tells of its changes')
-def given_not_followed(context: Any, node: str) -> None:
+@given('this node gets no bulletins from "{node}"')
+def given_no_bulletins(context: Any, node: str) -> None:
     context.selector.views[node].sends_bulletins = False
 
 
-@given('nothing was heard of "{node}" yet')
-def given_unheard(context: Any, node: str) -> None:
+@given('there is no report of "{node}" yet')
+def given_no_report(context: Any, node: str) -> None:
     context.selector.views[node].report = None
 
 
@@ -212,13 +212,13 @@
     assert context.places.count(node) == count, context.places
 
 
-@then("a first try with {left_ms:d} ms left asks one of them")
-def asks_one(context: Any, left_ms: int) -> None:
+@then("a first attempt with {left_ms:d} ms left is sent to one of them")
+def sent_to_one(context: Any, left_ms: int) -> None:
     assert context.selector.choose(profile(left_ms), NOW) is not None
 
 
-@then("a second try with {left_ms:d} ms left asks none")
-def asks_none(context: Any, left_ms: int) -> None:
+@then("a second attempt with {left_ms:d} ms left is sent to none")
+def sent_to_none(context: Any, left_ms: int) -> None:
     assert context.selector.choose(profile(left_ms, 2), NOW) is None
 
 
@@ -228,8 +228,8 @@
     context.duration_ms = lambda running: 100.0 * (factor if running > knee else 1.0)
 
 
-@when("it is driven with all slots that it is given")
-def when_driven(context: Any) -> None:
+@when("it is loaded up to its limit")
+def when_loaded(context: Any) -> None:
     rng = random.Random(5)
     for _ in range(200):
         running = rng.randint(max(1, context.limiter.limit - 4), context.limiter.limit)
@@ -253,15 +253,15 @@
 
 
 @given(
-    "its neighbours slow it down {times:d} times in a third of its stretches of {stretch_ms:d} ms"
+    "its neighbours slow it down {times:d} times in a third of its intervals of {interval_ms:d} ms"
 )
-def given_neighbours(context: Any, times: int, stretch_ms: int) -> None:
-    context.times, context.stretch_s = float(times), stretch_ms / 1000
+def given_neighbours(context: Any, times: int, interval_ms: int) -> None:
+    context.times, context.interval_s = float(times), interval_ms / 1000
 
 
-@when("{per_s:d} a second come for {seconds:d} s")
+@when("{per_s:d} requests a second arrive for {seconds:d} s")
 def when_load(context: Any, per_s: int, seconds: int) -> None:
-    """Play the load: arrivals, ends, changes of pace and expiries in the order of their times."""
+    """Simulate arrivals, ends, changes of the slowdown and expiries in order of time."""
     admission, rng = context.admission, random.Random(11)
     arrived: dict[int, float] = {}
     slowed: dict[int, float] = {}
@@ -272,9 +272,9 @@
     for ticket in range(1, per_s * seconds + 1):
         at += rng.expovariate(per_s)
         events.append((at, "arrives", ticket))
-    if "stretch_s" in context:
-        count = int(seconds / context.stretch_s)
-        events += [(number * context.stretch_s, "changes", 0) for number in range(count)]
+    if "interval_s" in context:
+        count = int(seconds / context.interval_s)
+        events += [(number * context.interval_s, "changes", 0) for number in range(count)]
     heapq.heapify(events)
 
     def start(tickets: list[int], now: float) -> None:
@@ -300,7 +300,7 @@
         else:
             pace = context.times if rng.random() < 1 / 3 else 1.0
             mean = 1 + (context.times - 1) / 3
-            admission.set_pace(Pace(pace, now + context.stretch_s, mean))
+            admission.set_pace(Pace(pace, now + context.interval_s, mean))
             start(admission.resume(now), now)
         due = admission.next_expiry()
         if due is not None and (not events or due <= events[0][0]):
@@ -315,8 +315,8 @@
     assert good * 100 >= share * context.asked, (good, context.asked)
 
 
-@given("an admission that knows requests of {run_ms:d} ms, quick until a moment ago")
-def given_blind(context: Any, run_ms: int) -> None:
+@given("an admission that knows requests of {run_ms:d} ms, fast until a moment ago")
+def given_fast(context: Any, run_ms: int) -> None:
     settings = RouteSettings(service="s", slots=8, limiter="fixed", urgent_slots=0)
     context.admission = make_admission(settings, NOW)
     known = CallProfile(False, True, NOW + 9, 1, "k", NOW + 9)
@@ -327,7 +327,7 @@
 
 
 @when("a request comes {milliseconds:d} ms after the time of change")
-def when_comes_blind(context: Any, milliseconds: int) -> None:
+def when_comes_after(context: Any, milliseconds: int) -> None:
     context.now += milliseconds / 1000
     asked = CallProfile(False, True, context.now + 9, 1, "k", context.now + 9)
     context.verdict = context.admission.offer(2, asked, context.now).verdict
@@ -335,10 +335,10 @@
 
 @given("an admission that knows requests of {run_ms:d} ms, and a server that is cold")
 def given_cold(context: Any, run_ms: int) -> None:
-    given_blind(context, run_ms)
+    given_fast(context, run_ms)
     cold = Interference()
-    for number in range(round(COLD_SEEN_S / LOOK_S)):
-        cold.observe(COLD_SLOWDOWN, NOW + number * LOOK_S)
+    for number in range(round(COLD_SEEN_S / READ_INTERVAL_S)):
+        cold.observe(COLD_SLOWDOWN, NOW + number * READ_INTERVAL_S)
     cold.grid = ChangeGrid(NOW, 0.3, 0.001, 0.0001)
     context.now = NOW + COLD_SEEN_S
     context.admission.set_pace(cold.pace(context.now))
@@ -349,12 +349,12 @@
     "and a server that was found slowed {times:d} times"
 )
 def given_found_slowed(context: Any, run_ms: int, times: int) -> None:
-    given_blind(context, run_ms)
+    given_fast(context, run_ms)
     context.now = NOW + 2.0
     context.interference = Interference()
     context.interference.observe(float(times), context.now)
     context.admission.set_pace(context.interference.pace(context.now))
-    context.now += LOOK_S
+    context.now += READ_INTERVAL_S
 
 
 @given("an admission that knows nothing, and a server that was found slowed {times:d} times")
@@ -382,7 +382,7 @@
 
 @when("a request comes")
 def when_comes(context: Any) -> None:
-    when_comes_blind(context, 0)
+    when_comes_after(context, 0)
 
 
 @then("it starts at once")
@@ -396,13 +396,13 @@
     assert context.admission.resume(context.now) == []
 
 
-@when("a look tells that the server is quick")
-def when_look(context: Any) -> None:
+@when("a read shows that the server is fast")
+def when_read(context: Any) -> None:
     context.admission.set_pace(Pace(1.0, context.changed_at + 0.3, 2.0))
 
 
-@when("no look comes for {milliseconds:d} ms")
-def when_no_look(context: Any, milliseconds: int) -> None:
+@when("no read comes for {milliseconds:d} ms")
+def when_no_read(context: Any, milliseconds: int) -> None:
     due = context.admission.next_expiry()
     context.now = context.changed_at + milliseconds / 1000
     assert due is not None and due <= context.now, due
--- a/features/steps/pace_steps.py
+++ b/features/steps/pace_steps.py
@@ -1,4 +1,4 @@
-"""Steps for decisions by the pace of a server, in virtual time or without any."""
+"""Steps for decisions by the slowdown of a server, in virtual time or without any."""
 
 import random
 import statistics
@@ -24,7 +24,7 @@
 SEED = 3
 
 
-@given("6 servers whose neighbours slow them down 5 times in stretches of {ms:d} ms {grid}")
+@given("6 servers whose neighbours slow them down 5 times in intervals of {ms:d} ms {grid}")
 def given_neighbours(context: Any, ms: int, grid: str) -> None:
     neighbours = Neighbours(1 / 3, 5.0, ms / 1000, grid == "on a grid")
     context.service = ServicePlan("shop", (3, 3), slots=SLOTS, neighbours=neighbours)
@@ -38,7 +38,7 @@
     context.day = day
 
 
-@then("at least {share:g} in 100 are answered within the goal on the mean of {days:d} days")
+@then("at least {share:g} in 100 are answered within the goal on average of {days:d} days")
 def then_in_goal(context: Any, share: float, days: int) -> None:
     shares = [play(context.day, seed, {}).in_goal for seed in range(1, days + 1)]
     assert statistics.fmean(shares) * 100 >= share, shares
@@ -46,27 +46,27 @@
 
 @given("a server that was slow {count:d} times for {seconds:g} s")
 def given_slow_before(context: Any, count: int, seconds: float) -> None:
-    context.stretches = DurationHistory()
+    context.durations = DurationHistory()
     for _ in range(count):
-        context.stretches.note(seconds)
+        context.durations.add(seconds)
 
 
-def waits(context: Any, work_ms: float, elapsed_s: float) -> bool:
-    pace = Pace(5.0, None, 2.0, 1.0, NOW - elapsed_s, stretches=context.stretches)
+def should_wait(context: Any, work_ms: float, elapsed_s: float) -> bool:
+    pace = Pace(5.0, None, 2.0, 1.0, NOW - elapsed_s, slow_durations=context.durations)
     return pace.should_wait(work_ms, NOW)
 
 
 @then("a request of {work:d} ms waits there when it has been slow for {seconds:g} s")
 def then_waits(context: Any, work: int, seconds: float) -> None:
-    assert waits(context, work, seconds)
+    assert should_wait(context, work, seconds)
 
 
 @then("a request of {work:d} ms begins at once when it has been slow for {seconds:g} s")
 def then_begins(context: Any, work: int, seconds: float) -> None:
-    assert not waits(context, work, seconds)
+    assert not should_wait(context, work, seconds)
 
 
-@given("{count:d} paces and requests drawn at random, without known times of change")
+@given("{count:d} random slowdowns and requests, without known times of change")
 def given_drawn(context: Any, count: int) -> None:
     rng = random.Random(SEED)
     context.drawn = [
@@ -86,11 +86,11 @@
     def decisions(times: float) -> list[bool]:
         found = []
         for slowdown, best, elapsed_s, lengths, work_ms in context.drawn:
-            context.stretches = DurationHistory()
+            context.durations = DurationHistory()
             for length in lengths:
-                context.stretches.note(length * times)
+                context.durations.add(length * times)
             pace = Pace(
-                slowdown, None, 2.0, best, NOW - elapsed_s * times, stretches=context.stretches
+                slowdown, None, 2.0, best, NOW - elapsed_s * times, slow_durations=context.durations
             )
             found.append(pace.should_wait(work_ms * times, NOW))
         return found
@@ -106,25 +106,25 @@
     clock = context.clock = ManualClock()
     view = TreeSettingsView(Place(), Freshness(clock, FreezeDetector(clock)))
     tracer = Tracer("node", clock, random.Random(SEED))
-    # No claims are needed where nothing is sent.
+    # Nothing is sent, so no claims are needed.
     context.serving = ServingService("s", SilentTransport(), None, view, clock, Metrics(), tracer)
-    tell(context, 1.0, seconds)
+    report_slowdown(context, 1.0, seconds)
 
 
-@when("another start of the server takes its place and takes {times:d} times as long")
+@when("another process of the server replaces it and takes {times:d} times as long")
 def when_replaced(context: Any, times: int) -> None:
     context.serving.server_replaced()
-    tell(context, float(times), 1)
+    report_slowdown(context, float(times), 1)
 
 
-@then("what comes does not wait for its pace")
+@then("a request does not wait for a change of its speed")
 def then_no_wait(context: Any) -> None:
     pace = context.serving.interference.pace(context.clock.now)
     assert not pace.should_wait(1000.0, context.clock.now), pace
 
 
-def tell(context: Any, slowdown: float, seconds: int) -> None:
-    """Let the server tell of its pace ten times a second."""
+def report_slowdown(context: Any, slowdown: float, seconds: int) -> None:
+    """Report the server's slowdown ten times a second."""
     for _ in range(10 * seconds):
         context.clock.now += 0.1
         context.serving.note_load(ServerLoad(0, 0, SLOTS, slowdown))
--- a/src/marjoramtide/policy/pace/__init__.py
+++ b/src/marjoramtide/policy/pace/__init__.py
@@ -1,7 +1,7 @@
-"""How long does work take on this server at this moment, until when, and what is usual?
+"""The model of how much slower than usual a backend server runs, and for how long.
 
-Made for servers that share their instances: neighbours slow them down in stretches that are shorter
-or longer than a request.
+It is meant for servers that share their instances with others: neighbours slow them down for
+intervals that may be shorter or longer than a request.
 """
 
 from marjoramtide.policy.pace._interference import Interference
--- a/src/marjoramtide/policy/pace/_change_grid.py
+++ b/src/marjoramtide/policy/pace/_change_grid.py
@@ -1,4 +1,4 @@
-"""Times at which something may change, where these follow each other at a fixed distance."""
+"""Detection of a fixed period in the times of changes."""
 
 import math
 from collections.abc import Sequence
@@ -6,25 +6,25 @@
 
 import attrs
 
-# Changes that must fit before a grid is believed. Stretches of random length pass by chance once in
-# some thousands of times: each further change, known to within 25 ms, lies on a grid of 0.3 s with
+# The number of changes that must fit a grid. Intervals of random length fit by chance once in some
+# thousands of times: each further change, known to within 25 ms, lies on a grid of 0.3 s with
 # probability 0.1.
-CHANGES_NEEDED = 5
-SHORTEST_S = 0.06
-LONGEST_S = 5.0
-# What a look may be late by, in seconds, on the way to the server and back.
-SLACK_S = 0.002
+MIN_CHANGES = 5
+MIN_PERIOD_S = 0.06
+MAX_PERIOD_S = 5.0
+# How late a read may be because of the round trip to the server.
+READ_DELAY_S = 0.002
 
 Window = tuple[float, float]
-"""The times, in seconds, between which a change took place."""
+"""The earliest and latest time, in seconds, at which a change may have taken place."""
 
 
 @attrs.frozen(slots=True)
 class ChangeGrid:
-    """Times ``origin + n * period``, in seconds, from the last known change on.
+    """The times ``origin + n * period``, in seconds, at which the slowdown may change.
 
-    Time ``n`` may be off by ``origin_error + n * period_error``. The first of these is negative
-    where the windows narrow the last change down better than the first.
+    Time ``n`` may be off by ``origin_error + n * period_error``. ``origin_error`` is negative if
+    the windows bound the last change more closely than the first one.
     """
 
     origin: float
@@ -33,7 +33,7 @@
     period_error: float = 0.0
 
     def error_at(self, time: float) -> float:
-        """Return by how many seconds the grid's time nearest to ``time`` may be off."""
+        """Return the maximum error, in seconds, of the time of the grid nearest to ``time``."""
         return self.origin_error + round((time - self.origin) / self.period) * self.period_error
 
     def next_after(self, now: float) -> float:
@@ -42,19 +42,20 @@
 
 
 def fit_grid(windows: Sequence[Window]) -> ChangeGrid | None:
-    """Return the coarsest grid with a time in each window, ``None`` where there is none.
+    """Return the coarsest grid with a time in each window, ``None`` if there is none.
 
-    The shortest distance between two changes is tried as the period, then a half and a third of
-    it. Windows are bounds, not estimates: looks are placed around where a change is expected, so
-    the middles of their windows would confirm any expectation, however wrong.
+    The shortest interval between two changes is tried as the period, then a half and a third of it.
+    Windows are used as bounds, not as estimates: the server is read around the time at which a
+    change is expected, so the middles of the windows would confirm any expectation, even a wrong
+    one.
     """
-    if len(windows) < CHANGES_NEEDED:
+    if len(windows) < MIN_CHANGES:
         return None
     middles = [(earliest + latest) / 2 for earliest, latest in windows]
     shortest = min(later - earlier for earlier, later in pairwise(middles))
     for parts in (1, 2, 3):
         period = shortest / parts
-        if SHORTEST_S <= period <= LONGEST_S:
+        if MIN_PERIOD_S <= period <= MAX_PERIOD_S:
             grid = _fit(windows, middles, period)
             if grid is not None:
                 return grid
@@ -70,12 +71,12 @@
         zip(windows, steps, strict=True), 2
     ):
         between = second_step - first_step
-        lowest = max(lowest, (second[0] - first[1] - SLACK_S) / between)
-        highest = min(highest, (second[1] - first[0] + SLACK_S) / between)
+        lowest = max(lowest, (second[0] - first[1] - READ_DELAY_S) / between)
+        highest = min(highest, (second[1] - first[0] + READ_DELAY_S) / between)
     if lowest > highest:
         return None
-    # Time n lies after each window's begin and as many shortest periods as there are between, and
-    # before each window's end and as many longest ones.
+    # With shortest periods added to the earliest origin and longest ones to the latest, the bounds
+    # of each change lie within its window.
     earliest = max(window[0] - step * lowest for window, step in zip(windows, steps, strict=True))
     latest = min(window[1] - step * highest for window, step in zip(windows, steps, strict=True))
     return ChangeGrid(
@@ -87,21 +88,21 @@
 
 
 def _count_steps(windows: Sequence[Window], period: float) -> list[int] | None:
-    """Return how many periods after the first change each one took place.
+    """Return the number of periods between the first change and each one.
 
-    ``period`` is within a window's width of the true one. Short distances are counted first, since
-    each narrows the period down until the long ones can be counted too; ``None`` where a distance
-    is no multiple of it.
+    ``period`` is within a window's width of the true one. Short intervals are counted first, since
+    each of them narrows the bounds of the period until the long ones can be counted too. The result
+    is ``None`` if an interval is no multiple of the period.
     """
-    width = max(latest - earliest for earliest, latest in windows) + SLACK_S
+    width = max(latest - earliest for earliest, latest in windows) + READ_DELAY_S
     lowest, highest = period - width, period + width
-    distances = [
-        (second[0] - first[1] - SLACK_S, second[1] - first[0] + SLACK_S)
+    intervals = [
+        (second[0] - first[1] - READ_DELAY_S, second[1] - first[0] + READ_DELAY_S)
         for first, second in pairwise(windows)
     ]
-    counts = [0] * len(distances)
-    for position in sorted(range(len(distances)), key=lambda each: distances[each][1]):
-        least, most = distances[position]
+    counts = [0] * len(intervals)
+    for position in sorted(range(len(intervals)), key=lambda each: intervals[each][1]):
+        least, most = intervals[position]
         fewest, largest = math.ceil(least / highest), math.floor(most / lowest)
         if fewest > largest:
             return None
--- a/src/marjoramtide/policy/pace/_duration_history.py
+++ b/src/marjoramtide/policy/pace/_duration_history.py
@@ -1,37 +1,37 @@
-"""How long stretches of one kind have lasted, and how long one that goes on may still last."""
+"""Durations of past intervals, and an estimate for the one that is in progress."""
 
 from collections import deque
 
 import attrs
 
-# Lengths that are kept: enough to tell short stretches from long ones, few enough to follow a
-# neighbour that has changed its ways within some of its stretches.
-KEPT = 24
+# Enough durations to tell short intervals from long ones, and few enough to adapt to a neighbour
+# that behaves differently within some intervals.
+MAX_DURATIONS = 24
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class DurationHistory:
-    """The lengths in seconds of the last stretches in which a server was slow."""
+    """The durations in seconds of the latest intervals, such as the slow ones of a server."""
 
-    lengths: deque[float] = attrs.Factory(lambda: deque(maxlen=KEPT))
+    durations_s: deque[float] = attrs.Factory(lambda: deque(maxlen=MAX_DURATIONS))
 
-    def note(self, length_s: float) -> None:
-        """Take in a stretch that has ended."""
-        self.lengths.append(length_s)
+    def add(self, duration_s: float) -> None:
+        """Add the duration of an interval that has ended."""
+        self.durations_s.append(duration_s)
 
     def remaining_s(self, elapsed_s: float) -> float:
-        """Return for how many seconds more one that began ``elapsed_s`` ago is expected to last.
+        """Return for how many more seconds an interval that began ``elapsed_s`` ago should last.
 
-        That is the mean of what was left of the known ones that lasted longer, together with one
-        that lasts as long again as it has lasted. Failure without the latter: a server turns slow
-        for good, no known stretch was as long, and it is waited for for ever. With it whoever has
-        nothing to go by waits as long as the work would lose, and so never loses more than twice
-        that (the ski rental problem).
+        This is the mean of the remainders of the known intervals that lasted longer and of one that
+        lasts as long again as it has lasted so far. Without the latter a server that turns slow for
+        good, for longer than any known interval, would be waited for indefinitely. With it, a
+        request without any history waits as long as the work would lose, so it never loses more
+        than twice that (the ski rental problem).
         """
-        longer = [length - elapsed_s for length in self.lengths if length > elapsed_s]
+        longer = [duration - elapsed_s for duration in self.durations_s if duration > elapsed_s]
         return (sum(longer) + elapsed_s) / (len(longer) + 1)
 
     @property
     def mean_s(self) -> float:
-        """Return the mean length, 0 while none is known."""
-        return sum(self.lengths) / len(self.lengths) if self.lengths else 0.0
+        """Return the mean duration, 0 while there is none."""
+        return sum(self.durations_s) / len(self.durations_s) if self.durations_s else 0.0
--- a/src/marjoramtide/policy/pace/_pace.py
+++ b/src/marjoramtide/policy/pace/_pace.py
@@ -1,4 +1,4 @@
-"""Whether a request should wait until its server may be quicker."""
+"""The current speed of a backend server, and whether a request should wait for a better one."""
 
 import math
 
@@ -7,23 +7,23 @@
 from marjoramtide.policy.pace._duration_history import DurationHistory
 from marjoramtide.policy.pace._run_forecast import run_ms
 
-# A server that takes so many times longer than at its best counts as slow: above what many busy
-# slots do to each other, below what a neighbour that takes the processor does.
-SLOW = 1.5
-# How long after a time of change, in seconds, the look that tells of it is waited for. Looks come
-# 6 to 28 ms after it and take some milliseconds; where none comes, its reader has failed.
-LOOK_S = 0.06
+# A server counts as slow at this multiple of its best slowdown: above what many busy slots cause
+# among each other, below what a neighbour that takes the processor causes.
+SLOW_FACTOR = 1.5
+# How long, in seconds, a request waits after a possible change for the read that shows it. Reads
+# follow within 6 to 28 ms and take some milliseconds; if none arrives, the reader has failed.
+READ_WAIT_S = 0.06
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Pace:
-    """How many times longer work takes on a backend server now, until when, and on the mean.
+    """The factor by which work takes longer than undisturbed now, until when, and on average.
 
-    ``since``, ``holds_until`` and ``trusted_until`` are in seconds of the monotonic clock.
-    ``holds_until`` is when the pace may next change, ``None`` while that isn't known;
-    ``slow_since`` when the server turned slow. ``best_slowdown`` is how many times longer work
-    takes at the server's quickest, and ``stretches`` how long it was slow before. After
-    ``trusted_until`` nobody has told of the pace for so long that it is not gone by.
+    ``holds_until``, ``slow_since`` and ``trusted_until`` are in seconds of the monotonic clock.
+    ``holds_until`` is when the slowdown may next change, ``None`` if unknown; ``slow_since`` is
+    when the server turned slow. ``usual_slowdown`` is the mean, ``best_slowdown`` the lowest recent
+    one, and ``slow_durations`` holds how long the server was slow before. After ``trusted_until``
+    the slowdown hasn't been read for so long that decisions no longer rely on it.
     """
 
     slowdown: float = 1.0
@@ -32,47 +32,47 @@
     best_slowdown: float = 1.0
     slow_since: float = 0.0
     trusted_until: float = math.inf
-    stretches: DurationHistory = attrs.Factory(DurationHistory)
+    slow_durations: DurationHistory = attrs.Factory(DurationHistory)
 
     @property
     def is_slow(self) -> bool:
-        """Tell whether neighbours slow the server down."""
-        return self.slowdown >= SLOW * self.best_slowdown
+        """Return whether neighbours slow the server down."""
+        return self.slowdown >= SLOW_FACTOR * self.best_slowdown
 
     @property
     def decide_again_at(self) -> float:
-        """Return when to decide anew, in seconds, if nobody has told of the pace by then."""
+        """Return when to decide again, in seconds, if the slowdown isn't read before."""
         until = self.holds_until
-        return self.trusted_until if until is None else until + LOOK_S
+        return self.trusted_until if until is None else until + READ_WAIT_S
 
     def recovers_in_ms(self, now: float) -> float:
-        """Return after how many milliseconds a slow server may be quick again."""
+        """Return the milliseconds until a slow server may be fast again."""
         if self.holds_until is not None:
             return max(0.0, self.holds_until - now) * 1000
-        return self.stretches.remaining_s(max(0.0, now - self.slow_since)) * 1000
+        return self.slow_durations.remaining_s(max(0.0, now - self.slow_since)) * 1000
 
     def run_ms(self, work_ms: float) -> float:
-        """Return how long work that begins now will take, in milliseconds."""
+        """Return the milliseconds that work that begins now will take."""
         return work_ms * self.slowdown
 
     def earliest_end_ms(self, work_ms: float, now: float) -> float:
-        """Return when work may be done that begins now, or that waits where it then ends sooner.
+        """Return the milliseconds until work ends that begins now, or waits if it then ends sooner.
 
-        The quick pace is reckoned with: what would only be late at the usual one still has a good
-        chance, and nobody else has taken it.
+        The best slowdown is assumed: work that would be late only at the usual one still has a good
+        chance, and no other node has accepted it.
         """
         if not self.should_wait(work_ms, now):
             return self.run_ms(work_ms)
         return self.recovers_in_ms(now) + work_ms * self.best_slowdown
 
     def should_wait(self, work_ms: float, now: float) -> bool:
-        """Tell whether work should wait for a change of pace rather than begin now.
+        """Return whether work should wait for a change of speed rather than begin now.
 
-        Failure: a request that begins while its server is slow takes four times as long to its very
-        end, and holds its slot for as long, although the server is quick again some tenths of a
-        second later. It waits where it is then expected to end sooner. Just after a time at which
-        the pace may change, whatever it has been, it waits for the look that tells: some
-        milliseconds against a chance of a quarter to a third of running four times as long.
+        A request that begins on a slow server takes four times as long to its end, and occupies its
+        slot for as long, although the server is fast again some tenths of a second later. It waits
+        if it is then expected to end sooner. Just after a possible change, whatever the slowdown
+        was before, it waits for the read that shows it: some milliseconds against a chance of a
+        quarter to a third of running four times as long.
         """
         if now >= self.decide_again_at:
             return False
@@ -81,8 +81,8 @@
             return risk_ms > (self.decide_again_at - now) * 1000
         if not self.is_slow:
             return False
-        # Where the times of change are known, the server may still be slow after the next one.
-        # Elsewhere the stretches that are reckoned with last until it is quick.
+        # If the times of change are known, the server may still be slow after the next one.
+        # Otherwise the expected interval lasts until it is fast.
         after = self.best_slowdown if self.holds_until is None else self.usual_slowdown
         return run_ms(work_ms, self.slowdown, self.recovers_in_ms(now), after) < self.run_ms(
             work_ms
--- a/src/marjoramtide/policy/pace/_stall.py
+++ b/src/marjoramtide/policy/pace/_stall.py
@@ -1,31 +1,31 @@
-"""Evidence from answers that haven't come."""
+"""Detection of stalls: answers that are overdue."""
 
-USUAL_TIMES = 3.0
-USUAL_TIMES_AT_LEAST = 1.5
+STALL_FACTOR = 3.0
+MIN_STALL_FACTOR = 1.5
 
 
 def stalled_ms(
     oldest: float | None, last_answer: float, running: int, usual_ms: float, now: float
 ) -> float:
-    """Return for how many milliseconds a server has owed an answer, 0 where that is usual.
+    """Return for how many milliseconds an answer has been overdue, 0 while that is normal.
 
-    ``oldest`` is when the oldest of ``running`` unanswered requests began, ``None`` where there is
-    none; ``last_answer`` is when any answer last came. Both are in seconds. While the usual time is
-    unknown (0), no silence is unusual.
+    ``oldest`` is when the oldest of ``running`` unanswered requests began, ``None`` if there is
+    none; ``last_answer`` is when the last answer arrived. Both are in seconds. While the usual time
+    is unknown (0), nothing is overdue.
 
-    Failure: a server turns ten times slower without warning. Everything known of it was told by
-    quick answers, so it looks as good as ever and gets its full share until the first slow answer
-    arrives, one slow service time later. A silence beyond ``USUAL_TIMES`` usual times is counted as
-    slowness at once; the more requests run, the sooner one of them should have been answered. One
-    long request among others that are answered isn't: each answer ends the silence, so uneven work
-    doesn't look like a slow server.
+    If a server turns ten times slower, everything known of it dates from fast answers, and it would
+    get its full share until the first slow answer arrives, one slow service time later. A time
+    without answers beyond ``STALL_FACTOR`` usual times counts as slowness immediately; the more
+    requests run, the sooner one of them should have been answered. A long request among others that
+    are answered is no stall: each answer restarts the time, so uneven work doesn't look like a slow
+    server.
     """
     if oldest is None or usual_ms <= 0:
         return 0.0
-    silence = (now - max(oldest, last_answer)) * 1000
-    return silence if silence > stall_threshold_ms(running, usual_ms) else 0.0
+    elapsed_ms = (now - max(oldest, last_answer)) * 1000
+    return elapsed_ms if elapsed_ms > stall_threshold_ms(running, usual_ms) else 0.0
 
 
 def stall_threshold_ms(running: int, usual_ms: float) -> float:
-    """Return after how long a silence is unusual while ``running`` requests are unanswered."""
-    return usual_ms * max(USUAL_TIMES_AT_LEAST, USUAL_TIMES / running)
+    """Return after how long ``running`` requests without an answer count as stalled."""
+    return usual_ms * max(MIN_STALL_FACTOR, STALL_FACTOR / running)
--- a/src/marjoramtide/policy/pace/_work_times.py
+++ b/src/marjoramtide/policy/pace/_work_times.py
@@ -1,20 +1,20 @@
-"""How long requests of one kind run undisturbed."""
+"""Undisturbed run times of the requests of one kind."""
 
 import attrs
 
 from marjoramtide.policy._ewma import Ewma
 
-# What work is taken to need, in milliseconds, while nothing is known of it: between the shortest
-# and the longest kinds of the fleets measured, 22 ms and 680 ms. Only whether a slowed server is
-# shunned or waited for depends on it, and only until the first executions have ended.
+# The assumed run time while none is known, between those of the shortest and longest kinds in the
+# fleets measured, 22 ms and 680 ms. It only decides whether a slowed server is avoided or waited
+# for, and only until the first executions have ended.
 DEFAULT_WORK_MS = 100.0
-# Deviations above the mean that a request is planned to take: nine in ten take less.
+# Planned run times are this many mean deviations above the mean: nine in ten requests take less.
 PLANNED_DEVIATIONS = 1.5
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class WorkTimes:
-    """The mean, and the mean deviation from it, in milliseconds."""
+    """The mean run time and the mean deviation from it, in milliseconds."""
 
     mean: Ewma = attrs.Factory(lambda: Ewma(0.05, 0.05))
     deviation: Ewma = attrs.Factory(lambda: Ewma(0.05, 0.05))
@@ -27,5 +27,5 @@
 
     @property
     def planned_ms(self) -> float:
-        """Return what a request should be given time for."""
+        """Return the run time to plan for."""
         return self.mean.value + PLANNED_DEVIATIONS * self.deviation.value
