--- a/bench/model/_mechanisms.py
+++ b/bench/model/_mechanisms.py
@@ -23,7 +23,7 @@
     Mechanism("follow the grid of changes", f"{POLICY}.pace._interference", "fit_grid", NOTHING),
     Mechanism(
         "length of slow stretches",
-        f"{POLICY}.pace._duration_history",
+        f"{POLICY}.pace._stretches",
         "DurationHistory.remaining_s",
         ZERO,
     ),
--- a/src/marjoramtide/policy/__init__.py
+++ b/src/marjoramtide/policy/__init__.py
@@ -1,7 +1,7 @@
-"""Decisions, as pure functions of what they are handed: no clock, no randomness, no I/O.
+"""Decision logic without I/O: the time and the random generator are passed in by the caller.
 
-Seven packages, each with one question: ``placing``, ``admission``, ``pace``, ``budgets``,
-``quarantine``, ``evacuation`` and ``statements``.
+Each subpackage covers one decision: ``placing``, ``admission``, ``pace``, ``budgets``,
+``quarantine``, ``evacuation``, ``quota`` and ``statements``.
 """
 
 from marjoramtide.policy._call_profile import CallProfile, make_call_profile
--- a/src/marjoramtide/policy/_call_profile.py
+++ b/src/marjoramtide/policy/_call_profile.py
@@ -1,4 +1,4 @@
-"""What the policy sees of a request."""
+"""The properties of a request that policies depend on."""
 
 import attrs
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen(slots=True)
 class CallProfile:
-    """The part of a request that decisions depend on.
+    """The properties of a request that decisions depend on.
 
-    ``deadline`` is in seconds of the monotonic clock; ``attempt`` counts from 1. ``kind`` names the
-    requests that take about as long as this one: those of its route and class. An answer after
-    ``goal``, on the clock of the deadline, is worth less; a lower ``rank`` goes first in its class.
-    ``is_call`` is true where a running request waits for this one. ``workspace`` is whose share of
-    a server it counts for, empty where that isn't known.
+    ``deadline`` and ``goal`` are in seconds of the monotonic clock; an answer after the goal is
+    worth less. ``attempt`` counts from 1. ``kind`` identifies requests that take about as long as
+    this one: those of the same route and class. A lower ``rank`` goes first in its class.
+    ``is_call`` is true if a running request waits for this one. ``workspace`` is the one whose
+    share of a server the request counts towards, empty if unknown.
     """
 
     urgent: bool
@@ -28,10 +28,10 @@
 
 
 def make_call_profile(request: Request, deadline: float, attempt: int, kind: str) -> CallProfile:
-    """Return what the policy sees of a request at its ``attempt``-th try.
+    """Return the profile of a request at its ``attempt``-th attempt.
 
-    A call has no goal of its own: the request that made it holds a slot until the answer is there,
-    and fails without it.
+    A call has no goal of its own: the request that made it occupies a slot until the answer
+    arrives, and fails without it.
     """
     return CallProfile(
         urgent=request.urgent,
--- a/src/marjoramtide/policy/_ewma.py
+++ b/src/marjoramtide/policy/_ewma.py
@@ -1,16 +1,16 @@
-"""An exponentially weighted mean that may rise and fall at different speeds."""
+"""An exponentially weighted moving average with separate weights for rising and falling."""
 
 import attrs
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Ewma:
-    """A running mean of samples.
+    """An exponentially weighted moving average.
 
-    ``rise`` and ``fall`` are the weights (0 to 1) of a sample above and below the mean. A larger
-    ``rise`` is the peak-sensitive mean known as peak EWMA (Finagle's load balancers); a larger
-    ``fall`` follows the low end, such as a network round trip seen through varying work. The first
-    sample is taken as it is.
+    ``rise`` and ``fall`` are the weights (0 to 1) of a sample above and below the average. A larger
+    ``rise`` gives the peak-sensitive average known as peak EWMA (Finagle's load balancers); a
+    larger ``fall`` follows the low end, such as the network time within latencies that vary with
+    the work. The first sample becomes the average.
     """
 
     rise: float
@@ -19,7 +19,7 @@
     count: int = 0
 
     def add(self, sample: float) -> None:
-        """Take in one sample."""
+        """Add a sample."""
         self.count += 1
         if self.count == 1:
             self.value = sample
@@ -28,6 +28,6 @@
         self.value += weight * (sample - self.value)
 
     def add_mean(self, sample: float) -> None:
-        """Take in one sample as of a plain mean, until its weight would be below ``rise``."""
+        """Add a sample to an arithmetic mean whose sample weight doesn't fall below ``rise``."""
         self.count += 1
         self.value += max(self.rise, 1 / self.count) * (sample - self.value)
--- a/src/marjoramtide/policy/_unknown_policy.py
+++ b/src/marjoramtide/policy/_unknown_policy.py
@@ -1,4 +1,4 @@
-"""The error for a policy that there is none of."""
+"""The error for the name of an unknown policy."""
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 
@@ -6,6 +6,6 @@
 def unknown_policy_error(
     key: str, value: str, allowed: tuple[str, ...], step: str
 ) -> MarjoramtideError:
-    """Return the error for a policy of a name that there is none of."""
+    """Return the error for a policy name that isn't in ``allowed``."""
     message = f"{key}: {value!r} is not one of {', '.join(allowed)}"
     return MarjoramtideError(ErrorCode.BAD_SETTINGS, message, step=step)
