--- a/features/policy_fakes.py
+++ b/features/policy_fakes.py
@@ -49,9 +49,11 @@
         """Send a request to ``node`` and answer it ``elapsed_ms`` later."""
         self.selector.sent(node, self.now)
         self.now += elapsed_ms / 1000
-        self.hear(node, elapsed_ms, ok, **load)
+        self.receive_answer(node, elapsed_ms, ok, **load)
 
-    def hear(self, node: str, elapsed_ms: float = 20.0, ok: bool = True, **load: Any) -> None:
+    def receive_answer(
+        self, node: str, elapsed_ms: float = 20.0, ok: bool = True, **load: Any
+    ) -> None:
         values = {"in_use": 2, "limit": 10, "service_time_ms": 20.0} | load
         values.setdefault("sequence", next(self.sequence))
         self.selector.answered(node, LoadReport(**values), elapsed_ms, ok, self.now)
@@ -66,14 +68,14 @@
 
     def traffic(self, seconds: float, profile: CallProfile = LOOKUP) -> Counter[str | None]:
         """Send 100 requests a second, each answered after 20 ms; count them by node."""
-        seen: Counter[str | None] = Counter()
+        counts: Counter[str | None] = Counter()
         for _ in range(int(seconds * 100)):
             node = self.selector.choose(profile, self.now)
-            seen[node] += 1
+            counts[node] += 1
             if node is not None:
                 self.answer(node, 20.0)
             self.now -= 0.010
-        return seen
+        return counts
 
     def ejected(self) -> list[object]:
         return [row["node"] for row in self.selector.explain(self.now) if row["ejected"]]
--- a/features/steps/interference_steps.py
+++ b/features/steps/interference_steps.py
@@ -288,8 +288,8 @@
         if what == "arrives":
             arrived[ticket] = now
             goal, deadline = now + context.goal_s, now + context.left_s
-            asked = CallProfile(False, True, deadline, 2, "k", goal)
-            verdict = admission.offer(ticket, asked, now).verdict
+            request = CallProfile(False, True, deadline, 2, "k", goal)
+            verdict = admission.offer(ticket, request, now).verdict
             if verdict is Verdict.START:
                 start([ticket], now)
             elif verdict is Verdict.REJECT:
@@ -306,13 +306,13 @@
         if due is not None and (not events or due <= events[0][0]):
             late = admission.expire(max(now, due))
             context.refused_ms += [(max(now, due) - arrived[each]) * 1000 for each in late]
-    context.seconds, context.asked = seconds, per_s * seconds
+    context.seconds, context.request_count = seconds, per_s * seconds
 
 
 @then("at least {share:d} in 100 of all requests are answered before the goal")
 def all_in_time(context: Any, share: int) -> None:
     good = sum(took <= context.goal_s * 1000 for took in context.answered_ms)
-    assert good * 100 >= share * context.asked, (good, context.asked)
+    assert good * 100 >= share * context.request_count, (good, context.request_count)
 
 
 @given("an admission that knows requests of {run_ms:d} ms, fast until a moment ago")
@@ -329,8 +329,8 @@
 @when("a request comes {milliseconds:d} ms after the time of change")
 def when_comes_after(context: Any, milliseconds: int) -> None:
     context.now += milliseconds / 1000
-    asked = CallProfile(False, True, context.now + 9, 1, "k", context.now + 9)
-    context.verdict = context.admission.offer(2, asked, context.now).verdict
+    request = CallProfile(False, True, context.now + 9, 1, "k", context.now + 9)
+    context.verdict = context.admission.offer(2, request, context.now).verdict
 
 
 @given("an admission that knows requests of {run_ms:d} ms, and a server that is cold")
--- a/features/steps/selection_steps.py
+++ b/features/steps/selection_steps.py
@@ -68,7 +68,7 @@
     context.ingresses = [Ingress(members, seed) for seed in range(count)]
     for ingress in context.ingresses:
         for member in members:
-            ingress.hear(member.node, in_use=0 if member.node == "n1" else 9)
+            ingress.receive_answer(member.node, in_use=0 if member.node == "n1" else 9)
 
 
 @when("each of them chooses once")
@@ -94,16 +94,16 @@
 
 @when('"n1" reports 30 queued and then an older report of "n1" arrives that says idle')
 def step_late_report(context: Any) -> None:
-    context.ingress.hear("n1", in_use=10, queued_routine=30, sequence=900)
-    context.ingress.hear("n1", in_use=0, sequence=899)
+    context.ingress.receive_answer("n1", in_use=10, queued_routine=30, sequence=900)
+    context.ingress.receive_answer("n1", in_use=0, sequence=899)
 
 
 @when('"n1" reported idle 2 s ago, "n2" idle just now and the others 9 of 10 slots in use')
 def step_old_report(context: Any) -> None:
-    context.ingress.hear("n1", in_use=0)
+    context.ingress.receive_answer("n1", in_use=0)
     context.ingress.now += 2
     for _, member in itertools.product(range(2), context.ingress.members[1:]):
-        context.ingress.hear(member.node, in_use=0 if member.node == "n2" else 9)
+        context.ingress.receive_answer(member.node, in_use=0 if member.node == "n2" else 9)
 
 
 @when('"new" joins and reports an uptime of {uptime:g} s')
@@ -111,7 +111,7 @@
     ingress = context.ingress
     ingress.members.append(make_member("new"))
     ingress.selector.update_members(ingress.members, ingress.now)
-    ingress.hear("new", in_use=0, uptime_s=uptime)
+    ingress.receive_answer("new", in_use=0, uptime_s=uptime)
 
 
 @then('{seconds:d} s of {kind} send {count:d} requests to "{node}"')
@@ -135,14 +135,14 @@
     for _ in range(count):
         ingress.selector.cancelled(node, ingress.now, elapsed_ms=float(ms))
     for member in ingress.members[1:]:
-        ingress.hear(member.node)
+        ingress.receive_answer(member.node)
     ingress.now += 0.002
 
 
 @when("95 requests are answered after 20 ms, 4 after 60 ms and 1 after 900 ms, twice")
 def step_latencies(context: Any) -> None:
     for ms in ([20.0] * 95 + [60.0] * 4 + [900.0]) * 2:
-        context.ingress.hear("n1", ms)
+        context.ingress.receive_answer("n1", ms)
 
 
 @then("a hedge with a budget of {share:g} is delayed by at least {ms:d} ms")
@@ -157,7 +157,7 @@
     times = (15.0, 18.0, 20.0, 22.0, 25.0, 28.0)
     for _, (position, ms) in itertools.product(range(3), enumerate(times)):
         member = context.ingress.members[position]
-        context.ingress.hear(member.node, in_use=7, service_time_ms=ms)
+        context.ingress.receive_answer(member.node, in_use=7, service_time_ms=ms)
 
 
 @then("each gets between {low:g}% and {high:g}% of {count:d} next choices")
@@ -167,12 +167,14 @@
     assert all(bounds[0] <= shares[m.node] <= bounds[1] for m in context.ingress.members), shares
 
 
-@when('"n1" answers 10 requests after {took:d} ms and reports {told:d} ms')
-def step_answers(context: Any, took: int, told: int) -> None:
+@when('"n1" answers 10 requests after {latency_ms:d} ms and reports {reported_ms:d} ms')
+def step_answers(context: Any, latency_ms: int, reported_ms: int) -> None:
     for _ in range(10):
-        context.ingress.answer("n1", float(took), in_use=0, service_time_ms=float(told))
+        context.ingress.answer(
+            "n1", float(latency_ms), in_use=0, service_time_ms=float(reported_ms)
+        )
     for member in context.ingress.members[1:]:
-        context.ingress.hear(member.node)
+        context.ingress.receive_answer(member.node)
 
 
 @when('"n1" refuses because it drains and "n2" refuses for 300 ms because it is full')
@@ -186,7 +188,7 @@
 @when('all but "{node}" refuse routine requests for {ms:d} ms with room for urgent ones')
 def step_refuse_routine(context: Any, node: str, ms: int) -> None:
     ingress = context.ingress
-    ingress.hear(node, in_use=9)
+    ingress.receive_answer(node, in_use=9)
     for member in ingress.members:
         if member.node != node:
             full = LoadReport(9, 10, service_time_ms=20.0, sequence=next(ingress.sequence))
@@ -216,7 +218,9 @@
 def step_local_queued(context: Any) -> None:
     for member in context.ingress.members:
         queued = 30 if member.data_centre == "nadi-hall" else 0
-        context.ingress.hear(member.node, in_use=10 if queued else 2, queued_routine=queued)
+        context.ingress.receive_answer(
+            member.node, in_use=10 if queued else 2, queued_routine=queued
+        )
 
 
 @given("two data centres whose latency follows their share of the load 200 ms late")
