--- a/src/marjoramtide/policy/_unknown_policy.py
+++ b/src/marjoramtide/policy/_unknown_policy.py
@@ -1,9 +1,11 @@
-"""The error for a policy that there is none of."""
+"""The error for the name of an unknown policy."""
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 
 
-def unknown_policy(key: str, value: str, allowed: tuple[str, ...], step: str) -> MarjoramtideError:
-    """Return the error for a policy of a name that there is none of."""
+def unknown_policy_error(
+    key: str, value: str, allowed: tuple[str, ...], step: str
+) -> MarjoramtideError:
+    """Return the error for a policy name that isn't in ``allowed``."""
     message = f"{key}: {value!r} is not one of {', '.join(allowed)}"
     return MarjoramtideError(ErrorCode.BAD_SETTINGS, message, step=step)
