--- a/bench/model/_mechanisms.py
+++ b/bench/model/_mechanisms.py
@@ -39,7 +39,7 @@
         "RunEstimates.due",
         "lambda self, profile, now: profile.deadline",
     ),
-    Mechanism("rank order", f"{POLICY}.admission._standing", "RANK_STEP_S", "0.0"),
+    Mechanism("rank order", f"{POLICY}.admission._queue_priority", "RANK_STEP_S", "0.0"),
     Mechanism(
         "calls first in their rank",
         "marjoramtide.exchange._request",
@@ -60,15 +60,21 @@
     ),
     Mechanism(
         "share of what goes first in a wait",
-        f"{POLICY}.admission._standing_shares",
-        "StandingShares.before",
+        f"{POLICY}.admission._priority_shares",
+        "PriorityShares.share_ahead",
         ZERO,
     ),
     Mechanism(
-        "routine work pushed back is dropped", ADMISSION, "EdfAdmission._pushed_back", NONE_OF_THEM
+        "routine work pushed back is dropped",
+        ADMISSION,
+        "EdfAdmission._drop_displaced",
+        NONE_OF_THEM,
     ),
     Mechanism(
-        "first limit below the slots", f"{POLICY}.admission._knee_limiter", "FIRST_SHARE", "1.0"
+        "first limit below the slots",
+        f"{POLICY}.admission._knee_limiter",
+        "INITIAL_LIMIT_SHARE",
+        "1.0",
     ),
     Mechanism(
         "knee limit",
@@ -78,17 +84,17 @@
     ),
     Mechanism(
         "what a server has said that it takes",
-        f"{POLICY}.admission._named_rate_gate",
-        "NamedRateGate.name",
+        f"{POLICY}.admission._requested_rate_limiter",
+        "RequestedRateLimiter.set_rate",
         NOTHING,
     ),
     Mechanism(
-        "turn first tries away by a named limit", ADMISSION, "EdfAdmission._long_wait_ms", ZERO
+        "turn first tries away by a named limit", ADMISSION, "EdfAdmission._excessive_wait_ms", ZERO
     ),
     Mechanism(
         "slots told of by a named limit",
-        f"{POLICY}.admission._named_rate_gate",
-        "NamedRateGate.concurrency",
+        f"{POLICY}.admission._requested_rate_limiter",
+        "RequestedRateLimiter.concurrency",
         "lambda self, service_ms, now: float('inf')",
     ),
     Mechanism("own bonus", FORECAST, "OWN_BONUS", "0.0"),
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -105,16 +105,16 @@
     admission.reconfigure(settings)
     play = context.play = Play(ms / 1000, admission)
     if history == "that has just started cold":
-        admission.note_cold(COLD_S, START)
+        admission.set_cold_time(COLD_S, START)
     elif history == "cold since before its node started":
-        admission.note_cold(COLD_S - 0.2, START)
+        admission.set_cold_time(COLD_S - 0.2, START)
     else:
         play.now += 5.0
         if history == "that turns cold after 16 in 100 ms":
             play.come({1: 160.0}, 0.1)
         else:
             play.come({1: float(history.split()[-3])}, 2.0)
-        admission.note_cold(COLD_S, play.now)
+        admission.set_cold_time(COLD_S, play.now)
     context.before = len(play.begun)
 
 
@@ -131,7 +131,7 @@
 
 @when("it says that it is warm")
 def when_warm(context: Any) -> None:
-    context.play.admission.note_cold(0.0, context.play.now)
+    context.play.admission.set_cold_time(0.0, context.play.now)
 
 
 @then("no second brings it more than {most:d} requests")
--- a/features/steps/named_rates_steps.py
+++ b/features/steps/named_rates_steps.py
@@ -35,7 +35,7 @@
     if context.named_at is None:
         context.named_at = play.now
     context.before = len(play.begun)
-    play.admission.name_rate(float(rate), play.now, play.now)
+    play.admission.set_rate_limit(float(rate), play.now, play.now)
     play.come({1: float(load)}, float(seconds))
 
 
@@ -45,14 +45,14 @@
 )
 def when_cold(context: Any, cold: float, rate: str, load: int, seconds: int) -> None:
     play = context.play
-    play.admission.note_cold(float(seconds), play.now)
+    play.admission.set_cold_time(float(seconds), play.now)
     when_names(context, rate, load, seconds)
 
 
 @when("it names none while {load:d} come for {seconds:d} s")
 def when_ends(context: Any, load: int, seconds: int) -> None:
     play = context.play
-    play.admission.name_rate(None, play.now, play.now)
+    play.admission.set_rate_limit(None, play.now, play.now)
     play.begin(play.admission.resume(play.now))
     play.come({1: float(load)}, float(seconds))
 
--- a/src/marjoramtide/daemon/_operators.py
+++ b/src/marjoramtide/daemon/_operators.py
@@ -36,7 +36,7 @@
 def shown_workspaces(node: Node) -> list[dict[str, Any]]:
     """Return what a node knows of each workspace, its keys by fingerprint."""
     now = node.clock.monotonic()
-    short = node.serving.admission.short_workspaces(now)
+    short = node.serving.admission.workspaces_over_share(now)
     return [
         {
             "name": each.name,
--- a/src/marjoramtide/policy/__init__.py
+++ b/src/marjoramtide/policy/__init__.py
@@ -8,8 +8,8 @@
 from marjoramtide.policy.admission import (
     LIMITERS,
     Admission,
+    ConcurrencyLimiter,
     Decision,
-    Limiter,
     Verdict,
     make_admission,
 )
@@ -54,12 +54,12 @@
     "CallProfile",
     "ComeBackHint",
     "CompletedRequests",
+    "ConcurrencyLimiter",
     "Decision",
     "Evacuated",
     "Evacuations",
     "HoldRule",
     "Interference",
-    "Limiter",
     "MeasuringBudget",
     "Quarantine",
     "RetryBudget",
--- a/src/marjoramtide/policy/admission/__init__.py
+++ b/src/marjoramtide/policy/admission/__init__.py
@@ -5,8 +5,8 @@
 """
 
 from marjoramtide.policy.admission._admission import Admission, Decision, Verdict
+from marjoramtide.policy.admission._concurrency_limiter import ConcurrencyLimiter
 from marjoramtide.policy.admission._factories import make_admission
-from marjoramtide.policy.admission._limiter import Limiter
-from marjoramtide.policy.admission._limiters import LIMITERS
+from marjoramtide.policy.admission._limiter_factory import LIMITERS
 
-__all__ = ["LIMITERS", "Admission", "Decision", "Limiter", "Verdict", "make_admission"]
+__all__ = ["LIMITERS", "Admission", "ConcurrencyLimiter", "Decision", "Verdict", "make_admission"]
--- a/src/marjoramtide/policy/admission/_adaptive_limiter.py
+++ b/src/marjoramtide/policy/admission/_adaptive_limiter.py
@@ -3,8 +3,8 @@
 import attrs
 
 from marjoramtide.policy._smoothed import Smoothed
-from marjoramtide.policy.admission._cut import Cut
-from marjoramtide.policy.admission._limiter import Limiter
+from marjoramtide.policy.admission._concurrency_limiter import ConcurrencyLimiter
+from marjoramtide.policy.admission._limit_reduction import LimitReduction
 
 TOLERANCE = 2.0
 SMALLEST_GRADIENT = 0.5
@@ -13,7 +13,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class AdaptiveLimiter(Limiter):
+class AdaptiveLimiter(ConcurrencyLimiter):
     """Shrinks the limit while executions take longer than usual, and grows it back.
 
     Failure: a noisy neighbour takes half of the processor; all slots stay full, each execution
@@ -36,7 +36,7 @@
     recent: Smoothed = attrs.Factory(lambda: Smoothed(0.1, 0.1))
     usual: Smoothed = attrs.Factory(lambda: Smoothed(0.01, 0.02))
     exact: float = 0.0
-    cut: Cut | None = None
+    cut: LimitReduction | None = None
 
     def __attrs_post_init__(self) -> None:
         self.slots = max(1, self.slots)
@@ -47,7 +47,7 @@
     def limit(self) -> int:
         return int(self.exact)
 
-    def fresh(self) -> Limiter:
+    def fresh(self) -> ConcurrencyLimiter:
         return AdaptiveLimiter(self.slots, self.min_limit)
 
     def observe(self, duration_ms: float, pressed: bool, succeeded: bool, running: int = 1) -> None:
@@ -63,7 +63,7 @@
             return
         gradient = TOLERANCE * self.usual.value / max(self.recent.value, 0.001)
         if gradient < 1:
-            self.cut = self.cut or Cut(self.exact)
+            self.cut = self.cut or LimitReduction(self.exact)
             self.cut.before_ms = max(self.cut.before_ms, self.recent.value)
             self._set(self.exact * max(gradient, SMALLEST_GRADIENT) ** (1 / self.exact))
         elif pressed:
@@ -71,10 +71,10 @@
         if gradient >= 1:
             self.cut = None
 
-    def _judged_at(self, cut: Cut) -> float:
+    def _judged_at(self, cut: LimitReduction) -> float:
         return max(JUDGED_AT * cut.began_at, self.min_limit)
 
-    def _judge(self, cut: Cut, duration_ms: float) -> None:
+    def _judge(self, cut: LimitReduction, duration_ms: float) -> None:
         """Hold the limit until enough executions that began under it have ended, then judge."""
         cut.note(duration_ms)
         if not cut.is_judged():
--- a/src/marjoramtide/policy/admission/_admission.py
+++ b/src/marjoramtide/policy/admission/_admission.py
@@ -51,14 +51,14 @@
         """
 
     @abstractmethod
-    def note_cold(self, left_s: float, now: float) -> None:
+    def set_cold_time(self, left_s: float, now: float) -> None:
         """Take in for how much longer the backend server is cold, in seconds; 0 where it isn't.
 
         ``resume`` tells what may start by it.
         """
 
     @abstractmethod
-    def name_rate(self, rate_per_s: float | None, since: float, now: float) -> None:
+    def set_rate_limit(self, rate_per_s: float | None, since: float, now: float) -> None:
         """Take in how many requests a second the backend server takes, ``None`` for no limit.
 
         ``since`` is when it first named a limit or when that last fell. ``resume`` tells what may
@@ -70,7 +70,7 @@
         """Return the queued tickets that start now, since the pace has changed or nobody tells."""
 
     @abstractmethod
-    def release(self) -> list[int]:
+    def clear_queue(self) -> list[int]:
         """Drop and return all queued tickets: they have not run and may go elsewhere."""
 
     @abstractmethod
@@ -113,10 +113,10 @@
         """Return when ``expire`` next has something to do."""
 
     @abstractmethod
-    def come_back_ms(self, now: float) -> int:
+    def retry_after_ms(self, now: float) -> int:
         """Return when a request that is refused now would probably be taken, in milliseconds."""
 
-    def short_workspaces(self, now: float) -> frozenset[str]:
+    def workspaces_over_share(self, now: float) -> frozenset[str]:
         """Return the workspaces that have had their share of a server that is short."""
         return frozenset()
 
--- a/src/marjoramtide/policy/admission/_call_throttle.py
+++ b/src/marjoramtide/policy/admission/_call_throttle.py
@@ -52,7 +52,7 @@
         held_back = self.over - TRIED_FOR_EACH * self.served - FREE
         return 1 - max(0.0, held_back / (self.over + 1))
 
-    def come_back_ms(self) -> float:
+    def retry_after_ms(self) -> float:
         """Return after how long a caller should come back: longer, the fewer are let in."""
         return SPAN_S * 1000 * (1 - self.share())
 
--- a/src/marjoramtide/policy/admission/_cold_gate.py
+++ b/src/marjoramtide/policy/admission/_cold_rate_limiter.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from marjoramtide.policy.admission._rate_gate import RateGate
+from marjoramtide.policy.admission._rate_limiter import RateLimiter
 from marjoramtide.policy.admission._sent_requests import SentRequests
 from marjoramtide.policy.budgets import TokenBucket
 
@@ -47,7 +47,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class ColdGate(RateGate):
+class ColdRateLimiter(RateLimiter):
     """Lets begin what a cold server bears: a token bucket of ``rate`` and ``burst``.
 
     Failure: a server that has just started is idle, so everyone sends to it; it gets twenty
@@ -77,9 +77,9 @@
         """Begin to count for another start of the server, cold until it says otherwise."""
         self.server_began_at = now
         self.cold_until = -math.inf
-        self.note_cold(self.rule.start_s, now)
+        self.set_cold_time(self.rule.start_s, now)
 
-    def note_cold(self, left_s: float, now: float) -> None:
+    def set_cold_time(self, left_s: float, now: float) -> None:
         """Take in for how much longer the server says that it is cold."""
         if left_s > 0 and not self.holds(now):
             self.server_began_at = max(self.server_began_at, now - self.rule.start_s + left_s)
--- a/src/marjoramtide/policy/admission/_limiter.py
+++ b/src/marjoramtide/policy/admission/_concurrency_limiter.py
@@ -3,7 +3,7 @@
 from abc import ABC, abstractmethod
 
 
-class Limiter(ABC):
+class ConcurrencyLimiter(ABC):
     """Decides how many requests one backend server runs at once."""
 
     @property
@@ -12,7 +12,7 @@
         """Return the limit at this moment, at least 1."""
 
     @abstractmethod
-    def fresh(self) -> "Limiter":
+    def fresh(self) -> "ConcurrencyLimiter":
         """Return a limiter of the same settings that has learned nothing."""
 
     @abstractmethod
--- a/src/marjoramtide/policy/admission/_edf_admission.py
+++ b/src/marjoramtide/policy/admission/_edf_admission.py
@@ -10,15 +10,15 @@
 from marjoramtide.policy._call_profile import CallProfile
 from marjoramtide.policy.admission._admission import Admission, Decision, Verdict
 from marjoramtide.policy.admission._call_throttle import CallThrottle
-from marjoramtide.policy.admission._cold_gate import ColdRule
+from marjoramtide.policy.admission._cold_rate_limiter import ColdRule
+from marjoramtide.policy.admission._concurrency_limiter import ConcurrencyLimiter
 from marjoramtide.policy.admission._execution_times import ExecutionTimes
-from marjoramtide.policy.admission._limiter import Limiter
-from marjoramtide.policy.admission._limiters import make_limiter
+from marjoramtide.policy.admission._limiter_factory import make_limiter
+from marjoramtide.policy.admission._priority_shares import PriorityShares
+from marjoramtide.policy.admission._queue_priority import QueuePriority, priority_of
+from marjoramtide.policy.admission._request_queue import Place, RequestQueue
 from marjoramtide.policy.admission._run_estimates import RunEstimates
-from marjoramtide.policy.admission._server_gate import ServerGate
-from marjoramtide.policy.admission._standing import Standing, standing_of
-from marjoramtide.policy.admission._standing_shares import StandingShares
-from marjoramtide.policy.admission._waiting_requests import Place, WaitingRequests
+from marjoramtide.policy.admission._server_rate_limiter import ServerRateLimiter
 from marjoramtide.policy.admission._workspace_shares import WorkspaceShares
 from marjoramtide.policy.pace import Pace
 from marjoramtide.settings import RouteSettings
@@ -42,33 +42,33 @@
     deadline is dropped by ``expire``, never one that has started.
     """
 
-    limiter: Limiter
+    limiter: ConcurrencyLimiter
     urgent_slots: int
     queue_limit: int
     started_at: float
     accepting: bool = True
     runs: RunEstimates = attrs.Factory(RunEstimates)
-    waiting: WaitingRequests = attrs.Factory(WaitingRequests)
+    waiting: RequestQueue = attrs.Factory(RequestQueue)
     profiles: dict[int, CallProfile] = attrs.Factory(dict)
     dues: dict[int, float] = attrs.Factory(dict)
     began_with: dict[int, int] = attrs.Factory(dict)
     incarnation: int = 0
     sequence: "itertools.count[int]" = attrs.Factory(lambda: itertools.count(first_sequence(0)))
-    shares: StandingShares = attrs.Factory(StandingShares)
+    shares: PriorityShares = attrs.Factory(PriorityShares)
     workspaces: WorkspaceShares = attrs.Factory(WorkspaceShares)
-    standings: dict[int, Standing] = attrs.Factory(dict)
+    standings: dict[int, QueuePriority] = attrs.Factory(dict)
     throttles: dict[str, CallThrottle] = attrs.Factory(dict)
     routine_running: int = 0
     stall_seen: float | None = None
     limited_by: tuple[str, int, int] = ("", 0, 0)
     recheck_at: float | None = None
     resume_at: float | None = None
-    gate: ServerGate = attrs.field()
+    gate: ServerRateLimiter = attrs.field()
     gate_opens_at: float | None = None
 
     @gate.default
-    def _gate_from_the_start(self) -> ServerGate:
-        return ServerGate(self.started_at)
+    def _gate_from_the_start(self) -> ServerRateLimiter:
+        return ServerRateLimiter(self.started_at)
 
     @property
     def times(self) -> ExecutionTimes:
@@ -112,7 +112,7 @@
             self._end(ticket, now)
         self.runs = RunEstimates()
         self.limiter = self.limiter.fresh()
-        self.shares = StandingShares()
+        self.shares = PriorityShares()
         self.workspaces = WorkspaceShares()
         self.throttles = {}
         self.stall_seen = None
@@ -126,11 +126,11 @@
     def set_accepting(self, accepting: bool) -> None:
         self.accepting = accepting
 
-    def note_cold(self, left_s: float, now: float) -> None:
-        self.gate.cold.note_cold(left_s, now)
+    def set_cold_time(self, left_s: float, now: float) -> None:
+        self.gate.cold.set_cold_time(left_s, now)
 
-    def name_rate(self, rate_per_s: float | None, since: float, now: float) -> None:
-        self.gate.named.name(rate_per_s, since, now)
+    def set_rate_limit(self, rate_per_s: float | None, since: float, now: float) -> None:
+        self.gate.named.set_rate(rate_per_s, since, now)
 
     def set_pace(self, pace: Pace) -> None:
         self.runs.set_pace(pace)
@@ -142,7 +142,7 @@
         self.gate_opens_at = None
         return self._start_queued(now)
 
-    def release(self) -> list[int]:
+    def clear_queue(self) -> list[int]:
         queued = self.waiting.tickets()
         for ticket in queued:
             self._drop_queued(ticket)
@@ -156,7 +156,7 @@
             return _reject(ErrorCode.DEADLINE, 0.0)
         throttle = self._throttle(profile.kind)
         if not profile.is_call and not throttle.admits(now):
-            return _reject(ErrorCode.CALLS_SHORT, throttle.come_back_ms())
+            return _reject(ErrorCode.CALLS_SHORT, throttle.retry_after_ms())
         if profile.attempt == 1 and (silence := self.times.silence_ms(now)):
             # Failure: a neighbour takes the processor for a moment, and what arrives in that moment
             # runs ten times slower although others have room. Turned away at once, it costs its
@@ -167,7 +167,7 @@
             # that arrives now takes four times as long here, although others are quick. Turned away
             # at once it costs a hop; whoever asks again has found nobody quicker.
             return _reject(ErrorCode.SLOWED, self.pace.quick_in_ms(now))
-        if profile.attempt == 1 and (wait_ms := self._long_wait_ms(profile, now)):
+        if profile.attempt == 1 and (wait_ms := self._excessive_wait_ms(profile, now)):
             # Failure: a server that has named a limit lets what arrives wait for its turn, late,
             # though others have room. Turned away at once it costs a hop.
             return _reject(ErrorCode.RATE_LIMITED, wait_ms)
@@ -175,7 +175,7 @@
         due = self.dues[ticket] = self.runs.due(profile, now)
         self.workspaces.asked(profile.workspace, work_ms, now)
         over_share = self.workspaces.is_over(profile.workspace, work_ms, now)
-        self.standings[ticket] = standing_of(profile, due, over_share)
+        self.standings[ticket] = priority_of(profile, due, over_share)
         if self._may_start(profile.urgent, now) and not self.runs.waits(profile, now):
             decision = self._start_or_reject(ticket, profile, remaining_ms, now)
         else:
@@ -280,7 +280,7 @@
             late += self._first_attempts()
         if self.recheck_at is not None:
             self.recheck_at = None
-            late += self._pushed_back(service_ms, now)
+            late += self._drop_displaced(service_ms, now)
         return late
 
     def next_expiry(self) -> float | None:
@@ -289,13 +289,13 @@
         looks = (self.recheck_at, self._next_stall(), self.resume_at, self.gate_opens_at)
         return min([self._first_late(), *(each for each in looks if each is not None)])
 
-    def come_back_ms(self, now: float) -> int:
+    def retry_after_ms(self, now: float) -> int:
         waiting = len(self.waiting)
         ahead = waiting + max(0, self.in_use + 1 - self.limit)
         slot_ms = ahead * self.times.expected_ms(now) / self.limit
         return max(1, round(max(slot_ms, self.gate.wait_s(waiting, now) * 1000)))
 
-    def short_workspaces(self, now: float) -> frozenset[str]:
+    def workspaces_over_share(self, now: float) -> frozenset[str]:
         return self.workspaces.over(now) if self.waiting else frozenset()
 
     def report(self, now: float) -> LoadReport:
@@ -325,7 +325,7 @@
         opens_at = self.gate.opens_at(now)
         self.gate_opens_at = opens_at if opens_at > now and self.in_use < self.limit else None
 
-    def _long_wait_ms(self, profile: CallProfile, now: float) -> float:
+    def _excessive_wait_ms(self, profile: CallProfile, now: float) -> float:
         """Return the wait for the server's named limit where it makes a request late, else 0.
 
         Without a goal late is what waits for longer than it runs.
@@ -337,9 +337,9 @@
         borne_ms = work_ms if math.isinf(profile.goal) else (profile.goal - now) * 1000 - work_ms
         return wait_ms if wait_ms > borne_ms else 0.0
 
-    def _gate_wait_ms(self, ahead: int, standing: Standing, now: float) -> float:
+    def _gate_wait_ms(self, ahead: int, standing: QueuePriority, now: float) -> float:
         """Return the wait for the gate behind ``ahead`` others, in milliseconds."""
-        left = max(LEAST_LEFT, 1 - self.shares.before(standing, self.limit))
+        left = max(LEAST_LEFT, 1 - self.shares.share_ahead(standing, self.limit))
         return self.gate.wait_s(ahead, now) * 1000 / left
 
     def _has_slot(self, urgent: bool) -> bool:
@@ -358,7 +358,7 @@
         """
         return self.in_use * 2 >= self.limit or len(self.profiles) > self.in_use
 
-    def _wait_ms(self, ahead: int, standing: Standing, service_ms: float) -> float:
+    def _wait_ms(self, ahead: int, standing: QueuePriority, service_ms: float) -> float:
         """Return the expected wait behind ``ahead`` others, in milliseconds.
 
         A slot frees ``limit`` times in a service time. Of those that a request could get, what goes
@@ -367,7 +367,7 @@
         when it is too late for them.
         """
         limit = self.routine_limit if standing.routine else self.limit
-        left = max(LEAST_LEFT, 1 - self.shares.before(standing, self.limit))
+        left = max(LEAST_LEFT, 1 - self.shares.share_ahead(standing, self.limit))
         return (ahead + 1) * service_ms / (limit * left)
 
     def _start(self, ticket: int, profile: CallProfile, now: float) -> None:
@@ -440,7 +440,7 @@
             self._drop_queued(ticket)
         return first
 
-    def _pushed_back(self, service_ms: float, now: float) -> list[int]:
+    def _drop_displaced(self, service_ms: float, now: float) -> list[int]:
         """Drop and return the routine requests that no longer finish in time where they stand.
 
         Failure: a surge of urgent requests, or a limit that fell, leaves routine ones waiting for
--- a/src/marjoramtide/policy/admission/_factories.py
+++ b/src/marjoramtide/policy/admission/_factories.py
@@ -2,7 +2,7 @@
 
 from marjoramtide.policy.admission._admission import Admission
 from marjoramtide.policy.admission._edf_admission import EdfAdmission
-from marjoramtide.policy.admission._limiters import make_limiter
+from marjoramtide.policy.admission._limiter_factory import make_limiter
 from marjoramtide.settings import RouteSettings
 
 
--- a/src/marjoramtide/policy/admission/_fixed_limiter.py
+++ b/src/marjoramtide/policy/admission/_fixed_limiter.py
@@ -2,11 +2,11 @@
 
 import attrs
 
-from marjoramtide.policy.admission._limiter import Limiter
+from marjoramtide.policy.admission._concurrency_limiter import ConcurrencyLimiter
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class FixedLimiter(Limiter):
+class FixedLimiter(ConcurrencyLimiter):
     """Runs as many requests at once as the backend server has slots."""
 
     slots: int
@@ -15,7 +15,7 @@
     def limit(self) -> int:
         return max(1, self.slots)
 
-    def fresh(self) -> Limiter:
+    def fresh(self) -> ConcurrencyLimiter:
         return self
 
     def observe(self, duration_ms: float, pressed: bool, succeeded: bool, running: int = 1) -> None:
--- a/src/marjoramtide/policy/admission/_knee_limiter.py
+++ b/src/marjoramtide/policy/admission/_knee_limiter.py
@@ -6,11 +6,11 @@
 import attrs
 
 from marjoramtide.policy._smoothed import Smoothed
-from marjoramtide.policy.admission._limiter import Limiter
+from marjoramtide.policy.admission._concurrency_limiter import ConcurrencyLimiter
 
 # The share of the slots that a server begins with that nothing is known of yet. Those that slow
 # down when nearly full do so in the last two fifths; what is too low is found out under pressure.
-FIRST_SHARE = 0.8
+INITIAL_LIMIT_SHARE = 0.8
 # Executions that must have ended at some number at once before it is told from lower ones. Single
 # times differ by a third of their mean to two thirds; the mean of eight is known to 12 to 24 in a
 # hundred, and what is looked for is a third and more.
@@ -35,7 +35,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class KneeLimiter(Limiter):
+class KneeLimiter(ConcurrencyLimiter):
     """Finds the number of requests at once with which a backend server does the most.
 
     Failure: a server takes 1.7 times as long for everything while over four fifths of its slots are
@@ -63,13 +63,13 @@
 
     @limit_now.default
     def _first_limit(self) -> int:
-        return max(1, int(FIRST_SHARE * self.slots + 1e-9))
+        return max(1, int(INITIAL_LIMIT_SHARE * self.slots + 1e-9))
 
     @property
     def limit(self) -> int:
         return self.limit_now
 
-    def fresh(self) -> Limiter:
+    def fresh(self) -> ConcurrencyLimiter:
         return KneeLimiter(self.slots)
 
     def observe(self, duration_ms: float, pressed: bool, succeeded: bool, running: int = 1) -> None:
--- a/src/marjoramtide/policy/admission/_cut.py
+++ b/src/marjoramtide/policy/admission/_limit_reduction.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Cut:
+class LimitReduction:
     """How long executions took before a cut and how long they take after it.
 
     ``began_at`` is the limit before. The first ``began_at`` executions that end after the cut don't
--- a/src/marjoramtide/policy/admission/_limiters.py
+++ b/src/marjoramtide/policy/admission/_limiter_factory.py
@@ -4,15 +4,15 @@
 
 from marjoramtide.policy._unknown_policy import unknown_policy
 from marjoramtide.policy.admission._adaptive_limiter import AdaptiveLimiter
+from marjoramtide.policy.admission._concurrency_limiter import ConcurrencyLimiter
 from marjoramtide.policy.admission._fixed_limiter import FixedLimiter
 from marjoramtide.policy.admission._knee_limiter import KneeLimiter
-from marjoramtide.policy.admission._limiter import Limiter
 from marjoramtide.settings import RouteSettings
 
 LIMITERS = ("adaptive", "fixed", "knee")
 
 
-def make_limiter(settings: RouteSettings) -> Limiter:
+def make_limiter(settings: RouteSettings) -> ConcurrencyLimiter:
     """Build the limiter; raises ``bad-settings`` for a name that isn't one of ``LIMITERS``."""
     if settings.limiter == "adaptive":
         return AdaptiveLimiter(settings.slots, settings.min_limit or math.ceil(settings.slots / 2))
--- a/src/marjoramtide/policy/admission/_standing_shares.py
+++ b/src/marjoramtide/policy/admission/_priority_shares.py
@@ -2,26 +2,26 @@
 
 import attrs
 
-from marjoramtide.policy.admission._standing import Standing
+from marjoramtide.policy.admission._queue_priority import QueuePriority
 
 # The weight of one start: the shares are those of some twenty starts, whatever time these take.
 WEIGHT = 0.05
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class StandingShares:
+class PriorityShares:
     """The work that was started of late, by what goes first, and how busy that kept the slots.
 
     ``interval_s`` and ``mean_ms`` are smoothed over starts, so that the same holds for a server
     whose work takes milliseconds and for one whose work takes seconds.
     """
 
-    work_ms: dict[Standing, float] = attrs.Factory(dict)
+    work_ms: dict[QueuePriority, float] = attrs.Factory(dict)
     interval_s: float = 0.0
     mean_ms: float = 0.0
     last_start: float | None = None
 
-    def started(self, standing: Standing, work_ms: float, now: float) -> None:
+    def started(self, standing: QueuePriority, work_ms: float, now: float) -> None:
         """Note that a request began which needs so much work."""
         for place in self.work_ms:
             self.work_ms[place] *= 1 - WEIGHT
@@ -31,7 +31,7 @@
         self.mean_ms += WEIGHT * (work_ms - self.mean_ms) if self.mean_ms else work_ms
         self.last_start = now
 
-    def before(self, standing: Standing, slots: int) -> float:
+    def share_ahead(self, standing: QueuePriority, slots: int) -> float:
         """Return the share (0 to 1) of the slots that is taken by what goes before a request.
 
         Failure: more comes than can be done, and a request whose goal has passed waits for a late
--- a/src/marjoramtide/policy/admission/_standing.py
+++ b/src/marjoramtide/policy/admission/_queue_priority.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(slots=True, order=True)
-class Standing:
+class QueuePriority:
     """What is smaller goes first.
 
     ``late`` where the goal can no longer be met, ``over_share`` where the workspace has had more of
@@ -36,11 +36,11 @@
         return order + AFTER_ALL_OTHERS_S if self.late else order
 
 
-def standing_of(profile: CallProfile, due: float, over_share: bool) -> Standing:
+def priority_of(profile: CallProfile, due: float, over_share: bool) -> QueuePriority:
     """Return the standing of a request that is due at a time.
 
     A call stands for the request that waits for it, which holds a slot elsewhere: it is never held
     back for its workspace.
     """
     late = due > profile.goal
-    return Standing(late, not profile.urgent, profile.rank, over_share and not profile.is_call)
+    return QueuePriority(late, not profile.urgent, profile.rank, over_share and not profile.is_call)
--- a/src/marjoramtide/policy/admission/_rate_gate.py
+++ b/src/marjoramtide/policy/admission/_rate_limiter.py
@@ -3,7 +3,7 @@
 from abc import ABC, abstractmethod
 
 
-class RateGate(ABC):
+class RateLimiter(ABC):
     """Tells when the next request may begin. Times are in seconds of the monotonic clock."""
 
     @abstractmethod
--- a/src/marjoramtide/policy/admission/_waiting_requests.py
+++ b/src/marjoramtide/policy/admission/_request_queue.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from marjoramtide.policy.admission._class_queue import ClassQueue
+from marjoramtide.policy.admission._sorted_queue import SortedQueue
 
 
 @attrs.frozen(slots=True)
@@ -15,7 +15,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class WaitingRequests:
+class RequestQueue:
     """Tickets by class in the order in which they start, and all by when they must start.
 
     The two differ. Failure: a request waits behind others that start before it by their rank, and
@@ -23,9 +23,9 @@
     alone, it waits until its deadline, and its caller is not told when to come back.
     """
 
-    urgent: ClassQueue = attrs.Factory(ClassQueue)
-    routine: ClassQueue = attrs.Factory(ClassQueue)
-    by_start: ClassQueue = attrs.Factory(ClassQueue)
+    urgent: SortedQueue = attrs.Factory(SortedQueue)
+    routine: SortedQueue = attrs.Factory(SortedQueue)
+    by_start: SortedQueue = attrs.Factory(SortedQueue)
     places: dict[int, Place] = attrs.Factory(dict)
 
     def __len__(self) -> int:
@@ -34,7 +34,7 @@
     def __contains__(self, ticket: int) -> bool:
         return ticket in self.places
 
-    def of(self, urgent: bool) -> ClassQueue:
+    def of(self, urgent: bool) -> SortedQueue:
         """Return the tickets of a class, the next to start first."""
         return self.urgent if urgent else self.routine
 
--- a/src/marjoramtide/policy/admission/_named_rate_gate.py
+++ b/src/marjoramtide/policy/admission/_requested_rate_limiter.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from marjoramtide.policy.admission._rate_gate import RateGate
+from marjoramtide.policy.admission._rate_limiter import RateLimiter
 from marjoramtide.policy.admission._sent_requests import SentRequests
 from marjoramtide.policy.budgets import TokenBucket
 
@@ -26,7 +26,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class NamedRateGate(RateGate):
+class RequestedRateLimiter(RateLimiter):
     """Lets begin what a server has said that it takes: a token bucket of its rate.
 
     Failure: a server in need says in its answers how many requests a second it takes, and goes on
@@ -43,7 +43,7 @@
     since: float = -math.inf
     bucket: TokenBucket = attrs.Factory(lambda: TokenBucket(LEAST_PER_S, 1.0))
 
-    def name(self, rate_per_s: float | None, since: float, now: float) -> None:
+    def set_rate(self, rate_per_s: float | None, since: float, now: float) -> None:
         """Go by another limit, which was first named or last fell at ``since``."""
         if rate_per_s is not None and rate_per_s != self.named:
             rate = max(rate_per_s, LEAST_PER_S)
--- a/src/marjoramtide/policy/admission/_server_gate.py
+++ b/src/marjoramtide/policy/admission/_server_rate_limiter.py
@@ -2,14 +2,14 @@
 
 import attrs
 
-from marjoramtide.policy.admission._cold_gate import ColdGate
-from marjoramtide.policy.admission._named_rate_gate import NamedRateGate
-from marjoramtide.policy.admission._rate_gate import RateGate
+from marjoramtide.policy.admission._cold_rate_limiter import ColdRateLimiter
+from marjoramtide.policy.admission._rate_limiter import RateLimiter
+from marjoramtide.policy.admission._requested_rate_limiter import RequestedRateLimiter
 from marjoramtide.policy.admission._sent_requests import SentRequests
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class ServerGate(RateGate):
+class ServerRateLimiter(RateLimiter):
     """A gate for what a server bears while it is cold, and one for the limit that it names.
 
     Both count the same requests, so that one that is cold and names a limit gets the lesser of the
@@ -18,12 +18,12 @@
 
     began_at: float
     sent: SentRequests = attrs.Factory(SentRequests)
-    cold: ColdGate = attrs.field(init=False)
-    named: NamedRateGate = attrs.field(init=False)
+    cold: ColdRateLimiter = attrs.field(init=False)
+    named: RequestedRateLimiter = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.cold = ColdGate(self.began_at, self.sent)
-        self.named = NamedRateGate(self.sent)
+        self.cold = ColdRateLimiter(self.began_at, self.sent)
+        self.named = RequestedRateLimiter(self.sent)
 
     def server_started(self, now: float) -> None:
         """Begin with another start of the server."""
--- a/src/marjoramtide/policy/admission/_class_queue.py
+++ b/src/marjoramtide/policy/admission/_sorted_queue.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class ClassQueue:
+class SortedQueue:
     """Tickets in the order of a time, the earliest first.
 
     A sorted list instead of a heap, because admission asks how many are ahead of a time: a
--- a/src/marjoramtide/serving/_service.py
+++ b/src/marjoramtide/serving/_service.py
@@ -153,7 +153,7 @@
     def note_cold(self, left_s: float) -> None:
         """Take in for how much longer the backend server is cold, in seconds."""
         now = self.clock.monotonic()
-        self.admission.note_cold(left_s, now)
+        self.admission.set_cold_time(left_s, now)
         self.queue.resume(now)
 
     def note_statement(self, statement: ServerStatement | None, since: float) -> None:
@@ -164,7 +164,7 @@
         now = self.clock.monotonic()
         self.statement = statement
         rate = None if statement is None else statement.rate_per_s
-        self.admission.name_rate(rate, since, now)
+        self.admission.set_rate_limit(rate, since, now)
         self.queue.resume(now)
         if self.queue.waiting:
             # What waited for a lower limit is looked at by the new one.
--- a/src/marjoramtide/serving/_slot_queue.py
+++ b/src/marjoramtide/serving/_slot_queue.py
@@ -68,9 +68,9 @@
         """Refuse at once what can no longer finish in time."""
         now = self.clock.monotonic()
         expired = self.admission.expire(now)
-        come_back_ms = self.admission.come_back_ms(now) if expired else 0
+        retry_after_ms = self.admission.retry_after_ms(now) if expired else 0
         reason = "it could no longer finish in time"
-        self.give_up(expired, ErrorCode.DEADLINE, reason, come_back_ms)
+        self.give_up(expired, ErrorCode.DEADLINE, reason, retry_after_ms)
         self.start(self.admission.resume(now))
         self.schedule_expiry()
 
@@ -80,7 +80,7 @@
         For a backend server that leaves: what waits for it would reach it seconds after it was told
         that nothing new would.
         """
-        self.give_up(self.admission.release(), code, "the backend server takes nothing more")
+        self.give_up(self.admission.clear_queue(), code, "the backend server takes nothing more")
         self.schedule_expiry()
 
     def give_up(
