--- a/bench/model/_mechanisms.py
+++ b/bench/model/_mechanisms.py
@@ -118,8 +118,8 @@
     Mechanism("first moments", f"{INGRESS}._start_up", "START_UP_S", "0.0"),
     Mechanism(
         "places dealt to refused callers",
-        f"{POLICY}.budgets._come_back_hint",
-        "ComeBackHint.next_ms",
+        f"{POLICY}.budgets._retry_after_hint",
+        "RetryAfterHint.next_ms",
         "lambda self, base_ms, rate_per_s, now: max(1, round(base_ms))",
     ),
     Mechanism("spread of come-back hints", f"{INGRESS}._attempts", "SPREAD", "1.0"),
--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -8,7 +8,7 @@
 
 from features.policy_fakes import START
 from marjoramtide.membership import Member, MemberState
-from marjoramtide.policy import ComeBackHint, MeasuringBudget, RetryBudget, make_selector
+from marjoramtide.policy import HealthCheckBudget, RetryAfterHint, RetryBudget, make_selector
 from marjoramtide.settings import RouteSettings
 
 
@@ -48,7 +48,7 @@
 
 @given("{count:d} callers are refused at the same moment by a service of {rate:d} answers a second")
 def step_callers(context: Any, count: int, rate: int) -> None:
-    hint = ComeBackHint(random.Random(1))
+    hint = RetryAfterHint(random.Random(1))
     context.returns = [hint.next_ms(20.0, float(rate), START) for _ in range(count)]
 
 
@@ -72,7 +72,7 @@
 
 @given("a measuring budget of 1 read a second and {share:g} of {slots:d} slots")
 def step_measuring(context: Any, share: float, slots: int) -> None:
-    context.measuring = lambda: MeasuringBudget(per_s=1.0, share=share, slots=slots)
+    context.measuring = lambda: HealthCheckBudget(per_s=1.0, share=share, slots=slots)
 
 
 @then(
@@ -90,9 +90,9 @@
     reads = 0
     for now in (START + tick / 10 for tick in range(seconds * 10)):
         for succeeded in results:
-            budget.traffic(now, succeeded, took_ms)
+            budget.record_response(now, succeeded, took_ms)
         if budget.next_read_at(now) <= now:
-            budget.read(now, float(ms))
+            budget.record_read(now, float(ms))
             reads += 1
     assert low <= reads <= high, reads
 
@@ -100,9 +100,9 @@
 @given("looks of {took:d} ms at a server of {slots:d} slots whose executions take {ms:d} ms")
 def step_looks(context: Any, took: int, slots: int, ms: int) -> None:
     def interval_ms(share: float) -> float:
-        budget = MeasuringBudget(per_s=40.0, share=share, slots=slots)
-        budget.traffic(START, succeeded=True, took_ms=float(ms))
-        budget.read(START, float(took))
+        budget = HealthCheckBudget(per_s=40.0, share=share, slots=slots)
+        budget.record_response(START, succeeded=True, took_ms=float(ms))
+        budget.record_read(START, float(took))
         return budget.min_interval_s * 1000
 
     context.interval_ms = interval_ms
@@ -120,8 +120,8 @@
 @then("a failed request brings the next read forward to {seconds:g} s after the last")
 def step_read_forward(context: Any, seconds: float) -> None:
     budget = context.measuring()
-    budget.read(START)
-    budget.traffic(START + 0.1, succeeded=True)
+    budget.record_read(START)
+    budget.record_response(START + 0.1, succeeded=True)
     assert budget.next_read_at(START + 0.1) > START + seconds
-    budget.traffic(START + 0.2, succeeded=False)
+    budget.record_response(START + 0.2, succeeded=False)
     assert budget.next_read_at(START + 0.2) == START + seconds
--- a/src/marjoramtide/ingress/_class_budgets.py
+++ b/src/marjoramtide/ingress/_class_budgets.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from marjoramtide.policy import WINDOW_S, RetryBudget
+from marjoramtide.policy import RETRY_WINDOW_S, RetryBudget
 from marjoramtide.settings import RouteSettings
 
 # Being turned away costs the serving node little, so a quiet service may go on asking.
@@ -50,7 +50,7 @@
     ratio = settings.second_try_ratio
     retry_share = min(settings.retry_budget, RETRIES_PART * ratio or 1)
     hedge_share = min(settings.hedge_budget, HEDGES_PART * ratio or 1)
-    saved_s = SAVED_S if ratio else WINDOW_S
+    saved_s = SAVED_S if ratio else RETRY_WINDOW_S
     return ClassBudgets(
         RetryBudget(retry_share, 0.0 if ratio else RETRIES_PER_S, saved_s),
         RetryBudget(settings.rejection_budget, REJECTIONS_PER_S),
--- a/src/marjoramtide/policy/budgets/__init__.py
+++ b/src/marjoramtide/policy/budgets/__init__.py
@@ -3,9 +3,9 @@
 Made for storms: callers and nodes that all try again at once keep a service down after its fault.
 """
 
-from marjoramtide.policy.budgets._come_back_hint import ComeBackHint
-from marjoramtide.policy.budgets._measuring_budget import MeasuringBudget
-from marjoramtide.policy.budgets._retry_budget import WINDOW_S, RetryBudget
+from marjoramtide.policy.budgets._health_check_budget import HealthCheckBudget
+from marjoramtide.policy.budgets._retry_after_hint import RetryAfterHint
+from marjoramtide.policy.budgets._retry_budget import RETRY_WINDOW_S, RetryBudget
 from marjoramtide.policy.budgets._token_bucket import TokenBucket
 
-__all__ = ["WINDOW_S", "ComeBackHint", "MeasuringBudget", "RetryBudget", "TokenBucket"]
+__all__ = ["RETRY_WINDOW_S", "HealthCheckBudget", "RetryAfterHint", "RetryBudget", "TokenBucket"]
--- a/src/marjoramtide/policy/budgets/_measuring_budget.py
+++ b/src/marjoramtide/policy/budgets/_health_check_budget.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class MeasuringBudget:
+class HealthCheckBudget:
     """Says when the node may next read its backend server's health or load endpoint.
 
     Two bounds hold at any moment: ``per_s`` reads a second, and ``share`` of the backend server's
@@ -35,9 +35,9 @@
     last_traffic_at: float | None = None
     in_doubt: bool = True
 
-    def restarted(self) -> "MeasuringBudget":
+    def for_new_server(self) -> "HealthCheckBudget":
         """Return the budget of a server that nothing is known of; the last read still counts."""
-        fresh = MeasuringBudget(self.per_s, self.share, self.slots)
+        fresh = HealthCheckBudget(self.per_s, self.share, self.slots)
         fresh.last_read_at = self.last_read_at
         return fresh
 
@@ -62,13 +62,15 @@
         stretch = TRAFFIC_STRETCH if recent else IDLE_STRETCH
         return max(bound, min(bound * stretch, STRETCH_CEILING_S))
 
-    def read(self, now: float, took_ms: float = ASSUMED_READ_MS) -> None:
+    def record_read(self, now: float, took_ms: float = ASSUMED_READ_MS) -> None:
         """Note a read that ended now after ``took_ms``, whatever came of it."""
         self.last_read_at = now
         self.read_ms.add(max(took_ms, 0.01))
         self.in_doubt = False
 
-    def traffic(self, now: float, succeeded: bool = True, took_ms: float | None = None) -> None:
+    def record_response(
+        self, now: float, succeeded: bool = True, took_ms: float | None = None
+    ) -> None:
         """Note an answer of the backend server to a caller's request, and how long it took."""
         if took_ms is not None and succeeded:
             self.execution_ms.add(took_ms)
--- a/src/marjoramtide/policy/budgets/_come_back_hint.py
+++ b/src/marjoramtide/policy/budgets/_retry_after_hint.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class ComeBackHint:
+class RetryAfterHint:
     """Gives each refused caller a later place than the one before.
 
     Failure: a thousand callers are refused in one moment and told the same delay; they come back
--- a/src/marjoramtide/policy/budgets/_retry_budget.py
+++ b/src/marjoramtide/policy/budgets/_retry_budget.py
@@ -5,7 +5,7 @@
 import attrs
 
 # For how many seconds a budget saves its income, unless it is made with another figure.
-WINDOW_S = 10.0
+RETRY_WINDOW_S = 10.0
 
 
 @attrs.define(slots=True, eq=False, repr=False)
@@ -22,7 +22,7 @@
 
     share: float
     min_per_s: float = 1.0
-    window_s: float = WINDOW_S
+    window_s: float = RETRY_WINDOW_S
     tokens: float = attrs.field()
     updated_at: float = 0.0
 
--- a/src/marjoramtide/policy/placing/_predicted_selector.py
+++ b/src/marjoramtide/policy/placing/_predicted_selector.py
@@ -8,7 +8,7 @@
 from marjoramtide.exchange import LoadReport
 from marjoramtide.membership import Member
 from marjoramtide.policy._call_profile import CallProfile
-from marjoramtide.policy.budgets import ComeBackHint
+from marjoramtide.policy.budgets import RetryAfterHint
 from marjoramtide.policy.placing._completion_model import CompletionModel
 from marjoramtide.policy.placing._explorer import Explorer
 from marjoramtide.policy.placing._node_view import NodeView
@@ -50,12 +50,12 @@
     hedge_quantile: float
     views: dict[str, NodeView] = attrs.Factory(dict)
     spills: list[SpillOver] = attrs.Factory(lambda: [SpillOver() for _ in DISTANCES_MS])
-    hint: ComeBackHint = attrs.field(init=False)
+    hint: RetryAfterHint = attrs.field(init=False)
     rate_per_s: float = 0.0
     rate_updated_at: float | None = None
 
     def __attrs_post_init__(self) -> None:
-        self.hint = ComeBackHint(self.rng)
+        self.hint = RetryAfterHint(self.rng)
 
     def update_members(self, members: Collection[Member], now: float) -> None:
         # Members known from the start have been up for an unknown time: only those that join
--- a/src/marjoramtide/serving/_measurer.py
+++ b/src/marjoramtide/serving/_measurer.py
@@ -7,7 +7,7 @@
 
 from marjoramtide.clock import Clock
 from marjoramtide.errors import MarjoramtideError
-from marjoramtide.policy import MeasuringBudget
+from marjoramtide.policy import HealthCheckBudget
 from marjoramtide.serving._backend_protocol import BackendProtocol
 from marjoramtide.serving._backend_state import BackendState
 from marjoramtide.serving._backend_transport import BackendTransport
@@ -50,13 +50,15 @@
         self.state: BackendState | None = None
         self.failed_reads = 0
         self.path = "/health"
-        self.budget: MeasuringBudget | None = None
+        self.budget: HealthCheckBudget | None = None
         self.configured = asyncio.Event()
 
     def configure(self, settings: RouteSettings) -> None:
         """Read at the rate that these settings allow."""
         self.path = settings.health_path
-        budget = MeasuringBudget(settings.measuring_per_s, settings.measuring_share, settings.slots)
+        budget = HealthCheckBudget(
+            settings.measuring_per_s, settings.measuring_share, settings.slots
+        )
         if self.budget is not None:
             # What was learned stays: each of many changes a day would otherwise bring a read.
             budget.last_read_at = self.budget.last_read_at
@@ -69,13 +71,13 @@
         """Forget how long reads and executions took on a start that has ended; read at once."""
         self.failed_reads = 0
         if self.budget is not None:
-            self.budget = self.budget.restarted()
+            self.budget = self.budget.for_new_server()
 
     def traffic(self, succeeded: bool, took_ms: float) -> None:
         """Note the end of a request: reads may be rarer where it went well, and come sooner where
         it failed. ``took_ms`` tells what share of the capacity a read costs."""
         if self.budget is not None:
-            self.budget.traffic(self.clock.monotonic(), succeeded, took_ms)
+            self.budget.record_response(self.clock.monotonic(), succeeded, took_ms)
 
     async def run(self) -> None:
         """Read until cancelled, from the first settings on.
@@ -116,7 +118,7 @@
         started = self.clock.monotonic()
         if not self.path:
             # Nothing to read: what becomes of requests is all there is to know.
-            self.budget.read(started)
+            self.budget.record_read(started)
             return BackendState.READY
         try:
             answer = await self.transport.read(self.path, READ_TIMEOUT_S)
@@ -124,7 +126,7 @@
         except (MarjoramtideError, TimeoutError):
             reading = HealthReading(BackendState.DOWN, answered=False)
         now = self.clock.monotonic()
-        self.budget.read(now, (now - started) * 1000)
+        self.budget.record_read(now, (now - started) * 1000)
         self.metrics.count("serving.measuring_reads")
         state = reading.state
         if self.read_listener is not None:
