--- a/bench/evacuation/_evacuation_network.py
+++ b/bench/evacuation/_evacuation_network.py
@@ -12,7 +12,7 @@
 from bench.model._virtual_loop import LoopClock
 from marjoramtide.evacuation import EvacuationService, make_evacuations
 from marjoramtide.membership import Member, MemberState
-from marjoramtide.policy import Evacuated
+from marjoramtide.policy import EvacuationSnapshot
 
 DATA_CENTRES = ("nadi-hall", "lautoka-hall", "sigatoka-hall")
 # What a datagram carries besides the fields: mark, code, sender and the frame of a list.
@@ -77,7 +77,7 @@
 
     def evacuate(self, name: str, watchers: Iterable[int]) -> None:
         """Have the store tell some nodes of an evacuation."""
-        told = Evacuated(7, frozenset((name,)))
+        told = EvacuationSnapshot(7, frozenset((name,)))
         for number in watchers:
             self.loop.call_later(self.rng.uniform(*STORE_S), self.nodes[number].take_stored, told)
 
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -60,7 +60,7 @@
 from marjoramtide.platform._configuration import OperatorConfiguration
 from marjoramtide.platform._heartbeat import read_departure, read_registration
 from marjoramtide.platform._store_protocol import PlatformStore
-from marjoramtide.policy import Evacuated, ServerEnd, Suspicion
+from marjoramtide.policy import EvacuationSnapshot, ServerEnd, Suspicion
 from marjoramtide.quarantine import is_quarantine_news, pack_news, unpack_news
 from marjoramtide.quota import is_quota_message
 from marjoramtide.quota._messages import QuotaAsk, QuotaGrant
@@ -381,7 +381,7 @@
     suspicion = Suspicion(7, (ServerEnd(1, 0.5, 0.1),), (2,), 1.0)
     (fields,) = pack_news([suspicion])
     news = cbor2.dumps([5, *fields])
-    evacuated = StoreNews(1, Evacuated(7, frozenset(("a",)), (("b", 3.0),)))
+    evacuated = StoreNews(1, EvacuationSnapshot(7, frozenset(("a",)), (("b", 3.0),)))
     record = ClaimRecord("a", "n", "d", ClaimState.HELD, 5.0)
     claim = record.encode()
     foreign: dict[str, tuple[Callable[[bytes], Any], bytes]] = {
--- a/features/steps/evacuation_policy_steps.py
+++ b/features/steps/evacuation_policy_steps.py
@@ -9,7 +9,7 @@
 from bench.evacuation import SpreadPlan, spread
 from marjoramtide.checked import MalformedError
 from marjoramtide.evacuation._store_news import unpack_store_news
-from marjoramtide.policy import Evacuated, Evacuations
+from marjoramtide.policy import EvacuationSnapshot, EvacuationState
 from marjoramtide.store._versions import version_of
 
 use_step_matcher("parse")
@@ -29,13 +29,13 @@
     assert found is not None, event
     names = frozenset() if found["names"] == "none" else frozenset(found["names"].split(" and "))
     version = version_of(int(found["epoch"] or 0), int(found["revision"]))
-    context.evacuations.take(Evacuated(version, names), context.now)
+    context.evacuations.merge(EvacuationSnapshot(version, names), context.now)
 
 
 @given("a node that has heard {events}")
 def given_heard(context: Any, events: str) -> None:
     context.now = NOW
-    context.evacuations = Evacuations()
+    context.evacuations = EvacuationState()
     for event in events.split(", "):
         hear(context, event)
 
@@ -50,14 +50,14 @@
 def when_hears_of_other(context: Any, events: str) -> None:
     own, now = context.evacuations, context.now
     given_heard(context, events)
-    own.take(context.evacuations.tell(now), now)
+    own.merge(context.evacuations.snapshot(now), now)
     context.evacuations = own
 
 
 @when("another node hears of it what it tells")
 def when_told(context: Any) -> None:
-    context.other = Evacuations()
-    context.other.take(context.evacuations.tell(context.now), context.now)
+    context.other = EvacuationState()
+    context.other.merge(context.evacuations.snapshot(context.now), context.now)
 
 
 @then("{name} is evacuated at the other node for another {seconds:d} s")
--- a/features/steps/platform_evacuation_steps.py
+++ b/features/steps/platform_evacuation_steps.py
@@ -11,7 +11,7 @@
 
 from features.platform_harness import CallResult, route
 from features.steps.platform_node_steps import PATIENT, run, seat, start_fleet
-from marjoramtide.policy import Evacuated, Evacuations
+from marjoramtide.policy import EvacuationSnapshot, EvacuationState
 
 use_step_matcher("parse")
 
@@ -20,10 +20,10 @@
 WATCHED_S = 5.0
 
 
-class DeafEvacuations(Evacuations):
+class DeafEvacuations(EvacuationState):
     """Those of a node that hears nothing."""
 
-    def take(self, heard: Evacuated, now: float) -> bool:
+    def merge(self, heard: EvacuationSnapshot, now: float) -> bool:
         return False
 
 
--- a/src/marjoramtide/evacuation/_evacuation_service.py
+++ b/src/marjoramtide/evacuation/_evacuation_service.py
@@ -16,7 +16,7 @@
 from marjoramtide.evacuation._evacuation_watch import EvacuationWatch
 from marjoramtide.evacuation._store_news import StoreNews, unpack_store_news
 from marjoramtide.membership import Directory, Member
-from marjoramtide.policy import Evacuated, Evacuations
+from marjoramtide.policy import EvacuationSnapshot, EvacuationState
 from marjoramtide.settings.sync import SideNews
 from marjoramtide.store import ObjectStore
 
@@ -47,7 +47,7 @@
     publish: Publish
     clock: Clock
     changed: Callable[[frozenset[str]], None]
-    policy: Evacuations = attrs.Factory(Evacuations)
+    policy: EvacuationState = attrs.Factory(EvacuationState)
     evacuations: EvacuationStore | None = None
     watch: EvacuationWatch | None = None
     in_force: frozenset[str] = frozenset()
@@ -62,7 +62,7 @@
 
     # What the store says
 
-    def take_stored(self, told: Evacuated) -> None:
+    def take_stored(self, told: EvacuationSnapshot) -> None:
         """Take in what was read in the store, and tell the others where it is news."""
         if self._take(told, "store"):
             self.tell()
@@ -87,7 +87,7 @@
         self.timers.append(loop.call_later(TOLD_AGAIN_S, self._publish))
 
     def told(self) -> list[Any]:
-        news = StoreNews(self.store.epoch, self.policy.tell(self.clock.monotonic()))
+        news = StoreNews(self.store.epoch, self.policy.snapshot(self.clock.monotonic()))
         return news.pack()
 
     def take(self, fields: list[Any], source: str) -> None:
@@ -112,9 +112,9 @@
         others = [member for member in self.directory.members() if member.node != own]
         self.publish(self.told(), others)
 
-    def _take(self, told: Evacuated, source: str) -> bool:
+    def _take(self, told: EvacuationSnapshot, source: str) -> bool:
         now = self.clock.monotonic()
-        is_new = self.policy.take(told, now)
+        is_new = self.policy.merge(told, now)
         if is_new:
             self.refresh(source)
             self._look_again(now)
@@ -131,7 +131,7 @@
             "evacuation.in_force",
             step="evacuation.refresh",
             source=source,
-            version=self.policy.told.version,
+            version=self.policy.latest.version,
             begun=begun,
             ended=ended,
             unknown=sorted(set(begun) - self._known_places()),
@@ -139,7 +139,7 @@
         self.changed(names)
 
     def _look_again(self, now: float) -> None:
-        due = self.policy.next_change()
+        due = self.policy.next_expiry()
         if due is not None:
             loop = asyncio.get_running_loop()
             self.timers.append(loop.call_later(max(0.0, due - now) + AFTER_S, self.refresh))
@@ -232,7 +232,7 @@
             is_watcher,
             is_ours,
             service.take_stored,
-            lambda: frozenset(service.policy.kept_until),
+            lambda: frozenset(service.policy.held_until),
             clock,
             rng,
         )
--- a/src/marjoramtide/evacuation/_evacuation_store.py
+++ b/src/marjoramtide/evacuation/_evacuation_store.py
@@ -11,7 +11,7 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.evacuation._evacuation_record import EvacuationRecord, decode_record
 from marjoramtide.evacuation._store_news import is_name
-from marjoramtide.policy import Evacuated
+from marjoramtide.policy import EvacuationSnapshot
 from marjoramtide.store import ObjectStore
 
 log = structlog.get_logger()
@@ -35,19 +35,19 @@
     clock: Clock
     rng: random.Random
 
-    async def read(self) -> tuple[Evacuated, dict[str, bytes]]:
+    async def read(self) -> tuple[EvacuationSnapshot, dict[str, bytes]]:
         """Return what is evacuated, and each record as it is stored; raises as the store does."""
         listing = await self.store.list(self.prefix)
         records = {self._name(each.key): each.value for each in listing}
-        return Evacuated(listing.version, self._sound(records)), records
+        return EvacuationSnapshot(listing.version, self._sound(records)), records
 
-    async def watch(self, since: Evacuated) -> AsyncIterator[Evacuated]:
+    async def watch(self, since: EvacuationSnapshot) -> AsyncIterator[EvacuationSnapshot]:
         """Yield what is evacuated after each change; raises as the store does."""
         names = set(since.names)
         async for event in self.store.watch(self.prefix, since.version, wait=WATCH_WAIT_S):
             name = self._name(event.key)
             names.discard(name) if event.stored is None else names.add(name)
-            yield Evacuated(event.version, self._sound(names))
+            yield EvacuationSnapshot(event.version, self._sound(names))
 
     async def write(self, name: str, value: bytes) -> None:
         """Evacuate a data centre; one that is evacuated already stays so.
--- a/src/marjoramtide/evacuation/_evacuation_watch.py
+++ b/src/marjoramtide/evacuation/_evacuation_watch.py
@@ -10,7 +10,7 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.evacuation._evacuation_record import EvacuationRecord
 from marjoramtide.evacuation._evacuation_store import EvacuationStore
-from marjoramtide.policy import Evacuated
+from marjoramtide.policy import EvacuationSnapshot
 
 log = structlog.get_logger()
 
@@ -35,7 +35,7 @@
     evacuations: EvacuationStore
     is_watcher: Callable[[], bool]
     is_ours: bool
-    take: Callable[[Evacuated], None]
+    take: Callable[[EvacuationSnapshot], None]
     lost: Callable[[], frozenset[str]]
     clock: Clock
     rng: random.Random
@@ -74,7 +74,7 @@
                 raise
             log.info("evacuation.watch_gap", since=told.version)
 
-    async def read(self) -> Evacuated:
+    async def read(self) -> EvacuationSnapshot:
         """Return what is evacuated, and keep the records; raises as the store does."""
         told, records = await self.evacuations.read()
         self.records |= records
--- a/src/marjoramtide/evacuation/_store_news.py
+++ b/src/marjoramtide/evacuation/_store_news.py
@@ -5,7 +5,7 @@
 import attrs
 
 from marjoramtide.checked import MalformedError, is_number
-from marjoramtide.policy import KEPT_S, Evacuated
+from marjoramtide.policy import EVACUATION_HOLD_S, EvacuationSnapshot
 
 SUBJECT = "store"
 FIELDS = 4
@@ -20,7 +20,7 @@
     """The newest epoch of the store, and the evacuated data centres at a version of it."""
 
     epoch: int
-    evacuated: Evacuated
+    evacuated: EvacuationSnapshot
 
     def pack(self) -> list[Any]:
         """Return the news as it travels.
@@ -29,7 +29,7 @@
         load, which has more, and passes this one over.
         """
         told = self.evacuated
-        kept = [[name, round(left_s * 1000)] for name, left_s in told.kept_s]
+        kept = [[name, round(left_s * 1000)] for name, left_s in told.held_s]
         return [[SUBJECT, self.epoch, told.version, sorted(told.names), kept]]
 
 
@@ -50,8 +50,8 @@
         raise MalformedError("no lists of data centres")
     if max(len(names), len(kept)) > MOST_NAMES or not all(map(is_name, names)):
         raise MalformedError("no names of data centres")
-    kept_s = tuple(map(unpack_kept, kept))
-    return StoreNews(epoch, Evacuated(version, frozenset(names), kept_s))
+    held_s = tuple(map(unpack_kept, kept))
+    return StoreNews(epoch, EvacuationSnapshot(version, frozenset(names), held_s))
 
 
 def unpack_kept(wire: Any) -> tuple[str, float]:
@@ -59,7 +59,7 @@
     if not isinstance(wire, list) or len(wire) != 2:
         raise MalformedError("no time of a data centre")
     name, left_ms = wire
-    if not is_name(name) or not is_number(left_ms, round(KEPT_S * 1000) + 1):
+    if not is_name(name) or not is_number(left_ms, round(EVACUATION_HOLD_S * 1000) + 1):
         raise MalformedError("no time of a data centre")
     return name, left_ms / 1000
 
--- a/src/marjoramtide/policy/__init__.py
+++ b/src/marjoramtide/policy/__init__.py
@@ -20,7 +20,7 @@
     RetryBudget,
     TokenBucket,
 )
-from marjoramtide.policy.evacuation import KEPT_S, Evacuated, Evacuations
+from marjoramtide.policy.evacuation import EVACUATION_HOLD_S, EvacuationSnapshot, EvacuationState
 from marjoramtide.policy.pace import Interference
 from marjoramtide.policy.placing import (
     SELECTORS,
@@ -44,7 +44,7 @@
 from marjoramtide.policy.statements import StartStatements
 
 __all__ = [
-    "KEPT_S",
+    "EVACUATION_HOLD_S",
     "LIMITERS",
     "MAX_ENDS",
     "RETRY_WINDOW_S",
@@ -55,8 +55,8 @@
     "CompletedRequests",
     "ConcurrencyLimiter",
     "Decision",
-    "Evacuated",
-    "Evacuations",
+    "EvacuationSnapshot",
+    "EvacuationState",
     "HealthCheckBudget",
     "HoldRule",
     "Interference",
--- a/src/marjoramtide/policy/evacuation/__init__.py
+++ b/src/marjoramtide/policy/evacuation/__init__.py
@@ -4,7 +4,7 @@
 from a copy which lacks, or still has, what the operator has written since.
 """
 
-from marjoramtide.policy.evacuation._evacuated import Evacuated
-from marjoramtide.policy.evacuation._evacuations import KEPT_S, Evacuations
+from marjoramtide.policy.evacuation._evacuation_snapshot import EvacuationSnapshot
+from marjoramtide.policy.evacuation._evacuation_state import EVACUATION_HOLD_S, EvacuationState
 
-__all__ = ["KEPT_S", "Evacuated", "Evacuations"]
+__all__ = ["EVACUATION_HOLD_S", "EvacuationSnapshot", "EvacuationState"]
--- a/src/marjoramtide/policy/evacuation/_evacuated.py
+++ b/src/marjoramtide/policy/evacuation/_evacuation_snapshot.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen(slots=True)
-class Evacuated:
+class EvacuationSnapshot:
     """The names of all data centres that were evacuated at a version of the store.
 
     ``kept_s`` holds those that a copy of the store lacks and that are evacuated all the same, with
@@ -13,4 +13,4 @@
 
     version: int = 0
     names: frozenset[str] = frozenset()
-    kept_s: tuple[tuple[str, float], ...] = ()
+    held_s: tuple[tuple[str, float], ...] = ()
--- a/src/marjoramtide/policy/evacuation/_evacuations.py
+++ b/src/marjoramtide/policy/evacuation/_evacuation_state.py
@@ -2,16 +2,16 @@
 
 import attrs
 
-from marjoramtide.policy.evacuation._evacuated import Evacuated
+from marjoramtide.policy.evacuation._evacuation_snapshot import EvacuationSnapshot
 from marjoramtide.store import epoch_of
 
 # For how long an evacuation is held to that a copy of the store lacks, in seconds. The operator
 # writes it again within seconds, unless it has been taken back.
-KEPT_S = 20.0
+EVACUATION_HOLD_S = 20.0
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Evacuations:
+class EvacuationState:
     """Keeps the newest of what was told, whatever way and in whatever order it came.
 
     All names at one version of the store are one piece of news, so that a name which was added,
@@ -28,45 +28,45 @@
     Times are in seconds of the monotonic clock.
     """
 
-    told: Evacuated = attrs.Factory(Evacuated)
-    kept_until: dict[str, float] = attrs.Factory(dict)
+    latest: EvacuationSnapshot = attrs.Factory(EvacuationSnapshot)
+    held_until: dict[str, float] = attrs.Factory(dict)
     seen: set[str] = attrs.Factory(set)
 
-    def take(self, heard: Evacuated, now: float) -> bool:
+    def merge(self, heard: EvacuationSnapshot, now: float) -> bool:
         """Take in what was told; return whether names or the store's epoch have changed by it."""
-        if heard.version < self.told.version:
+        if heard.version < self.latest.version:
             return False
-        before = (epoch_of(self.told.version), self.told.names | self.kept_until.keys())
-        if epoch_of(heard.version) > epoch_of(self.told.version):
+        before = (epoch_of(self.latest.version), self.latest.names | self.held_until.keys())
+        if epoch_of(heard.version) > epoch_of(self.latest.version):
             self.seen.clear()
-            for name in self.told.names:
-                self.kept_until[name] = now + KEPT_S
-        if heard.version > self.told.version:
-            self.told = Evacuated(heard.version, heard.names)
+            for name in self.latest.names:
+                self.held_until[name] = now + EVACUATION_HOLD_S
+        if heard.version > self.latest.version:
+            self.latest = EvacuationSnapshot(heard.version, heard.names)
             self.seen |= heard.names
-        for name, left_s in heard.kept_s:
-            self.kept_until.setdefault(name, now + min(left_s, KEPT_S))
+        for name, left_s in heard.held_s:
+            self.held_until.setdefault(name, now + min(left_s, EVACUATION_HOLD_S))
         self._forget(now)
-        return before != (epoch_of(self.told.version), self.told.names | self.kept_until.keys())
+        return before != (epoch_of(self.latest.version), self.latest.names | self.held_until.keys())
 
     def in_force(self, now: float) -> frozenset[str]:
         """Return the names of the data centres that are evacuated."""
         self._forget(now)
-        return self.told.names | self.kept_until.keys()
+        return self.latest.names | self.held_until.keys()
 
-    def tell(self, now: float) -> Evacuated:
+    def snapshot(self, now: float) -> EvacuationSnapshot:
         """Return what other nodes are told."""
-        kept = tuple((name, until - now) for name, until in sorted(self.kept_until.items()))
-        return attrs.evolve(self.told, kept_s=kept)
+        kept = tuple((name, until - now) for name, until in sorted(self.held_until.items()))
+        return attrs.evolve(self.latest, held_s=kept)
 
-    def next_change(self) -> float | None:
+    def next_expiry(self) -> float | None:
         """Return when one that is held to will be given up, if nothing is heard of it."""
-        return min(self.kept_until.values(), default=None)
+        return min(self.held_until.values(), default=None)
 
     def _forget(self, now: float) -> None:
         """Forget what is held to, once the store has had it or its time is over."""
-        self.kept_until = {
+        self.held_until = {
             name: until
-            for name, until in self.kept_until.items()
+            for name, until in self.held_until.items()
             if until > now and name not in self.seen
         }
