--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -60,7 +60,7 @@
 from marjoramtide.platform._configuration import OperatorConfiguration
 from marjoramtide.platform._heartbeat import read_departure, read_registration
 from marjoramtide.platform._store_protocol import PlatformStore
-from marjoramtide.policy import EvacuationSnapshot, ServerEnd, Suspicion
+from marjoramtide.policy import EvacuationSnapshot, ServerCrash, SuspectReport
 from marjoramtide.quarantine import is_quarantine_news, pack_news, unpack_news
 from marjoramtide.quota import is_quota_message
 from marjoramtide.quota._messages import QuotaAsk, QuotaGrant
@@ -378,7 +378,7 @@
         try_all("settings", inputs(rng("settings"), count, TREE), read_tree, end),
         try_all("envelopes", inputs(rng("envelopes"), count, envelope), decode_envelope, end),
     ]
-    suspicion = Suspicion(7, (ServerEnd(1, 0.5, 0.1),), (2,), 1.0)
+    suspicion = SuspectReport(7, (ServerCrash(1, 0.5, 0.1),), (2,), 1.0)
     (fields,) = pack_news([suspicion])
     news = cbor2.dumps([5, *fields])
     evacuated = StoreNews(1, EvacuationSnapshot(7, frozenset(("a",)), (("b", 3.0),)))
--- a/features/steps/platform_crashes_steps.py
+++ b/features/steps/platform_crashes_steps.py
@@ -8,7 +8,7 @@
 
 from features.platform_harness import CallResult, Seat
 from features.steps.platform_node_steps import run, seat
-from marjoramtide.policy import ServerEnd, Suspicion
+from marjoramtide.policy import ServerCrash, SuspectReport
 from marjoramtide.quarantine import pack_news
 
 use_step_matcher("parse")
@@ -177,8 +177,8 @@
     async def tell() -> None:
         node = seat(context, 1).node
         execution, *_ = node.serving.in_progress.values()
-        ends = (ServerEnd(1, 2.0, 0.1), ServerEnd(2, 1.0, 0.1))
-        (fields,) = pack_news([Suspicion(execution.fingerprint, ends)])
+        ends = (ServerCrash(1, 2.0, 0.1), ServerCrash(2, 1.0, 0.1))
+        (fields,) = pack_news([SuspectReport(execution.fingerprint, ends)])
         node.quarantine.take(node.membership.self_member, fields)
 
     run(context, tell())
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -19,8 +19,8 @@
     HoldRule,
     Quarantine,
     RunVerdict,
-    ServerEnd,
-    Suspicion,
+    ServerCrash,
+    SuspectReport,
 )
 from marjoramtide.quarantine import is_quarantine_news, pack_news
 
@@ -61,23 +61,23 @@
             age_s = float(numbers[1]) if "ago" in event else 0.0
             ran_s = float(event.split()[3]) if " after " in event and "begun" not in event else 0.5
             ran_s = 0.01 if "begun after" in event else ran_s
-            quarantine.take(Suspicion(REQUEST, (ServerEnd(numbers[0], age_s, ran_s),)), now)
+            quarantine.merge(SuspectReport(REQUEST, (ServerCrash(numbers[0], age_s, ran_s),)), now)
         case "completed":
             quarantine.clear(REQUEST)
         case "cleared":
-            quarantine.take(Suspicion(REQUEST, cleared=tuple(numbers)), now)
+            quarantine.merge(SuspectReport(REQUEST, cleared=tuple(numbers)), now)
         case "begun":
-            assert quarantine.judge(REQUEST, now).verdict is RunVerdict.TRIAL
+            assert quarantine.decide(REQUEST, now).verdict is RunVerdict.TRIAL
         case "a" if "trial" in event:
-            quarantine.take(Suspicion(REQUEST, trial_s=10.0), now)
+            quarantine.merge(SuspectReport(REQUEST, trial_s=10.0), now)
         case "a":
             quarantine.rule = HoldRule(after=numbers[0])
         case "nothing":
             pass
         case _ if "other ends" in event:
             for number in range(numbers[0]):
-                end = ServerEnd(1000 + number, ran_s=0.1)
-                quarantine.take(Suspicion(1000 + number, (end,)), now)
+                end = ServerCrash(1000 + number, ran_s=0.1)
+                quarantine.merge(SuspectReport(1000 + number, (end,)), now)
         case _:
             context.now += numbers[0]
 
@@ -85,26 +85,26 @@
 @given("a quarantine that has heard {events}")
 def given_heard(context: Any, events: str) -> None:
     context.quarantine, context.now = Quarantine(), 1000.0
-    context.quarantine.servers = 6
+    context.quarantine.server_count = 6
     for event in events.split(", "):
         hears(context, event)
 
 
 @then("the request runs")
 def runs(context: Any) -> None:
-    judgement = context.quarantine.judge(REQUEST, context.now)
+    judgement = context.quarantine.decide(REQUEST, context.now)
     assert judgement.verdict is RunVerdict.RUN, judgement
 
 
 @then("the request runs as a trial")
 def runs_as_trial(context: Any) -> None:
-    judgement = context.quarantine.judge(REQUEST, context.now)
+    judgement = context.quarantine.decide(REQUEST, context.now)
     assert judgement.verdict is RunVerdict.TRIAL, judgement
 
 
 @then("the request waits {seconds:g} s")
 def waits(context: Any, seconds: float) -> None:
-    judgement = context.quarantine.judge(REQUEST, context.now)
+    judgement = context.quarantine.decide(REQUEST, context.now)
     assert judgement.verdict is RunVerdict.HOLD, judgement
     assert abs(judgement.wait_s - seconds) < 0.001, judgement
 
@@ -114,8 +114,8 @@
     rng = random.Random(1)
     for number in range(count):
         context.now += 0.001
-        end = ServerEnd(1000 + number // 10)
-        context.quarantine.take(Suspicion(rng.getrandbits(64), (end,)), context.now)
+        end = ServerCrash(1000 + number // 10)
+        context.quarantine.merge(SuspectReport(rng.getrandbits(64), (end,)), context.now)
     context.now = 1002.0
 
 
@@ -374,7 +374,7 @@
 
 @given("the news of an end of a server as a bulletin")
 def given_news(context: Any) -> None:
-    suspicion = Suspicion(REQUEST, (ServerEnd(1, 0.5), ServerEnd(2)), (1,), 1.0)
+    suspicion = SuspectReport(REQUEST, (ServerCrash(1, 0.5), ServerCrash(2)), (1,), 1.0)
     (context.fields,) = pack_news([suspicion])
 
 
--- a/src/marjoramtide/policy/__init__.py
+++ b/src/marjoramtide/policy/__init__.py
@@ -32,21 +32,21 @@
     make_smooth_split,
 )
 from marjoramtide.policy.quarantine import (
-    MAX_ENDS,
+    MAX_CRASHES,
     CompletedRequests,
     HoldRule,
     Quarantine,
     RunVerdict,
-    ServerEnd,
+    ServerCrash,
     Suspect,
-    Suspicion,
+    SuspectReport,
 )
 from marjoramtide.policy.statements import StartStatements
 
 __all__ = [
     "EVACUATION_HOLD_S",
     "LIMITERS",
-    "MAX_ENDS",
+    "MAX_CRASHES",
     "RETRY_WINDOW_S",
     "SELECTORS",
     "Admission",
@@ -65,11 +65,11 @@
     "RetryBudget",
     "RunVerdict",
     "Selector",
-    "ServerEnd",
+    "ServerCrash",
     "SmoothSplit",
     "StartStatements",
     "Suspect",
-    "Suspicion",
+    "SuspectReport",
     "TokenBucket",
     "Verdict",
     "bulletin_readers",
--- a/src/marjoramtide/policy/quarantine/__init__.py
+++ b/src/marjoramtide/policy/quarantine/__init__.py
@@ -6,19 +6,19 @@
 
 from marjoramtide.policy.quarantine._completed_requests import CompletedRequests
 from marjoramtide.policy.quarantine._hold_rule import HoldRule
-from marjoramtide.policy.quarantine._judgement import Judgement, RunVerdict
 from marjoramtide.policy.quarantine._quarantine import Quarantine
-from marjoramtide.policy.quarantine._suspect import MAX_ENDS, Suspect
-from marjoramtide.policy.quarantine._suspicion import ServerEnd, Suspicion
+from marjoramtide.policy.quarantine._run_decision import RunDecision, RunVerdict
+from marjoramtide.policy.quarantine._suspect import MAX_CRASHES, Suspect
+from marjoramtide.policy.quarantine._suspect_report import ServerCrash, SuspectReport
 
 __all__ = [
-    "MAX_ENDS",
+    "MAX_CRASHES",
     "CompletedRequests",
     "HoldRule",
-    "Judgement",
     "Quarantine",
+    "RunDecision",
     "RunVerdict",
-    "ServerEnd",
+    "ServerCrash",
     "Suspect",
-    "Suspicion",
+    "SuspectReport",
 ]
--- a/src/marjoramtide/policy/quarantine/_hold_rule.py
+++ b/src/marjoramtide/policy/quarantine/_hold_rule.py
@@ -20,8 +20,8 @@
     after: int = 2
     hold_s: float = 60.0
 
-    def hold_after(self, ends: int) -> float:
+    def hold_after(self, crashes: int) -> float:
         """Return for how many seconds a request is held back after so many ends, 0 if not."""
-        if not self.after or ends < self.after:
+        if not self.after or crashes < self.after:
             return 0.0
-        return float(min(LONGEST_HOLD_S, self.hold_s * GROWTH ** (ends - self.after)))
+        return float(min(LONGEST_HOLD_S, self.hold_s * GROWTH ** (crashes - self.after)))
--- a/src/marjoramtide/policy/quarantine/_quarantine.py
+++ b/src/marjoramtide/policy/quarantine/_quarantine.py
@@ -5,10 +5,10 @@
 from collections import OrderedDict
 
 from marjoramtide.policy.quarantine._hold_rule import HoldRule
-from marjoramtide.policy.quarantine._judgement import Judgement, RunVerdict
-from marjoramtide.policy.quarantine._recent_ends import RecentEnds
+from marjoramtide.policy.quarantine._recent_crashes import RecentCrashes
+from marjoramtide.policy.quarantine._run_decision import RunDecision, RunVerdict
 from marjoramtide.policy.quarantine._suspect import Suspect
-from marjoramtide.policy.quarantine._suspicion import Suspicion
+from marjoramtide.policy.quarantine._suspect_report import SuspectReport
 
 # Suspects that are kept, 1.6 MB when full (measured). Each end of a server adds some tens, what ran
 # there.
@@ -22,8 +22,8 @@
 # hold costs is one refusal with when to come back, what a guilty request costs is a server.
 UNLIKELY = 1e-4
 
-RUN = Judgement(RunVerdict.RUN)
-TRIAL = Judgement(RunVerdict.TRIAL)
+RUN = RunDecision(RunVerdict.RUN)
+TRIAL = RunDecision(RunVerdict.TRIAL)
 
 
 class Quarantine:
@@ -45,8 +45,8 @@
 
     def __init__(self, rule: HoldRule | None = None) -> None:
         self.rule = rule or HoldRule()
-        self.servers = 1
-        self.recent = RecentEnds()
+        self.server_count = 1
+        self.recent = RecentCrashes()
         # Those of one end apart from the rest: a flood of requests that were lost with one server
         # each must not push out of memory what has ended two.
         self.weak: OrderedDict[int, Suspect] = OrderedDict()
@@ -56,40 +56,40 @@
         """Return what is held of a request."""
         return self.weak.get(fingerprint) or self.strong.get(fingerprint)
 
-    def take(self, heard: Suspicion, now: float) -> tuple[Suspect, bool]:
+    def merge(self, report: SuspectReport, now: float) -> tuple[Suspect, bool]:
         """Take in what a node has told; return the suspect, and whether anything was new."""
-        suspect = self.find(heard.fingerprint) or Suspect(heard.fingerprint)
-        is_new = suspect.take(heard, now)
-        for end in heard.ends:
+        suspect = self.find(report.fingerprint) or Suspect(report.fingerprint)
+        is_new = suspect.merge(report, now)
+        for end in report.crashes:
             self.recent.add(end.number, now - end.age_s)
         if is_new:
             suspect.heard_at = now
-            suspect.guilty = self._concludes(suspect, now)
+            suspect.is_confirmed = self._concludes(suspect, now)
             self._place(suspect)
             self._forget_old(now)
         return suspect, is_new
 
-    def judge(self, fingerprint: int, now: float) -> Judgement:
+    def decide(self, fingerprint: int, now: float) -> RunDecision:
         """Decide whether a server may begin a request now; a trial counts as begun by this."""
         suspect = self.find(fingerprint)
-        if suspect is None or not self.is_guilty(suspect):
+        if suspect is None or not self.is_restricted(suspect):
             return RUN
         wait_s = self.wait_s(suspect, now)
         if wait_s > 0:
-            return Judgement(RunVerdict.HOLD, wait_s)
+            return RunDecision(RunVerdict.HOLD, wait_s)
         suspect.trial_until = now + TRIAL_S
         return TRIAL
 
     def wait_s(self, suspect: Suspect, now: float) -> float:
         """Return for how much longer a request is held back, in seconds; 0 where it is not."""
-        if not self.is_guilty(suspect):
+        if not self.is_restricted(suspect):
             return 0.0
-        hold_s = self.rule.hold_after(suspect.blamed)
-        return max(0.0, suspect.last_end_at + hold_s - now, suspect.trial_until - now)
+        hold_s = self.rule.hold_after(suspect.crash_count)
+        return max(0.0, suspect.last_crash_at + hold_s - now, suspect.trial_until - now)
 
-    def is_guilty(self, suspect: Suspect) -> bool:
+    def is_restricted(self, suspect: Suspect) -> bool:
         """Tell whether a request is held back, or may be run as a trial only."""
-        return suspect.guilty and self.rule.hold_after(suspect.blamed) > 0
+        return suspect.is_confirmed and self.rule.hold_after(suspect.crash_count) > 0
 
     def _concludes(self, suspect: Suspect, now: float) -> bool:
         """Tell whether the ends that a request is blamed for are more than chance.
@@ -99,30 +99,30 @@
         were held back, and none by which a server had ended (played, 10 seeds). A request that ran
         for ``ran_s`` met an end by chance as often as a server ends in that time.
         """
-        ends = suspect.blamed_ends()
-        if len(ends) < self.rule.after:
+        crashes = suspect.counted_crashes()
+        if len(crashes) < self.rule.after:
             return False
-        rate = self.recent.rate(self.servers, now, suspect.ends)
-        return math.prod(min(1.0, rate * end.ran_s) for end in ends) <= UNLIKELY
+        rate = self.recent.rate(self.server_count, now, suspect.crashes)
+        return math.prod(min(1.0, rate * end.ran_s) for end in crashes) <= UNLIKELY
 
     def clear(self, fingerprint: int) -> Suspect | None:
         """Clear a request of the ends it is suspected of; ``None`` where there is none."""
         suspect = self.find(fingerprint)
         if suspect is None or not suspect.clear():
             return None
-        suspect.guilty = False
+        suspect.is_confirmed = False
         self._place(suspect)
         return suspect
 
     def held(self, now: float) -> list[Suspect]:
         """Return the suspects that are held back now."""
-        return [each for each in self.guilty() if self.wait_s(each, now) > 0]
+        return [each for each in self.restricted() if self.wait_s(each, now) > 0]
 
-    def guilty(self) -> list[Suspect]:
+    def restricted(self) -> list[Suspect]:
         """Return the suspects that are held back, or that may be run as a trial only."""
         ranks = [self.strong, self.weak] if self.rule.after == 1 else [self.strong]
         suspects = itertools.chain.from_iterable(rank.values() for rank in ranks)
-        return [each for each in suspects if self.is_guilty(each)]
+        return [each for each in suspects if self.is_restricted(each)]
 
     def __len__(self) -> int:
         return len(self.weak) + len(self.strong)
@@ -130,7 +130,7 @@
     def _place(self, suspect: Suspect) -> None:
         self.weak.pop(suspect.fingerprint, None)
         self.strong.pop(suspect.fingerprint, None)
-        rank = self.weak if suspect.blamed < 2 else self.strong
+        rank = self.weak if suspect.crash_count < 2 else self.strong
         rank[suspect.fingerprint] = suspect
 
     def _forget_old(self, now: float) -> None:
--- a/src/marjoramtide/policy/quarantine/_judgement.py
+++ b/src/marjoramtide/policy/quarantine/_run_decision.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(slots=True)
-class Judgement:
+class RunDecision:
     """The verdict, and for how many seconds a request is still held back."""
 
     verdict: RunVerdict
--- a/src/marjoramtide/policy/quarantine/_suspicion.py
+++ b/src/marjoramtide/policy/quarantine/_suspect_report.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen(slots=True)
-class ServerEnd:
+class ServerCrash:
     """One end of a backend server, by a number of 64 bits that the node beside it has drawn.
 
     ``age_s`` is how long ago that was, ``ran_s`` for how long the request had been running there
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(slots=True)
-class Suspicion:
+class SuspectReport:
     """The ends of servers that a request is suspected of, and those of which it is cleared.
 
     Both only grow, so that nodes come to hold the same whatever they hear first, twice or late, and
@@ -27,6 +27,6 @@
     """
 
     fingerprint: int
-    ends: tuple[ServerEnd, ...] = ()
+    crashes: tuple[ServerCrash, ...] = ()
     cleared: tuple[int, ...] = ()
     trial_s: float = 0.0
--- a/src/marjoramtide/quarantine/_gathered_news.py
+++ b/src/marjoramtide/quarantine/_gathered_news.py
@@ -4,22 +4,22 @@
 
 import attrs
 
-from marjoramtide.policy import ServerEnd, Suspicion
+from marjoramtide.policy import ServerCrash, SuspectReport
 
 
 @attrs.frozen(slots=True)
 class PieceOfNews:
     """A suspicion, and when it arose in seconds of the monotonic clock."""
 
-    suspicion: Suspicion
+    suspicion: SuspectReport
     arose_at: float
 
-    def told(self, now: float) -> Suspicion:
+    def told(self, now: float) -> SuspectReport:
         """Return the suspicion with its ends as long ago as they are now."""
         passed_s = now - self.arose_at
-        ends = self.suspicion.ends
-        aged = (ServerEnd(end.number, end.age_s + passed_s, end.ran_s) for end in ends)
-        return attrs.evolve(self.suspicion, ends=tuple(aged))
+        crashes = self.suspicion.crashes
+        aged = (ServerCrash(end.number, end.age_s + passed_s, end.ran_s) for end in crashes)
+        return attrs.evolve(self.suspicion, crashes=tuple(aged))
 
 
 @attrs.define(slots=True, eq=False, repr=False)
@@ -31,10 +31,10 @@
 
     pieces: list[PieceOfNews] = attrs.Factory(list)
 
-    def add(self, suspicions: Iterable[Suspicion], now: float) -> None:
+    def add(self, suspicions: Iterable[SuspectReport], now: float) -> None:
         """Take suspicions that have arisen just now."""
         self.pieces += [PieceOfNews(suspicion, now) for suspicion in suspicions]
 
-    def told(self, now: float) -> Iterator[Suspicion]:
+    def told(self, now: float) -> Iterator[SuspectReport]:
         """Yield them as they are to be told now."""
         return (piece.told(now) for piece in self.pieces)
--- a/src/marjoramtide/quarantine/_news_codec.py
+++ b/src/marjoramtide/quarantine/_news_codec.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from marjoramtide.checked import MalformedError, is_number
-from marjoramtide.policy import MAX_ENDS, ServerEnd, Suspicion
+from marjoramtide.policy import MAX_CRASHES, ServerCrash, SuspectReport
 
 SUBJECT = "quarantine"
 FIELDS = 4
@@ -19,7 +19,7 @@
 LONGEST_MS = 7 * 86_400_000
 
 
-def pack_news(suspicions: Iterable[Suspicion]) -> Iterator[list[Any]]:
+def pack_news(suspicions: Iterable[SuspectReport]) -> Iterator[list[Any]]:
     """Yield the fields of as many bulletins as the suspicions need.
 
     All of it is one field: a node that does not know such news takes a bulletin for a report of
@@ -28,7 +28,7 @@
     batch: list[Any] = [SUBJECT]
     room = ROOM_BYTES
     for suspicion in suspicions:
-        size = FRAME_BYTES + END_BYTES * len(suspicion.ends)
+        size = FRAME_BYTES + END_BYTES * len(suspicion.crashes)
         size += CLEARED_BYTES * len(suspicion.cleared)
         if size > room and len(batch) > 1:
             yield [batch]
@@ -38,7 +38,7 @@
                 suspicion.fingerprint,
                 [
                     [end.number, round(end.age_s * 1000), round(end.ran_s * 1000)]
-                    for end in suspicion.ends
+                    for end in suspicion.crashes
                 ],
                 list(suspicion.cleared),
                 round(suspicion.trial_s * 1000),
@@ -63,33 +63,35 @@
     return isinstance(news, list) and news[:1] == [SUBJECT]
 
 
-def unpack_news(fields: list[Any]) -> list[Suspicion]:
+def unpack_news(fields: list[Any]) -> list[SuspectReport]:
     """Return the suspicions in a bulletin; raises ``MalformedError`` where one of them is none."""
     return [unpack_suspicion(each) for each in fields[0][1:]]
 
 
-def unpack_suspicion(wire: Any) -> Suspicion:
+def unpack_suspicion(wire: Any) -> SuspectReport:
     """Return one suspicion; what a later version has added at the end is passed over."""
     if not isinstance(wire, list) or len(wire) < FIELDS:
         raise MalformedError("no suspicion")
-    fingerprint, ends, cleared, trial_ms = wire[:FIELDS]
-    if not all(isinstance(each, list) and len(each) <= MAX_ENDS for each in (ends, cleared)):
+    fingerprint, crashes, cleared, trial_ms = wire[:FIELDS]
+    if not all(isinstance(each, list) and len(each) <= MAX_CRASHES for each in (crashes, cleared)):
         raise MalformedError("no list of ends")
     if not all(map(is_number, (fingerprint, *cleared))):
         raise MalformedError("no number of 64 bits")
     if not is_duration(trial_ms):
         raise MalformedError("no duration of a trial")
-    return Suspicion(fingerprint, tuple(map(unpack_end, ends)), tuple(cleared), trial_ms / 1000)
+    return SuspectReport(
+        fingerprint, tuple(map(unpack_end, crashes)), tuple(cleared), trial_ms / 1000
+    )
 
 
-def unpack_end(wire: Any) -> ServerEnd:
+def unpack_end(wire: Any) -> ServerCrash:
     """Return one end of a server."""
     if not isinstance(wire, list) or len(wire) < END_FIELDS:
         raise MalformedError("no end of a server")
     number, age_ms, ran_ms = wire[:END_FIELDS]
     if not is_number(number) or not all(map(is_duration, (age_ms, ran_ms))):
         raise MalformedError("no number or time of an end")
-    return ServerEnd(number, age_ms / 1000, ran_ms / 1000)
+    return ServerCrash(number, age_ms / 1000, ran_ms / 1000)
 
 
 def is_duration(value: Any) -> bool:
--- a/src/marjoramtide/quarantine/_news_spreader.py
+++ b/src/marjoramtide/quarantine/_news_spreader.py
@@ -8,7 +8,7 @@
 
 from marjoramtide.clock import Clock
 from marjoramtide.membership import Directory, Member
-from marjoramtide.policy import Quarantine, Suspect, Suspicion
+from marjoramtide.policy import Quarantine, Suspect, SuspectReport
 from marjoramtide.quarantine._gathered_news import GatheredNews
 from marjoramtide.quarantine._news_codec import pack_news, pack_question
 
@@ -44,7 +44,7 @@
 # met within 0.03 to 0.16 s; after a loss of all there is nobody to meet, and callers wait.
 MEETING_S = 0.2
 # The answer where nothing is held back.
-NOTHING = Suspicion(0)
+NOTHING = SuspectReport(0)
 
 Publish = Callable[[list[Any], Iterable[Member]], None]
 
@@ -98,7 +98,7 @@
         if self.timer is None:
             self.timer = asyncio.get_running_loop().call_later(CLEARED_S, self._tell_cleared)
 
-    def tell_beside(self, service: str, suspicions: Sequence[Suspicion]) -> None:
+    def tell_beside(self, service: str, suspicions: Sequence[SuspectReport]) -> None:
         """Tell the nodes beside servers of any service: at once, or with what else is lost soon."""
         gathered = self.gathered.get(service)
         if gathered is not None:
@@ -140,7 +140,7 @@
     def answer(self, asking: Member) -> None:
         """Tell one node what is held back, or that nothing is."""
         now = self.clock.monotonic()
-        held = [suspect.told(now) for suspect in self.policy.guilty()]
+        held = [suspect.to_report(now) for suspect in self.policy.restricted()]
         self._publish(held or [NOTHING], [asking])
 
     def _ask(self) -> None:
@@ -165,11 +165,11 @@
         mates = self.mates()
         self._tell(self._found(self.due), mates)
         self.due = {each: left - 1 for each, left in self.due.items() if left > 1}
-        guilty = self.policy.guilty()
-        if guilty and mates and self.rng.random() < SHARE_OF_ROUNDS:
-            chosen = self.rng.sample(guilty, min(len(guilty), TOLD_AT_RANDOM))
+        restricted = self.policy.restricted()
+        if restricted and mates and self.rng.random() < SHARE_OF_ROUNDS:
+            chosen = self.rng.sample(restricted, min(len(restricted), TOLD_AT_RANDOM))
             self._tell(chosen, [self.rng.choice(mates)])
-        if not self.due and not guilty:
+        if not self.due and not restricted:
             self.news.clear()
 
     def _tell_gathered(self, service: str) -> None:
@@ -192,9 +192,9 @@
 
     def _tell(self, suspects: Iterable[Suspect], readers: Sequence[Member]) -> None:
         now = self.clock.monotonic()
-        self._publish((suspect.told(now) for suspect in suspects), readers)
+        self._publish((suspect.to_report(now) for suspect in suspects), readers)
 
-    def _publish(self, suspicions: Iterable[Suspicion], readers: Sequence[Member]) -> None:
+    def _publish(self, suspicions: Iterable[SuspectReport], readers: Sequence[Member]) -> None:
         for fields in pack_news(suspicions):
             self.publish(fields, readers)
 
--- a/src/marjoramtide/quarantine/_quarantine_service.py
+++ b/src/marjoramtide/quarantine/_quarantine_service.py
@@ -17,9 +17,9 @@
     HoldRule,
     Quarantine,
     RunVerdict,
-    ServerEnd,
+    ServerCrash,
     Suspect,
-    Suspicion,
+    SuspectReport,
 )
 from marjoramtide.quarantine._news_codec import unpack_news
 from marjoramtide.quarantine._news_spreader import NewsSpreader, Publish
@@ -84,7 +84,7 @@
                 self._refuse(request, suspect, wait_s)
 
     def begin(self, request: Request, fingerprint: int) -> None:
-        judgement = self.policy.judge(fingerprint, self.clock.monotonic())
+        judgement = self.policy.decide(fingerprint, self.clock.monotonic())
         if judgement.verdict is RunVerdict.RUN:
             return
         suspect = self.policy.find(fingerprint)
@@ -181,27 +181,27 @@
         self.spreader.member_met(member)
 
     def _count_servers(self) -> None:
-        self.policy.servers = 1 + len(self.spreader.mates())
+        self.policy.server_count = 1 + len(self.spreader.mates())
 
-    def _take(self, heard: Suspicion, now: float, label: str = "") -> Suspect:
+    def _take(self, heard: SuspectReport, now: float, label: str = "") -> Suspect:
         was_guilty = self._is_guilty(heard.fingerprint)
-        suspect, is_new = self.policy.take(heard, now)
+        suspect, is_new = self.policy.merge(heard, now)
         suspect.label = suspect.label or label
-        is_guilty = self.policy.is_guilty(suspect)
-        if is_new and is_guilty:
+        is_restricted = self.policy.is_restricted(suspect)
+        if is_new and is_restricted:
             self.held_listener(heard.fingerprint)
             self.spreader.keep_telling()
-        if is_guilty and not was_guilty:
+        if is_restricted and not was_guilty:
             self.metrics.count("quarantine.verdicts")
             wait_s = round(self.policy.wait_s(suspect, now), 1)
             log.warning("quarantine.held", step=STEP, wait_s=wait_s, **describe(suspect))
-        elif was_guilty and not is_guilty:
+        elif was_guilty and not is_restricted:
             self._note_release(suspect, "another-node")
         return suspect
 
     def _is_guilty(self, fingerprint: int) -> bool:
         suspect = self.policy.find(fingerprint)
-        return suspect is not None and self.policy.is_guilty(suspect)
+        return suspect is not None and self.policy.is_restricted(suspect)
 
     def clear(self, fingerprint: int, by: str) -> bool:
         """Clear a request of what it is suspected of; return whether there was anything."""
@@ -231,7 +231,7 @@
                 "wait_s": round(self.policy.wait_s(suspect, now), 1),
                 "refused": suspect.refused,
             }
-            for suspect in self.policy.guilty()
+            for suspect in self.policy.restricted()
         ]
 
     def release(self, fingerprint: int) -> None:
@@ -244,9 +244,9 @@
             )
 
 
-def blamed_for(run: Run, end: int, now: float) -> Suspicion:
+def blamed_for(run: Run, end: int, now: float) -> SuspectReport:
     """Return the suspicion that a server has ended just now by one of its runs."""
-    return Suspicion(run.fingerprint, (ServerEnd(end, ran_s=now - run.started),))
+    return SuspectReport(run.fingerprint, (ServerCrash(end, ran_s=now - run.started),))
 
 
 def describe(suspect: Suspect) -> dict[str, Any]:
@@ -254,7 +254,7 @@
     return {
         "fingerprint": f"{suspect.fingerprint:016x}",
         "what": suspect.label,
-        "ends": suspect.blamed,
+        "ends": suspect.crash_count,
     }
 
 
