--- a/bench/model/_model_node.py
+++ b/bench/model/_model_node.py
@@ -21,7 +21,7 @@
 )
 from marjoramtide.ingress import Calls, Dispatcher, StartUp
 from marjoramtide.membership import Member, MemberState
-from marjoramtide.policy import StartStatements
+from marjoramtide.policy import StatementTracker
 from marjoramtide.serving import BackendState, HealthReading, Measurer, ServerLoad, ServingService
 from marjoramtide.settings import Place, RouteSettings
 from marjoramtide.telemetry import Metrics, Tracer
@@ -50,7 +50,7 @@
         self.view = make_view(text, Place(member.region, member.data_centre), self.clock)
         self.metrics = Metrics()
         tracer = Tracer(member.node, self.clock, rng)
-        self.statements = StartStatements(member.node)
+        self.statements = StatementTracker(member.node)
         self.transport = ModelTransport(server, work, self.note_load, self.note_statement)
         self.serving = ServingService(
             member.service, self.transport, None, self.view, self.clock, self.metrics, tracer
@@ -102,7 +102,7 @@
 
     def note_statement(self, said: ServerStatement, sent_at: float) -> None:
         before = self.statements.statement
-        self.statements.answer(said, sent_at, self.clock.monotonic())
+        self.statements.record_response(said, sent_at, self.clock.monotonic())
         if self.statements.statement != before:
             self.serving.note_statement(self.statements.statement, self.statements.since)
 
--- a/src/marjoramtide/daemon/_own_statements.py
+++ b/src/marjoramtide/daemon/_own_statements.py
@@ -7,7 +7,7 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import ServerStatement
-from marjoramtide.policy import StartStatements
+from marjoramtide.policy import StatementTracker
 from marjoramtide.telemetry import Metrics
 
 log = structlog.get_logger()
@@ -23,7 +23,7 @@
         self.clock = clock
         self.metrics = metrics
         self.changed = changed
-        self.said = StartStatements()
+        self.said = StatementTracker()
 
     @property
     def statement(self) -> ServerStatement:
@@ -32,21 +32,21 @@
 
     def begin(self, instance: str) -> None:
         """Go on with another start, which owes nothing of what the former one said."""
-        self.said = StartStatements(instance)
+        self.said = StatementTracker(instance)
 
     def answer(self, said: ServerStatement, malformed: tuple[str, ...], asked_at: float) -> None:
         """Take in what the answer to a request says, which was sent at ``asked_at``."""
         self._note_malformed(malformed)
-        self._take(lambda now: self.said.answer(said, asked_at, now))
+        self._take(lambda now: self.said.record_response(said, asked_at, now))
 
     def health(self, said: ServerStatement, malformed: tuple[str, ...], asked_at: float) -> None:
         """Take in what an answer of its health says."""
         self._note_malformed(malformed)
-        self._take(lambda now: self.said.health(said, asked_at, now))
+        self._take(lambda now: self.said.record_health(said, asked_at, now))
 
     def told(self, said: ServerStatement) -> None:
         """Take in what another node has heard of this start."""
-        self._take(lambda now: self.said.told(said, now), by_node=True)
+        self._take(lambda now: self.said.record_peer_report(said, now), by_node=True)
 
     def _take(self, take: Callable[[float], None], *, by_node: bool = False) -> None:
         rate, leaving = self.said.rate_per_s, self.said.leaving
--- a/src/marjoramtide/policy/__init__.py
+++ b/src/marjoramtide/policy/__init__.py
@@ -41,7 +41,7 @@
     Suspect,
     SuspectReport,
 )
-from marjoramtide.policy.statements import StartStatements
+from marjoramtide.policy.statements import StatementTracker
 
 __all__ = [
     "EVACUATION_HOLD_S",
@@ -67,7 +67,7 @@
     "Selector",
     "ServerCrash",
     "SmoothSplit",
-    "StartStatements",
+    "StatementTracker",
     "Suspect",
     "SuspectReport",
     "TokenBucket",
--- a/src/marjoramtide/policy/statements/__init__.py
+++ b/src/marjoramtide/policy/statements/__init__.py
@@ -4,6 +4,6 @@
 other and nodes beside them start anew.
 """
 
-from marjoramtide.policy.statements._start_statements import StartStatements
+from marjoramtide.policy.statements._statement_tracker import StatementTracker
 
-__all__ = ["StartStatements"]
+__all__ = ["StatementTracker"]
--- a/src/marjoramtide/policy/statements/_start_statements.py
+++ b/src/marjoramtide/policy/statements/_statement_tracker.py
@@ -12,7 +12,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class StartStatements:
+class StatementTracker:
     """The newest of each thing that one start of a backend server has said.
 
     Answers overtake each other. One is newer than another for certain where its request was sent
@@ -46,20 +46,20 @@
             return None
         return ServerStatement(self.instance, self.rate_per_s, self.leaving)
 
-    def answer(self, said: ServerStatement, asked_at: float, now: float) -> None:
+    def record_response(self, said: ServerStatement, asked_at: float, now: float) -> None:
         """Take in what the answer to a request that was sent at ``asked_at`` says."""
         self.answered = True
         self._take_rate(said.rate_per_s, asked_at, now)
         self._take_leaving(said.leaving, asked_at, now)
 
-    def health(self, said: ServerStatement, asked_at: float, now: float) -> None:
+    def record_health(self, said: ServerStatement, asked_at: float, now: float) -> None:
         """Take in what an answer of its health says."""
         self.health_names |= said.rate_per_s is not None
         if self.health_names:
             self._take_rate(said.rate_per_s, asked_at, now)
         self._take_leaving(said.leaving, asked_at, now)
 
-    def told(self, said: ServerStatement, now: float) -> None:
+    def record_peer_report(self, said: ServerStatement, now: float) -> None:
         """Take in what another node has heard of this start."""
         if not said.instance or said.instance != self.instance:
             return
