--- a/features/steps/call_throttle_steps.py
+++ b/features/steps/call_throttle_steps.py
@@ -8,7 +8,7 @@
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from marjoramtide.policy.admission._call_throttle import CallThrottle
-from marjoramtide.policy.quota import Demand
+from marjoramtide.policy.quota import DemandRate
 
 use_step_matcher("parse")
 
@@ -21,7 +21,7 @@
     """Runs that call a service of some calls a second, which refuses the rest by chance."""
 
     calls_per_s: float
-    asked_of_it: Demand = attrs.Factory(Demand)
+    asked_of_it: DemandRate = attrs.Factory(DemandRate)
     throttle: CallThrottle = attrs.Factory(CallThrottle)
     rng: random.Random = attrs.Factory(lambda: random.Random(5))
     now: float = 0.0
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -72,7 +72,7 @@
 @given("an account with {count:d} tokens that were asked for at {at:f} s")
 def given_account(context: Any, count: int, at: float) -> None:
     context.account = QuotaAccount()
-    context.account.leased(count, at)
+    context.account.add_lease(count, at)
 
 
 @then("it has {count:d} tokens at {at:f} s")
@@ -95,13 +95,13 @@
     context.shares = FleetShares()
     for place in ("east", "west"):
         for number in range(nodes):
-            context.shares.seen(f"{place}-{number}", place)
+            context.shares.node_seen(f"{place}-{number}", place)
 
 
 @when("one data centre falls silent")
 def when_silent(context: Any) -> None:
     for address in [each for each, place in context.shares.present.items() if place == "east"]:
-        context.shares.lost(address, 100.0)
+        context.shares.node_lost(address, 100.0)
 
 
 @then("the share of the other one is 0.5 for 60 s, and 1.0 after that")
@@ -113,7 +113,7 @@
 @when("one of its nodes says that it leaves")
 def when_leaves(context: Any) -> None:
     for address in list(context.shares.silent):
-        context.shares.left(address)
+        context.shares.node_left(address)
 
 
 @then("the share of the other one is {share:f}")
--- a/src/marjoramtide/policy/quota/__init__.py
+++ b/src/marjoramtide/policy/quota/__init__.py
@@ -4,18 +4,18 @@
 seventy that send a few requests a second.
 """
 
-from marjoramtide.policy.quota._demand import Demand
+from marjoramtide.policy.quota._demand_rate import DemandRate
+from marjoramtide.policy.quota._expiring_tokens import ExpiringTokens
 from marjoramtide.policy.quota._fleet_shares import FleetShares
 from marjoramtide.policy.quota._quota_account import LEASE_S, QuotaAccount
 from marjoramtide.policy.quota._quota_pool import QuotaPool, make_quota_pool
-from marjoramtide.policy.quota._token_lots import TokenLots
 
 __all__ = [
     "LEASE_S",
-    "Demand",
+    "DemandRate",
+    "ExpiringTokens",
     "FleetShares",
     "QuotaAccount",
     "QuotaPool",
-    "TokenLots",
     "make_quota_pool",
 ]
--- a/src/marjoramtide/policy/quota/_demand.py
+++ b/src/marjoramtide/policy/quota/_demand_rate.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Demand:
+class DemandRate:
     """An exponentially weighted rate, in units a second."""
 
     weight: float = 0.0
--- a/src/marjoramtide/policy/quota/_token_lots.py
+++ b/src/marjoramtide/policy/quota/_expiring_tokens.py
@@ -6,7 +6,7 @@
 
 
 @attrs.define(slots=True)
-class Lot:
+class TokenBatch:
     """Tokens that end together, at a time in seconds of the monotonic clock."""
 
     amount: int
@@ -14,39 +14,39 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class TokenLots:
+class ExpiringTokens:
     """Gives out the tokens that end first.
 
     A lot that ends unused is lost: a node that stood still for seconds must not spend what
     belonged to a time long past beside what others were given since.
     """
 
-    lots: deque[Lot] = attrs.Factory(deque)
+    batches: deque[TokenBatch] = attrs.Factory(deque)
 
     def add(self, amount: int, ends_at: float) -> None:
         if amount > 0:
-            self.lots.append(Lot(amount, ends_at))
+            self.batches.append(TokenBatch(amount, ends_at))
 
     def drop_ended(self, now: float) -> int:
         """Drop what is no longer good; return how many tokens those were."""
         ended = 0
-        while self.lots and self.lots[0].ends_at <= now:
-            ended += self.lots.popleft().amount
+        while self.batches and self.batches[0].ends_at <= now:
+            ended += self.batches.popleft().amount
         return ended
 
     def held(self, now: float) -> int:
         """Return how many tokens are good."""
         self.drop_ended(now)
-        return sum(lot.amount for lot in self.lots)
+        return sum(lot.amount for lot in self.batches)
 
     def take(self, wanted: int, now: float) -> int:
         """Return how many of the wanted tokens could be taken."""
         taken = 0
         while taken < wanted and self.held(now):
-            lot = self.lots[0]
+            lot = self.batches[0]
             part = min(lot.amount, wanted - taken)
             lot.amount -= part
             taken += part
             if not lot.amount:
-                self.lots.popleft()
+                self.batches.popleft()
         return taken
--- a/src/marjoramtide/policy/quota/_fleet_shares.py
+++ b/src/marjoramtide/policy/quota/_fleet_shares.py
@@ -22,17 +22,17 @@
     present: dict[str, str] = attrs.Factory(dict)
     silent: dict[str, float] = attrs.Factory(dict)
 
-    def seen(self, address: str, data_centre: str) -> None:
+    def node_seen(self, address: str, data_centre: str) -> None:
         """Note that a node is there."""
         self.present[address] = data_centre
         self.silent.pop(address, None)
 
-    def left(self, address: str) -> None:
+    def node_left(self, address: str) -> None:
         """Note that a node has said that it leaves."""
         self.present.pop(address, None)
         self.silent.pop(address, None)
 
-    def lost(self, address: str, now: float) -> None:
+    def node_lost(self, address: str, now: float) -> None:
         """Note that a node has fallen silent."""
         if self.present.pop(address, None) is not None:
             self.silent[address] = now + REMEMBERED_S
--- a/src/marjoramtide/policy/quota/_quota_account.py
+++ b/src/marjoramtide/policy/quota/_quota_account.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from marjoramtide.policy.quota._demand import Demand
-from marjoramtide.policy.quota._token_lots import TokenLots
+from marjoramtide.policy.quota._demand_rate import DemandRate
+from marjoramtide.policy.quota._expiring_tokens import ExpiringTokens
 
 # For how long leased tokens are good, in seconds from when they were asked for.
 LEASE_S = 0.5
@@ -25,10 +25,10 @@
     with the next question. ``admitted`` and ``refusals`` count requests since the start.
     """
 
-    tokens: TokenLots = attrs.Factory(TokenLots)
-    demand: Demand = attrs.Factory(Demand)
-    refused_until: float = -math.inf
-    more_at: float = -math.inf
+    tokens: ExpiringTokens = attrs.Factory(ExpiringTokens)
+    demand: DemandRate = attrs.Factory(DemandRate)
+    ask_again_at: float = -math.inf
+    retry_at: float = -math.inf
     returned: int = 0
     admitted: int = 0
     refusals: int = 0
@@ -46,14 +46,14 @@
         ahead = math.floor(self.demand.rate(now) * AHEAD_S)
         return min(MOST_WANTED, max(1, waiting, ahead))
 
-    def leased(self, amount: int, asked_at: float) -> None:
+    def add_lease(self, amount: int, asked_at: float) -> None:
         """Take in what the owner has leased in answer to a question of that time."""
         self.tokens.add(amount, asked_at + LEASE_S)
 
-    def refused(self, wait_s: float, now: float) -> None:
+    def record_refusal(self, wait_s: float, now: float) -> None:
         """Take in that the owner has none, and after how long a caller should come back."""
-        self.more_at = now + wait_s
-        self.refused_until = now + min(wait_s, ASK_AGAIN_S)
+        self.retry_at = now + wait_s
+        self.ask_again_at = now + min(wait_s, ASK_AGAIN_S)
 
     def give_back(self, leased_at: float, now: float) -> None:
         """Take back the token of a request that did not run.
--- a/src/marjoramtide/policy/quota/_quota_pool.py
+++ b/src/marjoramtide/policy/quota/_quota_pool.py
@@ -5,8 +5,8 @@
 import attrs
 
 from marjoramtide.policy.budgets import TokenBucket
-from marjoramtide.policy.quota._demand import Demand
-from marjoramtide.policy.quota._token_lots import TokenLots
+from marjoramtide.policy.quota._demand_rate import DemandRate
+from marjoramtide.policy.quota._expiring_tokens import ExpiringTokens
 
 # What an owner keeps for its own data centre when another one asks, as seconds of its demand.
 KEPT_S = 0.25
@@ -29,8 +29,8 @@
     """A token bucket with a share of the quota, and what other data centres have lent."""
 
     bucket: TokenBucket
-    borrowed: TokenLots = attrs.Factory(TokenLots)
-    demand: Demand = attrs.Factory(Demand)
+    borrowed: ExpiringTokens = attrs.Factory(ExpiringTokens)
+    demand: DemandRate = attrs.Factory(DemandRate)
     borrows_again_at: float = -math.inf
 
     def configure(self, rate: float, burst: float, now: float) -> None:
@@ -71,20 +71,20 @@
         """Take back tokens that were leased and not used."""
         self.bucket.level = min(self.bucket.burst, self.bucket.refill(now) + amount)
 
-    def may_borrow(self, now: float) -> bool:
+    def can_borrow(self, now: float) -> bool:
         return now >= self.borrows_again_at
 
-    def wants_to_borrow(self, now: float) -> int:
+    def loan_size(self, now: float) -> int:
         """Return how many tokens to ask the other data centres for, together."""
         return max(1, math.ceil(self.demand.rate(now) * BORROWED_S))
 
-    def take_borrowed(self, amount: int, wanted: int, asked_at: float) -> None:
+    def add_loan(self, amount: int, wanted: int, asked_at: float) -> None:
         """Take in what others have lent; where that is less than wanted they are left alone."""
         self.borrowed.add(amount, asked_at + BORROWED_S)
         if amount < wanted:
             self.borrows_again_at = asked_at + BORROWED_S
 
-    def come_back_s(self, rate: float, now: float) -> float:
+    def retry_after_s(self, rate: float, now: float) -> float:
         """Return after how many seconds a caller that gets no token should come back.
 
         ``rate`` is the whole quota in requests a second: other data centres lend. Where more is
--- a/src/marjoramtide/quota/_owned_pools.py
+++ b/src/marjoramtide/quota/_owned_pools.py
@@ -45,14 +45,14 @@
         if not ask.wanted:
             return QuotaGrant(ask.number, 0)
         granted = pool.lease(ask.wanted, now)
-        if not granted and pool.may_borrow(now):
+        if not granted and pool.can_borrow(now):
             await self._wait_for_loan(ask.workspace, pool)
             granted = pool.lease(ask.wanted, self.clock.monotonic())
         if granted:
             return QuotaGrant(ask.number, granted)
         rate = self.view.workspaces.by_name[ask.workspace].requests_per_s
-        come_back_s = pool.come_back_s(rate, self.clock.monotonic())
-        return QuotaGrant(ask.number, 0, round(come_back_s * 1000))
+        retry_after_s = pool.retry_after_s(rate, self.clock.monotonic())
+        return QuotaGrant(ask.number, 0, round(retry_after_s * 1000))
 
     def lend(self, ask: QuotaAsk) -> QuotaGrant:
         """Lend tokens to the owner in another data centre."""
@@ -87,14 +87,14 @@
         own = self.directory.self_member
         others = [each for each in self.owners.of(name) if each.node != own.node]
         asked_at = self.clock.monotonic()
-        wanted = pool.wants_to_borrow(asked_at)
+        wanted = pool.loan_size(asked_at)
         part = math.ceil(wanted / max(1, len(others)))
         self.metrics.count("quota.loans_asked", len(others))
         grants = await asyncio.gather(
             *(self.questions.ask(each, name, part, loan=True) for each in others)
         )
         lent = sum(grant.granted for grant in grants if grant is not None)
-        pool.take_borrowed(lent, wanted, asked_at)
+        pool.add_loan(lent, wanted, asked_at)
 
     def owners_changed(self) -> None:
         """Give up the pools that another node owns by now."""
--- a/src/marjoramtide/quota/_owners.py
+++ b/src/marjoramtide/quota/_owners.py
@@ -46,7 +46,7 @@
     def __attrs_post_init__(self) -> None:
         self.began_at = self.settled_at
         for member in self.directory.members():
-            self.shares.seen(member.peer_address, place_of(member))
+            self.shares.node_seen(member.peer_address, place_of(member))
 
     @settled_at.default
     def _from_the_start(self) -> float:
@@ -58,11 +58,11 @@
         address, place = member.peer_address, place_of(member)
         was_here = address in self.shares.present
         if member.state is MemberState.LEAVING:
-            self.shares.left(address)
+            self.shares.node_left(address)
         elif member.state is not MemberState.DEAD:
-            self.shares.seen(address, place)
+            self.shares.node_seen(address, place)
         elif self._is_latest(member):
-            self.shares.lost(address, now)
+            self.shares.node_lost(address, now)
         if was_here == (address in self.shares.present):
             return False
         self.chosen.clear()
--- a/src/marjoramtide/quota/_quota_service.py
+++ b/src/marjoramtide/quota/_quota_service.py
@@ -90,7 +90,7 @@
             now = self.clock.monotonic()
             if account.spend(now):
                 return now
-            if now < account.refused_until:
+            if now < account.ask_again_at:
                 raise self._refusal(workspace, account, now)
             await self._wait_for_lease(workspace, account)
         now = self.clock.monotonic()
@@ -110,7 +110,7 @@
     ) -> NotRunError:
         self.metrics.count("quota.refused")
         account.refusals += 1
-        wait_ms = max(LEAST_WAIT_MS, (account.more_at - now) * 1000)
+        wait_ms = max(LEAST_WAIT_MS, (account.retry_at - now) * 1000)
         return NotRunError(
             ErrorCode.WORKSPACE_LIMITED,
             f"{workspace.name} has used up its {workspace.requests_per_s:g} requests a second",
@@ -157,9 +157,9 @@
             if grant is None:
                 self.metrics.count("quota.unanswered")
                 continue
-            account.leased(grant.granted, asked_at)
+            account.add_lease(grant.granted, asked_at)
             if not grant.granted:
-                account.refused(grant.wait_ms / 1000, self.clock.monotonic())
+                account.record_refusal(grant.wait_ms / 1000, self.clock.monotonic())
             return
         raise NotRunError(
             ErrorCode.QUOTA_UNKNOWN,
