--- a/features/steps/admission_steps.py
+++ b/features/steps/admission_steps.py
@@ -1,4 +1,4 @@
-"""Steps on admission at the serving node."""
+"""Steps for admission control at the serving node."""
 
 from typing import Any
 
@@ -24,7 +24,7 @@
 
 
 @when("the clock of the admission moves on by {ms:d} ms")
-def step_ms_pass(context: Any, ms: int) -> None:
+def step_advance_clock(context: Any, ms: int) -> None:
     context.serving.now += ms / 1000
 
 
@@ -37,9 +37,9 @@
 @then("an {kind} request due in {ms:d} ms is {verdict}")
 def step_verdict(context: Any, kind: str, ms: int, verdict: str) -> None:
     decision = context.serving.offer(kind, ms)
-    taken = {"started": Verdict.START, "queued": Verdict.QUEUE}
-    assert decision.verdict is taken.get(verdict, Verdict.REJECT), decision
-    if verdict not in taken:
+    admitted = {"started": Verdict.START, "queued": Verdict.QUEUE}
+    assert decision.verdict is admitted.get(verdict, Verdict.REJECT), decision
+    if verdict not in admitted:
         assert decision.reason == verdict, decision
         assert decision.retry_after_ms >= 1, decision
 
@@ -75,12 +75,12 @@
 
 
 @when("{count:d} executions take {ms:d} ms however many run")
-def step_alike(context: Any, count: int, ms: int) -> None:
+def step_constant_time(context: Any, count: int, ms: int) -> None:
     context.serving.saturate(lambda running: float(ms), count)
 
 
-@when("{count:d} executions take {ms:d} ms for each that runs beside them")
-def step_shared(context: Any, count: int, ms: int) -> None:
+@when("{count:d} executions take {ms:d} ms times the number that run")
+def step_time_by_concurrency(context: Any, count: int, ms: int) -> None:
     context.serving.saturate(lambda running: float(ms * running), count)
 
 
--- a/features/steps/cold_steps.py
+++ b/features/steps/cold_steps.py
@@ -1,4 +1,4 @@
-"""Steps on cold backend servers: one admission under a load, in virtual time."""
+"""Steps for cold backend servers: one admission under load, in virtual time."""
 
 import heapq
 import itertools
@@ -19,8 +19,8 @@
 
 
 @attrs.define
-class Play:
-    """One server with its admission; requests come evenly and run for as long as they take."""
+class SimulatedServer:
+    """One server with its admission; requests arrive evenly and each runs for ``work_s``."""
 
     work_s: float
     admission: EdfAdmission
@@ -28,12 +28,12 @@
     ends: list[tuple[float, int]] = attrs.Factory(list)
     tickets: "itertools.count[int]" = attrs.Factory(lambda: itertools.count(1))
     ranks: dict[int, int] = attrs.Factory(dict)
-    begun: dict[int, float] = attrs.Factory(dict)
+    started: dict[int, float] = attrs.Factory(dict)
     queued: set[int] = attrs.Factory(set)
     refusals: list[int] = attrs.Factory(list)
 
-    def come(self, per_s: dict[int, float], seconds: float) -> None:
-        """Let requests of some ranks come, so many of each a second."""
+    def arrive(self, per_s: dict[int, float], seconds: float) -> None:
+        """Let requests of some ranks arrive, each at its rate per second."""
         until = self.now + seconds
         due = sorted(
             (self.now + number / rate, rank)
@@ -51,14 +51,14 @@
         profile = CallProfile(False, True, self.now + DEADLINE_S, rank=rank)
         decision = self.admission.offer(ticket, profile, self.now)
         if decision.verdict is Verdict.START:
-            self.begin([ticket])
+            self.start([ticket])
         elif decision.verdict is Verdict.QUEUE:
             self.queued.add(ticket)
         else:
             self.refusals.append(decision.retry_after_ms)
 
     def run_until(self, until: float) -> None:
-        """Let requests end and begin until a time."""
+        """Let requests end and start until a time."""
         while True:
             wake = self.admission.next_expiry()
             end = self.ends[0][0] if self.ends else None
@@ -69,22 +69,22 @@
             if end is not None and end <= self.now:
                 _, ticket = heapq.heappop(self.ends)
                 work_ms = self.work_s * 1000
-                self.begin(self.admission.finished(ticket, self.now, work_ms, True))
+                self.start(self.admission.finished(ticket, self.now, work_ms, True))
             else:
                 self.admission.expire(self.now)
-                self.begin(self.admission.resume(self.now))
+                self.start(self.admission.resume(self.now))
         self.now = until
 
-    def begin(self, tickets: list[int]) -> None:
+    def start(self, tickets: list[int]) -> None:
         for ticket in tickets:
-            self.begun[ticket] = self.now
+            self.started[ticket] = self.now
             heapq.heappush(self.ends, (self.now + self.work_s, ticket))
 
-    def most_in_a_second(self) -> int:
-        """Return how many began in the busiest second."""
-        times = sorted(self.begun.values())
+    def max_per_second(self) -> int:
+        """Return how many started in the busiest second."""
+        times = sorted(self.started.values())
         return max(
-            (sum(begin <= at < begin + 1 for at in times) for begin in times),
+            (sum(start <= at < start + 1 for at in times) for start in times),
             default=0,
         )
 
@@ -103,80 +103,82 @@
     admission = make_admission(settings, START)
     assert isinstance(admission, EdfAdmission)
     admission.reconfigure(settings)
-    play = context.play = Play(ms / 1000, admission)
+    server = context.server = SimulatedServer(ms / 1000, admission)
     if history == "that has just started cold":
         admission.set_cold_time(COLD_S, START)
     elif history == "cold since before its node started":
         admission.set_cold_time(COLD_S - 0.2, START)
     else:
-        play.now += 5.0
-        if history == "that turns cold after 16 in 100 ms":
-            play.come({1: 160.0}, 0.1)
+        server.now += 5.0
+        if history == "that becomes cold after 16 in 100 ms":
+            server.arrive({1: 160.0}, 0.1)
         else:
-            play.come({1: float(history.split()[-3])}, 2.0)
-        admission.set_cold_time(COLD_S, play.now)
-    context.before = len(play.begun)
+            server.arrive({1: float(history.split()[-3])}, 2.0)
+        admission.set_cold_time(COLD_S, server.now)
+    context.started_before = len(server.started)
 
 
-@when("{rate:d} requests a second come for {seconds:d} s")
-def when_come(context: Any, rate: int, seconds: int) -> None:
-    context.earlier = len(context.play.begun)
-    context.play.come({1: float(rate)}, float(seconds))
+@when("{rate:d} requests a second arrive for {seconds:d} s")
+def when_requests_arrive(context: Any, rate: int, seconds: int) -> None:
+    context.started_earlier = len(context.server.started)
+    context.server.arrive({1: float(rate)}, float(seconds))
 
 
-@when("{first:d} requests of rank 0 and {second:d} of rank 2 a second come for {seconds:d} s")
-def when_ranks_come(context: Any, first: int, second: int, seconds: int) -> None:
-    context.play.come({0: float(first), 2: float(second)}, float(seconds))
+@when("{first:d} requests of rank 0 and {second:d} of rank 2 a second arrive for {seconds:d} s")
+def when_ranks_arrive(context: Any, first: int, second: int, seconds: int) -> None:
+    context.server.arrive({0: float(first), 2: float(second)}, float(seconds))
 
 
-@when("it says that it is warm")
+@when("it reports that it is warm")
 def when_warm(context: Any) -> None:
-    context.play.admission.set_cold_time(0.0, context.play.now)
+    context.server.admission.set_cold_time(0.0, context.server.now)
 
 
-@then("no second brings it more than {most:d} requests")
+@then("at most {most:d} requests start within any second")
 def then_at_most(context: Any, most: int) -> None:
-    assert context.play.most_in_a_second() <= most, context.play.most_in_a_second()
+    assert context.server.max_per_second() <= most, context.server.max_per_second()
 
 
-@then("it is given at least {least:d} of them")
+@then("at least {least:d} of them start")
 def then_at_least(context: Any, least: int) -> None:
-    given_now = len(context.play.begun) - context.before
-    assert given_now >= least, given_now
+    started_now = len(context.server.started) - context.started_before
+    assert started_now >= least, started_now
 
 
-@then("it is given at least {least:d} of them in the last second")
+@then("at least {least:d} of them start in the last second")
 def then_at_least_lately(context: Any, least: int) -> None:
-    given_now = len(context.play.begun) - context.earlier
-    assert given_now >= least, given_now
+    started_now = len(context.server.started) - context.started_earlier
+    assert started_now >= least, started_now
 
 
-@then("nothing begins within the first second of the node")
+@then("nothing starts in the node's first second")
 def then_none_at_first(context: Any) -> None:
-    assert min(context.play.begun.values()) >= START + 1.0, context.play.begun
+    assert min(context.server.started.values()) >= START + 1.0, context.server.started
 
 
-@then("each refusal came at once, with a time to come back")
+@then("each rejection came at once, with a retry delay")
 def then_refused(context: Any) -> None:
-    assert context.play.refusals and min(context.play.refusals) >= 1, context.play.refusals[:5]
+    assert context.server.refusals and min(context.server.refusals) >= 1, context.server.refusals[
+        :5
+    ]
 
 
-@then("of those that waited at least {share:d} in 100 began")
-def then_began(context: Any, share: int) -> None:
-    play = context.play
-    began = len(play.queued & play.begun.keys())
-    assert began * 100 >= share * len(play.queued), (began, len(play.queued))
+@then("at least {share:d} in 100 of the queued ones started")
+def then_queued_started(context: Any, share: int) -> None:
+    server = context.server
+    started = len(server.queued & server.started.keys())
+    assert started * 100 >= share * len(server.queued), (started, len(server.queued))
 
 
-@then("at least {share:d} in 100 of rank {rank:d} begin")
-def then_rank_begins(context: Any, share: int, rank: int) -> None:
-    play = context.play
-    came = [ticket for ticket, each in play.ranks.items() if each == rank]
-    began = [ticket for ticket in came if ticket in play.begun]
-    assert len(began) * 100 >= share * len(came), (len(began), len(came))
+@then("at least {share:d} in 100 of rank {rank:d} start")
+def then_rank_starts(context: Any, share: int, rank: int) -> None:
+    server = context.server
+    arrived = [ticket for ticket, each in server.ranks.items() if each == rank]
+    started = [ticket for ticket in arrived if ticket in server.started]
+    assert len(started) * 100 >= share * len(arrived), (len(started), len(arrived))
 
 
-@then("it is told of with a limit of {limit:d}")
+@then("it is reported with a limit of {limit:d}")
 def then_limit(context: Any, limit: int) -> None:
-    report = context.play.admission.report(context.play.now)
+    report = context.server.admission.report(context.server.now)
     assert report.limit == limit, report
--- a/features/steps/fair_share_steps.py
+++ b/features/steps/fair_share_steps.py
@@ -1,4 +1,4 @@
-"""Steps with one server's admission and the callers of many workspaces, without a network."""
+"""Steps for one server's admission and callers of many workspaces, without a network."""
 
 import heapq
 import itertools
@@ -10,7 +10,7 @@
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from marjoramtide.policy import Admission, CallProfile, Verdict, make_admission
-from marjoramtide.policy.admission._workspace_shares import MOST_COUNTED, WorkspaceShares
+from marjoramtide.policy.admission._workspace_shares import MAX_WORKSPACES, WorkspaceShares
 from marjoramtide.settings import RouteSettings
 
 use_step_matcher("parse")
@@ -20,30 +20,30 @@
 GOAL_S = 0.6
 DEADLINE_S = 2.0
 SECONDS = 30.0
-# The first seconds, in which the admission learns how long requests take, aren't judged.
-LEARNT_S = 5.0
+# The first seconds, in which the admission learns how long requests take, aren't counted.
+WARM_UP_S = 5.0
 SMALL = {f"small-{number}": 2.0 for number in range(20)}
 LARGE_PER_S = 8.0
-CAN_DO_PER_S = SLOTS / WORK_S
+CAPACITY_PER_S = SLOTS / WORK_S
 
 
 @attrs.define(slots=True, eq=False)
 class Tally:
-    """How many requests of each workspace came, and were answered in time."""
+    """How many requests of each workspace arrived, and were answered in time."""
 
-    came: dict[str, int] = attrs.Factory(dict)
+    arrived: dict[str, int] = attrs.Factory(dict)
     in_time: dict[str, int] = attrs.Factory(dict)
 
     def share(self, *names: str) -> float:
-        return self.total(self.in_time, names) / self.total(self.came, names)
+        return self.total(self.in_time, names) / self.total(self.arrived, names)
 
     def total(self, counts: dict[str, int], names: tuple[str, ...]) -> int:
         return sum(counts.get(name, 0) for name in names)
 
 
 @attrs.define(slots=True, eq=False)
-class ShortServer:
-    """An admission whose executions take ``WORK_S``, within virtual time."""
+class OverloadedServer:
+    """An admission whose executions take ``WORK_S``, in virtual time."""
 
     rng: random.Random
     tally: Tally = attrs.Factory(Tally)
@@ -57,7 +57,7 @@
         self.admission = make_admission(settings, -100.0)
         self.admission.reconfigure(settings)
 
-    def callers(
+    def add_callers(
         self,
         workspace: str,
         per_s: float,
@@ -70,7 +70,7 @@
             heapq.heappush(self.events, (at, next(self.numbers), workspace, rank))
             at += self.rng.expovariate(per_s)
 
-    def play(self, until_s: float = math.inf) -> Tally:
+    def run(self, until_s: float = math.inf) -> Tally:
         while self.events and self.events[0][0] <= until_s:
             at, number, workspace, rank = heapq.heappop(self.events)
             self.expire(at)
@@ -81,8 +81,8 @@
         return self.tally
 
     def offer(self, at: float, number: int, workspace: str, rank: int) -> None:
-        if at > LEARNT_S:
-            self.tally.came[workspace] = self.tally.came.get(workspace, 0) + 1
+        if at > WARM_UP_S:
+            self.tally.arrived[workspace] = self.tally.arrived.get(workspace, 0) + 1
         self.waiting[number] = (workspace, at)
         profile = CallProfile(
             False, True, at + DEADLINE_S, 2, "k", at + GOAL_S, rank, workspace=workspace
@@ -95,9 +95,9 @@
 
     def start(self, tickets: list[int], at: float) -> None:
         for ticket in tickets:
-            workspace, came_at = self.waiting.pop(ticket)
+            workspace, arrived_at = self.waiting.pop(ticket)
             ends_at = at + WORK_S
-            if came_at > LEARNT_S and ends_at <= came_at + GOAL_S:
+            if arrived_at > WARM_UP_S and ends_at <= arrived_at + GOAL_S:
                 self.tally.in_time[workspace] = self.tally.in_time.get(workspace, 0) + 1
             heapq.heappush(self.events, (ends_at, next(self.numbers), None, ticket))
 
@@ -110,89 +110,87 @@
             due = later if later != due else None
 
 
-def played(rates: dict[str, float], ranks: dict[str, int] | None = None) -> Tally:
-    server = ShortServer(random.Random(7))
+def simulate(rates: dict[str, float], ranks: dict[str, int] | None = None) -> Tally:
+    server = OverloadedServer(random.Random(7))
     for workspace, per_s in rates.items():
-        server.callers(workspace, per_s, (ranks or {}).get(workspace, 1))
-    return server.play()
+        server.add_callers(workspace, per_s, (ranks or {}).get(workspace, 1))
+    return server.run()
 
 
-@when("the large workspace comes at {times:d} times its usual")
+@when("the large workspace sends {times:d} times its usual load")
 def when_large(context: Any, times: int) -> None:
-    context.usual = played(SMALL | {"large": LARGE_PER_S})
-    context.tally = played(SMALL | {"large": LARGE_PER_S * times})
+    context.usual = simulate(SMALL | {"large": LARGE_PER_S})
+    context.tally = simulate(SMALL | {"large": LARGE_PER_S * times})
 
 
-@then("the small ones get no more than 5 in 100 less in time than at its usual")
+@then("the small ones get no more than 5 in 100 fewer answers in time than at its usual load")
 def then_small(context: Any) -> None:
     before, now = context.usual.share(*SMALL), context.tally.share(*SMALL)
     assert now >= before - 0.05, (before, now)
 
 
-@step("the large one gets at least {least:d} in 100 of what is left")
+@step("the large one gets at least {least:d} in 100 of the remaining capacity")
 def large_gets(context: Any, least: int) -> None:
-    left = (CAN_DO_PER_S - sum(SMALL.values())) * (SECONDS - LEARNT_S)
+    remaining = (CAPACITY_PER_S - sum(SMALL.values())) * (SECONDS - WARM_UP_S)
     got = context.tally.in_time.get("large", 0)
-    assert got * 100 >= least * left, (got, left)
+    assert got * 100 >= least * remaining, (got, remaining)
 
 
-@when("only the large workspace comes, at {times:d} times its usual")
+@when("only the large workspace sends, {times:d} times its usual load")
 def when_only_large(context: Any, times: int) -> None:
-    context.tally = played({"large": LARGE_PER_S * times})
+    context.tally = simulate({"large": LARGE_PER_S * times})
 
 
-@then("it gets at least {least:d} in 100 of what the server can do")
+@then("it gets at least {least:d} in 100 of the server's capacity")
 def then_gets(context: Any, least: int) -> None:
-    got = context.tally.in_time["large"] / (SECONDS - LEARNT_S)
-    assert got * 100 >= least * CAN_DO_PER_S, got
+    got = context.tally.in_time["large"] / (SECONDS - WARM_UP_S)
+    assert got * 100 >= least * CAPACITY_PER_S, got
 
 
-@when("a workspace with 1 request a second comes beside one with 300")
+@when("a workspace sends 1 request a second beside one with 300")
 def when_hundreds(context: Any) -> None:
-    context.tally = played({"small": 1.0, "large": 300.0})
+    context.tally = simulate({"small": 1.0, "large": 300.0})
 
 
-@then("the small one gets at least {least:d} in 100 in time")
-def then_tiny(context: Any, least: int) -> None:
+@then("the small one gets at least {least:d} in 100 answers in time")
+def then_small_in_time(context: Any, least: int) -> None:
     assert context.tally.share("small") * 100 >= least, context.tally
 
 
-@when("the large workspace comes at {times:d} times its usual, and urgent ones beside")
+@when("the large workspace sends {times:d} times its usual load, beside urgent requests")
 def when_ranked(context: Any, times: int) -> None:
     rates = SMALL | {"large": LARGE_PER_S * times, "first": 10.0}
-    context.tally = played(rates, {"first": 0})
+    context.tally = simulate(rates, {"first": 0})
 
 
 @then("at least {least:d} in 100 of those are in time")
-def then_first(context: Any, least: int) -> None:
+def then_urgent_in_time(context: Any, least: int) -> None:
     assert context.tally.share("first") * 100 >= least, context.tally
 
 
-@when("{count:d} workspaces ask once each")
+@when("{count:d} workspaces send one request each")
 def when_thousands(context: Any, count: int) -> None:
     context.shares = WorkspaceShares()
     for number in range(count):
-        context.shares.asked(f"w{number}", 100.0, number / 1000)
+        context.shares.record_request(f"w{number}", 100.0, number / 1000)
 
 
-@then("at most {most:d} of them are counted")
+@then("at most {most:d} of them are tracked")
 def then_bounded(context: Any, most: int) -> None:
-    assert len(context.shares.work) <= most == MOST_COUNTED
+    assert len(context.shares.work) <= most == MAX_WORKSPACES
 
 
 @given("one server with 10 slots and work of 200 ms")
 def given_server(context: Any) -> None:
-    context.server = ShortServer(random.Random(3))
+    context.server = OverloadedServer(random.Random(3))
 
 
-@when(
-    "it has been asked for {load:d} in 100 of what it can do for 10 s, and all its slots are taken"
-)
+@when("it has had a load of {load:d} in 100 of its capacity for 10 s, and all its slots are in use")
 def when_asked(context: Any, load: int) -> None:
     server = context.server
-    server.callers("", load / 100 * CAN_DO_PER_S, until_s=10.0)
-    server.callers("", 1000.0, from_s=10.0, until_s=10.03)
-    server.play(until_s=10.03)
+    server.add_callers("", load / 100 * CAPACITY_PER_S, until_s=10.0)
+    server.add_callers("", 1000.0, from_s=10.0, until_s=10.03)
+    server.run(until_s=10.03)
 
 
 @then("a request whose goal has passed, with 1.5 s left, is {decision}")
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -1,4 +1,4 @@
-"""Steps for servers that more comes to than they can do, in virtual time."""
+"""Steps for overloaded servers, in virtual time."""
 
 from typing import Any
 
@@ -23,7 +23,7 @@
     context.spread = spread / 100
 
 
-@when("lookups bring them {load:d} in 100 of what they can do")
+@when("lookups arrive at {load:d} in 100 of their capacity")
 def when_overloaded(context: Any, load: int) -> None:
     rate = load / 100 * context.service.servers[0] * SLOTS / (context.work_ms / 1000)
     kind = KindPlan(
--- a/features/steps/ranks_steps.py
+++ b/features/steps/ranks_steps.py
@@ -1,4 +1,4 @@
-"""Steps for ranks under more than can be done, in virtual time."""
+"""Steps for ranks under overload, in virtual time."""
 
 from typing import Any
 
@@ -26,7 +26,7 @@
     )
 
 
-@when("reads bring the hub {reads:d} in 100 of what it can do, and lookups {lookups:d} in 100")
+@when("reads load the hub to {reads:d} in 100 of its capacity, and lookups to {lookups:d} in 100")
 def when_loaded(context: Any, reads: int, lookups: int) -> None:
     capacity_ms = HUBS * SLOTS * 1000
     reads_per_s = reads / 100 * capacity_ms / (2 * CALL_MS)
--- a/src/marjoramtide/policy/admission/__init__.py
+++ b/src/marjoramtide/policy/admission/__init__.py
@@ -1,7 +1,7 @@
-"""Does a request start at this server now, wait for its turn, or go elsewhere?
+"""Admission control: start a request at this server now, queue it, or reject it.
 
-Made for more requests than a server can do in time: what can still be answered in time goes first,
-and what can't is told so at once.
+Under overload, requests that can still be answered in time go first, and the others are rejected
+immediately.
 """
 
 from marjoramtide.policy.admission._admission import Admission, Decision, Verdict
--- a/src/marjoramtide/policy/admission/_admission.py
+++ b/src/marjoramtide/policy/admission/_admission.py
@@ -1,4 +1,4 @@
-"""The interface of admission at the serving node."""
+"""The interface of admission control at the serving node."""
 
 from abc import ABC, abstractmethod
 from enum import Enum
@@ -12,7 +12,7 @@
 
 
 class Verdict(Enum):
-    """What becomes of a request on arrival."""
+    """What happens to a request on arrival."""
 
     START = "start"
     QUEUE = "queue"
@@ -21,7 +21,7 @@
 
 @attrs.frozen(slots=True)
 class Decision:
-    """A verdict, and for a rejection the reason (an error code) and when to come back."""
+    """A verdict and, for a rejection, the reason (an error code) and the retry delay."""
 
     verdict: Verdict
     reason: str = ""
@@ -31,59 +31,59 @@
 class Admission(ABC):
     """Admits, queues or rejects requests for one backend server.
 
-    A request is known by an integer ticket that the caller of these methods makes up. The object
-    holds no timer: whoever owns it calls ``expire`` at ``next_expiry``, which any other call may
+    A request is identified by an integer ticket that the caller of these methods chooses. The
+    object has no timer: its owner calls ``expire`` at ``next_expiry``, which any other call may
     move to an earlier time. Times are in seconds of the monotonic clock, durations in milliseconds.
     """
 
     @abstractmethod
     def set_accepting(self, accepting: bool) -> None:
-        """Reject every new request as ``draining`` from now on, or take requests again.
+        """Reject every new request as ``draining`` from now on, or accept requests again.
 
-        What is queued or started stays: a planned stop cuts off nothing that was taken.
+        Queued and running requests stay: a planned stop drops nothing that was accepted.
         """
 
     @abstractmethod
     def set_pace(self, pace: Pace) -> None:
-        """Take in how much longer work takes now; ``resume`` tells what may start by it.
+        """Set the server's current slowdown; ``resume`` then returns what may start.
 
-        Durations that ``finished`` is given are then those of undisturbed work.
+        From then on, durations passed to ``finished`` are those of undisturbed work.
         """
 
     @abstractmethod
     def set_cold_time(self, left_s: float, now: float) -> None:
-        """Take in for how much longer the backend server is cold, in seconds; 0 where it isn't.
+        """Set for how many more seconds the backend server is cold; 0 if it is warm.
 
-        ``resume`` tells what may start by it.
+        ``resume`` then returns what may start.
         """
 
     @abstractmethod
     def set_rate_limit(self, rate_per_s: float | None, since: float, now: float) -> None:
-        """Take in how many requests a second the backend server takes, ``None`` for no limit.
+        """Set the rate limit that the backend server has requested, ``None`` for no limit.
 
-        ``since`` is when it first named a limit or when that last fell. ``resume`` tells what may
-        start by it.
+        ``since`` is when it first requested a limit or last lowered it. ``resume`` then returns
+        what may start.
         """
 
     @abstractmethod
     def resume(self, now: float) -> list[int]:
-        """Return the queued tickets that start now, since the pace has changed or nobody tells."""
+        """Return the queued tickets that start now, after a change of slowdown or rate limits."""
 
     @abstractmethod
     def clear_queue(self) -> list[int]:
-        """Drop and return all queued tickets: they have not run and may go elsewhere."""
+        """Drop and return all queued tickets: they have not run and may be sent elsewhere."""
 
     @abstractmethod
     def server_replaced(self, now: float) -> list[int]:
-        """Go on with a server of which nothing is known, none of whose slots are in use.
+        """Reset to a new server process that has learned nothing and has all slots free.
 
-        What is queued stays; the queued tickets that start now are returned. What ``finished`` and
-        ``withdraw`` still tell of tickets that ran on the former one is passed over.
+        The queue stays; the queued tickets that start now are returned. Later calls of ``finished``
+        and ``withdraw`` for tickets that ran on the previous process are ignored.
         """
 
     @abstractmethod
     def reconfigure(self, settings: RouteSettings) -> None:
-        """Go on by changed settings; what is queued or started stays."""
+        """Apply changed settings; queued and running requests stay."""
 
     @abstractmethod
     def offer(self, ticket: int, profile: CallProfile, now: float) -> Decision:
@@ -96,13 +96,16 @@
         now: float,
         duration_ms: float,
         succeeded: bool,
-        lacked_calls: bool = False,
+        calls_refused: bool = False,
     ) -> list[int]:
-        """Free the ticket's slot and return the queued tickets that start now."""
+        """Free the ticket's slot and return the queued tickets that start now.
+
+        ``calls_refused`` is true if a nested call of the request was refused.
+        """
 
     @abstractmethod
     def withdraw(self, ticket: int, now: float) -> list[int]:
-        """Forget a ticket that was cancelled, queued or started; return those that start now."""
+        """Remove a cancelled ticket, queued or running; return the tickets that start now."""
 
     @abstractmethod
     def expire(self, now: float) -> list[int]:
@@ -114,12 +117,12 @@
 
     @abstractmethod
     def retry_after_ms(self, now: float) -> int:
-        """Return when a request that is refused now would probably be taken, in milliseconds."""
+        """Return in how many milliseconds a request rejected now would probably be accepted."""
 
     def workspaces_over_share(self, now: float) -> frozenset[str]:
-        """Return the workspaces that have had their share of a server that is short."""
+        """Return the workspaces that have used up their fair share of an overloaded server."""
         return frozenset()
 
     @abstractmethod
     def report(self, now: float) -> LoadReport:
-        """Return the load at this moment."""
+        """Return the current load."""
--- a/src/marjoramtide/policy/admission/_call_throttle.py
+++ b/src/marjoramtide/policy/admission/_call_throttle.py
@@ -1,63 +1,64 @@
-"""Holding back runs whose calls to another service would be in vain."""
+"""Rejects requests whose calls to another service would probably be refused."""
 
 import math
 
 import attrs
 
-# The span over which runs are counted, in seconds: a few runs of a busy server.
-SPAN_S = 2.0
-# How many runs are let in for each that got its calls: what the called service does more is found
-# out by as much.
-TRIED_FOR_EACH = 1.5
-# Runs that may lack their calls in the span before any is held back.
-FREE = 2.0
+# The time constant over which runs are counted, in seconds: a few runs of a busy server.
+DECAY_S = 2.0
+# How many runs are admitted for each one whose calls were served. The excess over 1 is how an
+# increase of the called service's capacity is detected.
+ADMITTED_PER_SERVED = 1.5
+# Runs whose calls may be refused within the time constant before any run is rejected.
+FREE_FAILURES = 2.0
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class CallThrottle:
-    """Adaptive throttling by the client (Google's SRE book), for the runs of one kind.
+    """Client-side adaptive throttling (Google's SRE book), for the runs of one kind.
 
-    Failure: a service that runs call is short, and refuses half of their calls. A run that needs
-    two of them gets both in a quarter of the cases; all others hold a slot for their whole time,
-    and end with an error, and the calls that were served for them were in vain as well. Fewer runs,
-    refused before they begin, get all their calls.
+    Failure: a service that runs call is overloaded, and refuses half of their calls. A run that
+    needs two calls gets both in a quarter of the cases; all others hold a slot for their whole
+    time and end with an error, and the calls that were served for them were wasted as well. If
+    fewer runs are admitted, those get all their calls.
 
-    ``over`` counts runs that are over or were held back, ``served`` those of them that got their
-    calls; both decay. ``due`` sums up the share that is let in: one goes in whenever that makes 1.
+    ``runs`` counts runs that ended or were rejected, ``served`` the ones among them whose calls
+    were served; both decay. ``credit`` accumulates the admitted share: one run is admitted whenever
+    it reaches 1.
     """
 
-    over: float = 0.0
+    runs: float = 0.0
     served: float = 0.0
-    updated: float = 0.0
-    due: float = 0.0
+    updated_at: float = 0.0
+    credit: float = 0.0
 
-    def ended(self, lacked_calls: bool, now: float) -> None:
-        """Note the end of a run, and whether a call of it was refused."""
+    def record_end(self, calls_refused: bool, now: float) -> None:
+        """Record the end of a run, and whether one of its calls was refused."""
         self._decay(now)
-        self.over += 1
-        self.served += not lacked_calls
+        self.runs += 1
+        self.served += not calls_refused
 
-    def admits(self, now: float) -> bool:
-        """Tell whether another run may begin; one that may not is counted."""
+    def admit(self, now: float) -> bool:
+        """Tell whether another run may start; a run that may not is counted."""
         self._decay(now)
-        self.due += self.share()
-        if self.due >= 1:
-            self.due -= 1
+        self.credit += self.admitted_share()
+        if self.credit >= 1:
+            self.credit -= 1
             return True
-        self.over += 1
+        self.runs += 1
         return False
 
-    def share(self) -> float:
-        """Return which share (0 to 1) of the runs that are asked for may begin."""
-        held_back = self.over - TRIED_FOR_EACH * self.served - FREE
-        return 1 - max(0.0, held_back / (self.over + 1))
+    def admitted_share(self) -> float:
+        """Return the share (0 to 1) of the offered runs that may start."""
+        excess = self.runs - ADMITTED_PER_SERVED * self.served - FREE_FAILURES
+        return 1 - max(0.0, excess / (self.runs + 1))
 
     def retry_after_ms(self) -> float:
-        """Return after how long a caller should come back: longer, the fewer are let in."""
-        return SPAN_S * 1000 * (1 - self.share())
+        """Return the retry delay of a rejected caller: the longer, the fewer runs are admitted."""
+        return DECAY_S * 1000 * (1 - self.admitted_share())
 
     def _decay(self, now: float) -> None:
-        factor = math.exp(-max(0.0, now - self.updated) / SPAN_S)
-        self.over *= factor
+        factor = math.exp(-max(0.0, now - self.updated_at) / DECAY_S)
+        self.runs *= factor
         self.served *= factor
-        self.updated = now
+        self.updated_at = now
--- a/src/marjoramtide/policy/admission/_concurrency_limiter.py
+++ b/src/marjoramtide/policy/admission/_concurrency_limiter.py
@@ -1,23 +1,26 @@
-"""The interface of limits on how many requests run at once."""
+"""The interface of limits on concurrent requests."""
 
 from abc import ABC, abstractmethod
 
 
 class ConcurrencyLimiter(ABC):
-    """Decides how many requests one backend server runs at once."""
+    """Decides how many requests one backend server runs concurrently."""
 
     @property
     @abstractmethod
     def limit(self) -> int:
-        """Return the limit at this moment, at least 1."""
+        """Return the current limit, at least 1."""
 
     @abstractmethod
     def fresh(self) -> "ConcurrencyLimiter":
-        """Return a limiter of the same settings that has learned nothing."""
+        """Return a limiter with the same settings that has learned nothing."""
 
     @abstractmethod
-    def observe(self, duration_ms: float, pressed: bool, succeeded: bool, running: int = 1) -> None:
-        """Learn from an execution that ended; ``pressed`` tells if the limit was being used.
+    def observe(
+        self, duration_ms: float, limit_used: bool, succeeded: bool, running: int = 1
+    ) -> None:
+        """Record an execution that ended.
 
-        ``running`` is how many ran at once, itself included, on the mean of its begin and its end.
+        ``limit_used`` tells whether a higher limit would be used, ``running`` how many ran
+        concurrently when it started, itself included.
         """
--- a/src/marjoramtide/policy/admission/_factories.py
+++ b/src/marjoramtide/policy/admission/_factories.py
@@ -1,4 +1,4 @@
-"""Builds the admission that the settings ask for."""
+"""Builds the admission from settings."""
 
 from marjoramtide.policy.admission._admission import Admission
 from marjoramtide.policy.admission._edf_admission import EdfAdmission
@@ -7,9 +7,9 @@
 
 
 def make_admission(settings: RouteSettings, now: float) -> Admission:
-    """Build the admission of one backend server that began to serve at ``now``.
+    """Build the admission of one backend server that started to serve at ``now``.
 
-    Raises ``bad-settings`` for a limiter that isn't one of ``LIMITERS``.
+    Raises ``bad-settings`` for a limiter that is not in ``LIMITERS``.
     """
     return EdfAdmission(
         limiter=make_limiter(settings),
--- a/src/marjoramtide/policy/admission/_fixed_limiter.py
+++ b/src/marjoramtide/policy/admission/_fixed_limiter.py
@@ -1,4 +1,4 @@
-"""A limit that stays."""
+"""A constant concurrency limit."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class FixedLimiter(ConcurrencyLimiter):
-    """Runs as many requests at once as the backend server has slots."""
+    """Runs as many requests concurrently as the backend server has slots."""
 
     slots: int
 
@@ -18,5 +18,7 @@
     def fresh(self) -> ConcurrencyLimiter:
         return self
 
-    def observe(self, duration_ms: float, pressed: bool, succeeded: bool, running: int = 1) -> None:
-        """Learn nothing."""
+    def observe(
+        self, duration_ms: float, limit_used: bool, succeeded: bool, running: int = 1
+    ) -> None:
+        """Ignore the execution."""
--- a/src/marjoramtide/policy/admission/_kind_times.py
+++ b/src/marjoramtide/policy/admission/_kind_times.py
@@ -1,12 +1,12 @@
-"""How long executions of one kind take."""
+"""Execution times of one kind of request."""
 
 import attrs
 
 from marjoramtide.policy._smoothed import Smoothed
 
-# Mean deviations above the mean that a waiting request is kept time for: four in five take less.
-# On a fleet of ten nodes it was worth 0.006 to 0.011 of what callers are owed, half and double of
-# it 0.004 (means of fifteen paired days).
+# Mean deviations above the mean that a waiting request is planned with: four in five take less. On
+# a fleet of ten nodes it gained 0.006 to 0.011 of the achievable value for callers, half and double
+# of it 0.004 (means of fifteen paired days).
 PLANNED_DEVIATIONS = 1.0
 
 
@@ -14,9 +14,9 @@
 class KindTimes:
     """The smoothed times, in milliseconds, of one route's requests of one class.
 
-    ``mean`` follows what is usual now, ``quick`` the low end: what less than this remains for can't
-    finish even when the server is at its best. ``base`` is the long-run time, by which kinds are
-    made comparable, and ``deviation`` how far from it single ones lie on the mean.
+    ``mean`` follows the current average, ``quick`` the low end: a request with less time left than
+    this can't finish even if the server is at its fastest. ``base`` is the long-run mean, by which
+    kinds are compared, and ``deviation`` the mean absolute deviation from it.
     """
 
     mean: Smoothed = attrs.Factory(lambda: Smoothed(0.2, 0.2))
@@ -24,8 +24,8 @@
     quick: Smoothed = attrs.Factory(lambda: Smoothed(0.01, 0.3))
     base: Smoothed = attrs.Factory(lambda: Smoothed(0.02, 0.02))
 
-    def learn(self, duration_ms: float) -> None:
-        """Take in a good execution."""
+    def add(self, duration_ms: float) -> None:
+        """Record a successful execution."""
         if self.mean.count:
             self.deviation.add_mean(abs(duration_ms - self.base.value))
         self.mean.add(duration_ms)
@@ -34,10 +34,10 @@
 
     @property
     def planned_ms(self) -> float:
-        """Return what an execution should be given time for, in milliseconds.
+        """Return the time to plan for an execution, in milliseconds.
 
-        Failure: more comes than can be done, and each request starts at the last moment at which
-        the mean would still be in time. Half of them take longer and are late: their slots served
-        nobody. With time kept for the longer ones others start in their place.
+        Failure: under overload each request starts at the last moment at which the mean would still
+        be in time. Half of them take longer and are late: their slots served nobody. If more time
+        is planned, other requests start in their place.
         """
         return self.mean.value + PLANNED_DEVIATIONS * self.deviation.value
--- a/src/marjoramtide/policy/admission/_knee_limiter.py
+++ b/src/marjoramtide/policy/admission/_knee_limiter.py
@@ -1,4 +1,4 @@
-"""A limit just below where a backend server becomes slow because it is nearly full."""
+"""A concurrency limit just below the number at which a nearly full backend server becomes slow."""
 
 import math
 from collections.abc import Sequence
@@ -8,163 +8,173 @@
 from marjoramtide.policy._smoothed import Smoothed
 from marjoramtide.policy.admission._concurrency_limiter import ConcurrencyLimiter
 
-# The share of the slots that a server begins with that nothing is known of yet. Those that slow
-# down when nearly full do so in the last two fifths; what is too low is found out under pressure.
+# The share of the slots that is the first limit of an unknown server. Servers that slow down when
+# nearly full do so in the last two fifths; a limit that is too low is raised under load.
 INITIAL_LIMIT_SHARE = 0.8
-# Executions that must have ended at some number at once before it is told from lower ones. Single
-# times differ by a third of their mean to two thirds; the mean of eight is known to 12 to 24 in a
-# hundred, and what is looked for is a third and more.
-FEW = 8
-# The weight of an execution among those of its number, once there are some.
+# Executions that must have ended at some concurrency before it is told from lower ones. Single
+# times deviate by a third to two thirds of their mean; the mean of eight is known to 12 to 24 in a
+# hundred, and the steps to find are a third and more.
+MIN_SAMPLES = 8
+# The weight of an execution among those of its concurrency, once there are some.
 WEIGHT = 0.05
-# How much longer executions must take at a higher number at once to be told from those below, as a
-# logarithm: a fifth. Less costs less than the slots are worth that would be left empty for it.
-STEP = math.log(1.2)
-# What a lower limit must do of what a higher one does to be taken: it answers sooner.
-NEARLY = 0.97
-# A shorter execution counts as one of this, in milliseconds: below what a timer can tell.
-LEAST_MS = 0.1
-# Executions under pressure after which the limit is chosen anew, as a multiple of the limit.
+# How much longer executions must take at a higher concurrency to be told from those below, as a
+# logarithm: a fifth. A smaller step costs less than the slots that would be left unused.
+MIN_STEP = math.log(1.2)
+# The share of the best throughput that a lower limit must reach to be preferred: it answers sooner.
+NEARLY_BEST = 0.97
+# The shortest duration that is told apart, in milliseconds: below the resolution of a timer.
+MIN_DURATION_MS = 0.1
+# Executions under load after which the limit is chosen again, as a multiple of the limit.
 ROUNDS = 2
-# Choices after which a lower limit is tried where nothing is known below, and how much lower it is:
-# a server that was full from its first moment on may never have been seen below its knee.
-TRY_LOWER = 5
-LOWER = 0.75
-# Executions after which higher limits are tried again: a knee may have gone.
-TRY_AGAIN = 4000
+# After how many choices a lower limit is tried if nothing is known below, and its share of the
+# current one: a server that was full from its start may never have been seen below its knee.
+LOWER_AFTER_CHOICES = 5
+LOWER_SHARE = 0.75
+# Executions after which higher limits are tried again: a knee may have disappeared.
+RETRY_HIGHER_AFTER = 4000
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class KneeLimiter(ConcurrencyLimiter):
-    """Finds the number of requests at once with which a backend server does the most.
+    """Finds the concurrency at which a backend server has the highest throughput.
 
     Failure: a server takes 1.7 times as long for everything while over four fifths of its slots are
-    in use. Under pressure all slots are, so each answer is late and the server does a fifth less
-    than with the last slots left empty. What is done in a second is the number that run over the
-    time that one takes. The time is kept for each number at once that executions began with, and
-    taken to rise with it: where chance has it fall, neighbouring numbers count as one. Means are
-    geometric, so that one execution of ten times the usual length doesn't pass for a knee.
-
-    Under pressure the next higher number is tried unless it is known to be slower. Failure of
-    beginning with all slots: all nodes start again amid their traffic, what comes takes 1.7 times
-    as long from the first moment on, and a server that was loaded by half is full.
+    in use. Under load all slots are, so each answer is late and the throughput is a fifth lower
+    than with the last slots left unused. Throughput is the concurrency divided by the duration of
+    an execution. The duration is averaged for each concurrency at which executions started, and
+    assumed to rise with it: where it falls by chance, neighbouring numbers are pooled. Means are
+    geometric, so that one execution of ten times the usual length doesn't look like a knee.
+
+    Under load the next higher limit is tried unless it is known to be slower. Failure of starting
+    with all slots: all nodes restart under traffic, requests take 1.7 times as long from the first
+    moment on, and a server that was half loaded is full.
     """
 
     slots: int
-    times: list[Smoothed] = attrs.field()
-    limit_now: int = attrs.field()
-    pressed: int = 0
-    since_lowered: int = 0
+    log_durations: list[Smoothed] = attrs.field()
+    current_limit: int = attrs.field()
+    loaded_samples: int = 0
+    samples_since_lowered: int = 0
     choices: int = 0
 
-    @times.default
-    def _unknown_times(self) -> list[Smoothed]:
+    @log_durations.default
+    def _empty_durations(self) -> list[Smoothed]:
         return [Smoothed(WEIGHT, WEIGHT) for _ in range(self.slots)]
 
-    @limit_now.default
+    @current_limit.default
     def _first_limit(self) -> int:
         return max(1, int(INITIAL_LIMIT_SHARE * self.slots + 1e-9))
 
     @property
     def limit(self) -> int:
-        return self.limit_now
+        return self.current_limit
 
     def fresh(self) -> ConcurrencyLimiter:
         return KneeLimiter(self.slots)
 
-    def observe(self, duration_ms: float, pressed: bool, succeeded: bool, running: int = 1) -> None:
+    def observe(
+        self, duration_ms: float, limit_used: bool, succeeded: bool, running: int = 1
+    ) -> None:
         if not succeeded:
             return
-        at_once = self.times[min(running, self.slots) - 1]
-        at_once.add_mean(math.log(max(duration_ms, LEAST_MS)))
-        self.pressed += pressed
-        self.since_lowered += 1
-        if self.since_lowered > TRY_AGAIN:
-            self._forget_above()
-        if self.pressed >= ROUNDS * self.limit_now:
-            self.pressed = 0
+        samples = self.log_durations[min(running, self.slots) - 1]
+        samples.add_mean(math.log(max(duration_ms, MIN_DURATION_MS)))
+        self.loaded_samples += limit_used
+        self.samples_since_lowered += 1
+        if self.samples_since_lowered > RETRY_HIGHER_AFTER:
+            self._reset_higher()
+        if self.loaded_samples >= ROUNDS * self.current_limit:
+            self.loaded_samples = 0
             self._choose()
 
     def _choose(self) -> None:
-        """Take the limit at which most is done, and try the next one where that isn't known."""
-        levels = rising(self.times)
+        """Choose the limit with the highest throughput; try the next one if that is unknown."""
+        levels = duration_levels(self.log_durations)
         self.choices += 1
-        lower = max(1, int(LOWER * self.limit_now))
-        known_below = sum(time.count for time in self.times[:lower])
-        if self.choices == TRY_LOWER and len(levels) < 2 and known_below < FEW:
-            self.limit_now = lower
+        lower = max(1, int(LOWER_SHARE * self.current_limit))
+        known_below = sum(duration.count for duration in self.log_durations[:lower])
+        if self.choices == LOWER_AFTER_CHOICES and len(levels) < 2 and known_below < MIN_SAMPLES:
+            self.current_limit = lower
             return
-        best = self._best(levels)
-        if best < self.limit_now:
-            self.limit_now = best
-            self.since_lowered = 0
-        elif self.limit_now < self.slots and not self._is_slower_above(levels):
-            self.limit_now += 1
-
-    def _best(self, levels: "list[Level]") -> int:
-        """Return the lowest limit that does nearly as much as any that is known.
-
-        Of two limits that do the same the lower one answers sooner. Only ends of levels are looked
-        at: inside of one a higher limit always does more.
+        best = self._best_limit(levels)
+        if best < self.current_limit:
+            self.current_limit = best
+            self.samples_since_lowered = 0
+        elif self.current_limit < self.slots and not self._is_slower_above(levels):
+            self.current_limit += 1
+
+    def _best_limit(self, levels: "list[DurationLevel]") -> int:
+        """Return the lowest limit with nearly the best known throughput.
+
+        Of two limits with the same throughput the lower one answers sooner. Only the ends of levels
+        are compared: within a level a higher limit always has a higher throughput.
         """
-        ends = [*(level.most for level in levels[:-1]), self.limit_now]
-        done = {end: end / ms_at(levels, end) for end in ends}
-        return min(end for end in ends if done[end] >= NEARLY * max(done.values()))
-
-    def _is_slower_above(self, levels: "list[Level]") -> bool:
-        """Tell whether the next number at once is known to do less, executions being slower."""
-        above = self.limit_now + 1
-        if levels and levels[-1].most < above:
+        ends = [*(level.max_concurrency for level in levels[:-1]), self.current_limit]
+        throughput = {end: end / relative_duration(levels, end) for end in ends}
+        return min(end for end in ends if throughput[end] >= NEARLY_BEST * max(throughput.values()))
+
+    def _is_slower_above(self, levels: "list[DurationLevel]") -> bool:
+        """Tell whether the next higher limit is known to have a lower throughput."""
+        above = self.current_limit + 1
+        if levels and levels[-1].max_concurrency < above:
             return False
-        return above / ms_at(levels, above) < self.limit_now / ms_at(levels, self.limit_now)
+        return above / relative_duration(levels, above) < self.current_limit / relative_duration(
+            levels, self.current_limit
+        )
 
-    def _forget_above(self) -> None:
-        self.since_lowered = 0
-        for number in range(self.limit_now, self.slots):
-            self.times[number] = Smoothed(WEIGHT, WEIGHT)
+    def _reset_higher(self) -> None:
+        self.samples_since_lowered = 0
+        for index in range(self.current_limit, self.slots):
+            self.log_durations[index] = Smoothed(WEIGHT, WEIGHT)
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Level:
-    """Numbers at once up to ``most`` at which executions take the same, as a logarithm.
+class DurationLevel:
+    """A range of concurrency, up to ``max_concurrency``, with the same duration of executions.
 
-    ``count`` is how many executions tell so.
+    ``log_duration`` is its logarithm, from ``count`` executions.
     """
 
-    most: int
-    value: float
+    max_concurrency: int
+    log_duration: float
     count: int
 
 
-def rising(times: Sequence[Smoothed]) -> list[Level]:
-    """Return levels of which each takes clearly longer than the one before.
+def duration_levels(durations: Sequence[Smoothed]) -> list[DurationLevel]:
+    """Return levels of which each has a clearly longer duration than the one before.
 
-    That is what is called pooling adjacent violators, with a least step between two levels.
-    Neighbouring numbers are taken together until ``FEW`` executions are known of them; what is left
-    above says nothing yet.
+    This is the pool adjacent violators algorithm, with a minimum step between two levels.
+    Neighbouring numbers are pooled until there are ``MIN_SAMPLES`` executions; the rest at the top
+    is not used yet.
     """
-    levels: list[Level] = []
+    levels: list[DurationLevel] = []
     value, count = 0.0, 0
-    for number, time in enumerate(times, 1):
-        value, count = merged(value, count, time.value, min(time.count, round(1 / WEIGHT)))
-        if count < FEW:
+    for concurrency, duration in enumerate(durations, 1):
+        value, count = pooled_mean(
+            value, count, duration.value, min(duration.count, round(1 / WEIGHT))
+        )
+        if count < MIN_SAMPLES:
             continue
-        level = Level(number, value, count)
-        while levels and levels[-1].value + STEP >= level.value:
+        level = DurationLevel(concurrency, value, count)
+        while levels and levels[-1].log_duration + MIN_STEP >= level.log_duration:
             below = levels.pop()
-            level.value, level.count = merged(below.value, below.count, level.value, level.count)
+            level.log_duration, level.count = pooled_mean(
+                below.log_duration, below.count, level.log_duration, level.count
+            )
         levels.append(level)
         value, count = 0.0, 0
     return levels
 
 
-def merged(first: float, count: int, second: float, further: int) -> tuple[float, int]:
-    """Return the mean of two means and the number that it is of."""
-    total = count + further
-    return ((first * count + second * further) / total if total else 0.0), total
+def pooled_mean(
+    first: float, first_count: int, second: float, second_count: int
+) -> tuple[float, int]:
+    """Return the mean of two means and the total number of samples."""
+    total = first_count + second_count
+    return ((first * first_count + second * second_count) / total if total else 0.0), total
 
 
-def ms_at(levels: Sequence[Level], number: int) -> float:
-    """Return how long executions take at a number at once, as a multiple of any fixed time."""
-    found = next((level for level in levels if number <= level.most), None)
-    return math.exp(found.value if found else levels[-1].value) if levels else 1.0
+def relative_duration(levels: Sequence[DurationLevel], concurrency: int) -> float:
+    """Return the duration of executions at a concurrency, relative to a fixed unit."""
+    found = next((level for level in levels if concurrency <= level.max_concurrency), None)
+    return math.exp(found.log_duration if found else levels[-1].log_duration) if levels else 1.0
--- a/src/marjoramtide/policy/admission/_limit_reduction.py
+++ b/src/marjoramtide/policy/admission/_limit_reduction.py
@@ -1,35 +1,35 @@
-"""One cut of the concurrency limit, and whether it helped."""
+"""One reduction of the concurrency limit, and whether it helped."""
 
 import attrs
 
 from marjoramtide.policy._smoothed import Smoothed
 
-ENOUGH_SAMPLES = 6
-CURED_BELOW = 0.75
+MIN_SAMPLES = 6
+HELPED_BELOW = 0.75
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class LimitReduction:
-    """How long executions took before a cut and how long they take after it.
+    """How long executions took before the limit was lowered, and how long they take since.
 
-    ``began_at`` is the limit before. The first ``began_at`` executions that end after the cut don't
-    count, since they ran beside as many others as before.
+    ``initial_limit`` is the limit before. The first ``initial_limit`` executions that end after the
+    reduction are ignored, since they ran beside as many others as before.
     """
 
-    began_at: float
+    initial_limit: float
     before_ms: float = 0.0
-    ended: int = 0
-    after: Smoothed = attrs.Factory(lambda: Smoothed(0.3, 0.3))
+    completed: int = 0
+    after_ms: Smoothed = attrs.Factory(lambda: Smoothed(0.3, 0.3))
 
-    def note(self, duration_ms: float) -> None:
-        """Take in an execution that ended under the lower limit."""
-        self.ended += 1
-        if self.ended > self.began_at:
-            self.after.add(duration_ms)
+    def add(self, duration_ms: float) -> None:
+        """Record an execution that ended under the lower limit."""
+        self.completed += 1
+        if self.completed > self.initial_limit:
+            self.after_ms.add(duration_ms)
 
-    def is_judged(self) -> bool:
-        return self.after.count >= ENOUGH_SAMPLES
+    def has_enough_samples(self) -> bool:
+        return self.after_ms.count >= MIN_SAMPLES
 
-    def has_cured(self) -> bool:
-        """Tell whether executions became clearly quicker."""
-        return self.after.value < CURED_BELOW * self.before_ms
+    def has_helped(self) -> bool:
+        """Tell whether executions became clearly faster."""
+        return self.after_ms.value < HELPED_BELOW * self.before_ms
--- a/src/marjoramtide/policy/admission/_limiter_factory.py
+++ b/src/marjoramtide/policy/admission/_limiter_factory.py
@@ -1,4 +1,4 @@
-"""Builds the limiter that the settings name."""
+"""Builds the concurrency limiter that the settings name."""
 
 import math
 
@@ -13,7 +13,7 @@
 
 
 def make_limiter(settings: RouteSettings) -> ConcurrencyLimiter:
-    """Build the limiter; raises ``bad-settings`` for a name that isn't one of ``LIMITERS``."""
+    """Build the limiter; raises ``bad-settings`` for a name that is not in ``LIMITERS``."""
     if settings.limiter == "adaptive":
         return AdaptiveLimiter(settings.slots, settings.min_limit or math.ceil(settings.slots / 2))
     if settings.limiter == "fixed":
--- a/src/marjoramtide/policy/admission/_sent_requests.py
+++ b/src/marjoramtide/policy/admission/_sent_requests.py
@@ -1,32 +1,32 @@
-"""When a backend server was sent requests lately."""
+"""When requests were recently sent to a backend server."""
 
 import itertools
 from collections import deque
 
 import attrs
 
-# The longest span that a gate looks back over, in seconds.
-KEPT_S = 6.0
+# The longest period that a rate limiter looks back over, in seconds.
+RETENTION_S = 6.0
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class SentRequests:
-    """The times of the last ``KEPT_S`` seconds, in seconds of the monotonic clock.
+    """The send times of the last ``RETENTION_S`` seconds, in seconds of the monotonic clock.
 
-    They are kept also while nothing limits the server, since it may be limited at any moment.
+    They are also kept while the server is not limited, since a limit may start at any moment.
     """
 
     times: deque[float] = attrs.Factory(deque)
 
-    def note(self, now: float) -> None:
-        """Take note of a request that is sent now."""
+    def add(self, now: float) -> None:
+        """Record a request that is sent now."""
         self.times.append(now)
-        while self.times[0] <= now - KEPT_S:
+        while self.times[0] <= now - RETENTION_S:
             self.times.popleft()
 
-    def since(self, began: float) -> list[float]:
-        """Return the times after one, the latest first."""
-        return list(itertools.takewhile(lambda at: at > began, reversed(self.times)))
+    def since(self, start: float) -> list[float]:
+        """Return the times after ``start``, the latest first."""
+        return list(itertools.takewhile(lambda at: at > start, reversed(self.times)))
 
     def clear(self) -> None:
         self.times.clear()
--- a/src/marjoramtide/policy/admission/_server_rate_limiter.py
+++ b/src/marjoramtide/policy/admission/_server_rate_limiter.py
@@ -1,4 +1,4 @@
-"""All that limits how many requests a second a backend server is given."""
+"""All limits on the requests per second of a backend server."""
 
 import attrs
 
@@ -10,45 +10,45 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class ServerRateLimiter(RateLimiter):
-    """A gate for what a server bears while it is cold, and one for the limit that it names.
+    """Combines the limit of a cold server with the limit that the server has requested.
 
-    Both count the same requests, so that one that is cold and names a limit gets the lesser of the
-    two. ``began_at`` is when the node began, in seconds of the monotonic clock.
+    Both count the same requests, so the lower of the two applies. ``started_at`` is when the node
+    started, in seconds of the monotonic clock.
     """
 
-    began_at: float
+    started_at: float
     sent: SentRequests = attrs.Factory(SentRequests)
     cold: ColdRateLimiter = attrs.field(init=False)
-    named: RequestedRateLimiter = attrs.field(init=False)
+    requested: RequestedRateLimiter = attrs.field(init=False)
 
     def __attrs_post_init__(self) -> None:
-        self.cold = ColdRateLimiter(self.began_at, self.sent)
-        self.named = RequestedRateLimiter(self.sent)
+        self.cold = ColdRateLimiter(self.started_at, self.sent)
+        self.requested = RequestedRateLimiter(self.sent)
 
     def server_started(self, now: float) -> None:
-        """Begin with another start of the server."""
+        """Reset for a new server process."""
         self.sent.clear()
         self.cold.server_started(now)
-        self.named.server_started()
+        self.requested.server_started()
 
-    def holds(self, now: float) -> bool:
-        return self.named.holds(now) or self.cold.holds(now)
+    def is_active(self, now: float) -> bool:
+        return self.requested.is_active(now) or self.cold.is_active(now)
 
     def allows(self, now: float) -> bool:
-        """Tell whether a request may begin now."""
-        return not self.holds(now) or self.opens_at(now) <= now
+        """Tell whether a request may start now."""
+        return not self.is_active(now) or self.next_start_at(now) <= now
 
-    def note_sent(self, now: float) -> None:
-        self.cold.note_sent(now)
-        self.named.note_sent(now)
-        self.sent.note(now)
+    def record_sent(self, now: float) -> None:
+        self.cold.record_sent(now)
+        self.requested.record_sent(now)
+        self.sent.add(now)
 
-    def opens_at(self, now: float) -> float:
-        return max(self.cold.opens_at(now), self.named.opens_at(now))
+    def next_start_at(self, now: float) -> float:
+        return max(self.cold.next_start_at(now), self.requested.next_start_at(now))
 
     def wait_s(self, ahead: int, now: float) -> float:
-        return max(self.cold.wait_s(ahead, now), self.named.wait_s(ahead, now))
+        return max(self.cold.wait_s(ahead, now), self.requested.wait_s(ahead, now))
 
     def concurrency(self, service_ms: float, now: float) -> float:
-        borne = self.cold.concurrency(service_ms, now), self.named.concurrency(service_ms, now)
-        return min(borne)
+        limits = self.cold.concurrency(service_ms, now), self.requested.concurrency(service_ms, now)
+        return min(limits)
