--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -1,4 +1,4 @@
-"""Steps on which requests are held back, decision by decision and over played fleets."""
+"""Steps for requests that are held back: single decisions and simulated fleets."""
 
 import asyncio
 import json
@@ -28,7 +28,7 @@
 
 REQUEST = 7
 PAGE = 0x1234_5678_9ABC_DEF0
-PLAYS = {
+SIMULATIONS = {
     "a tenth of 60 servers is lost every 5 s": PlayPlan(
         servers=60, per_s=1500.0, loss_every_s=5.0, seconds=30.0
     ),
@@ -51,12 +51,12 @@
 }
 
 
-def hears(context: Any, event: str) -> None:
-    """Play one event on the quarantine."""
+def apply_event(context: Any, event: str) -> None:
+    """Apply one event to the quarantine."""
     quarantine, now = context.quarantine, context.now
     numbers = [int(number) for number in re.findall(r"\d+", event)]
     match event.split(" ")[0]:
-        case "end":
+        case "crash":
             context.now = now = now + (0.03 if "soon" in event else 1.0)
             age_s = float(numbers[1]) if "ago" in event else 0.0
             ran_s = float(event.split()[3]) if " after " in event and "begun" not in event else 0.5
@@ -74,39 +74,39 @@
             quarantine.rule = HoldRule(after=numbers[0])
         case "nothing":
             pass
-        case _ if "other ends" in event:
+        case _ if "other crashes" in event:
             for number in range(numbers[0]):
-                end = ServerCrash(1000 + number, ran_s=0.1)
-                quarantine.merge(SuspectReport(1000 + number, (end,)), now)
+                crash = ServerCrash(1000 + number, ran_s=0.1)
+                quarantine.merge(SuspectReport(1000 + number, (crash,)), now)
         case _:
             context.now += numbers[0]
 
 
-@given("a quarantine that has heard {events}")
-def given_heard(context: Any, events: str) -> None:
+@given("a quarantine that has received {events}")
+def given_received(context: Any, events: str) -> None:
     context.quarantine, context.now = Quarantine(), 1000.0
     context.quarantine.server_count = 6
     for event in events.split(", "):
-        hears(context, event)
+        apply_event(context, event)
 
 
 @then("the request runs")
 def runs(context: Any) -> None:
-    judgement = context.quarantine.decide(REQUEST, context.now)
-    assert judgement.verdict is RunVerdict.RUN, judgement
+    decision = context.quarantine.decide(REQUEST, context.now)
+    assert decision.verdict is RunVerdict.RUN, decision
 
 
 @then("the request runs as a trial")
 def runs_as_trial(context: Any) -> None:
-    judgement = context.quarantine.decide(REQUEST, context.now)
-    assert judgement.verdict is RunVerdict.TRIAL, judgement
+    decision = context.quarantine.decide(REQUEST, context.now)
+    assert decision.verdict is RunVerdict.TRIAL, decision
 
 
 @then("the request waits {seconds:g} s")
 def waits(context: Any, seconds: float) -> None:
-    judgement = context.quarantine.decide(REQUEST, context.now)
-    assert judgement.verdict is RunVerdict.HOLD, judgement
-    assert abs(judgement.wait_s - seconds) < 0.001, judgement
+    decision = context.quarantine.decide(REQUEST, context.now)
+    assert decision.verdict is RunVerdict.HOLD, decision
+    assert abs(decision.wait_s - seconds) < 0.001, decision
 
 
 @when("{count:d} other requests are lost with servers")
@@ -114,8 +114,8 @@
     rng = random.Random(1)
     for number in range(count):
         context.now += 0.001
-        end = ServerCrash(1000 + number // 10)
-        context.quarantine.merge(SuspectReport(rng.getrandbits(64), (end,)), context.now)
+        crash = ServerCrash(1000 + number // 10)
+        context.quarantine.merge(SuspectReport(rng.getrandbits(64), (crash,)), context.now)
     context.now = 1002.0
 
 
@@ -130,13 +130,13 @@
     context.completed.add(PAGE)
 
 
-@then("the page is excused at its next end")
+@then("the page is excused at the next crash of the server")
 def excused(context: Any) -> None:
     assert context.completed.excuse(PAGE, 1)
     assert context.completed.excuse(PAGE, 1)
 
 
-@then("the page is not excused at the end after that")
+@then("the page is not excused at the crash after that")
 def excused_once(context: Any) -> None:
     assert not context.completed.excuse(PAGE, 2)
 
@@ -146,13 +146,13 @@
     assert not context.completed.excuse(PAGE ^ 0xFFFF, 3)
 
 
-@given("a played service where {what}")
-def given_played(context: Any, what: str) -> None:
-    context.plan = PLAYS[what]
+@given("a simulated service where {what}")
+def given_simulated(context: Any, what: str) -> None:
+    context.plan = SIMULATIONS[what]
 
 
-@when("it is played with the seeds 1, 2, 3 and 4")
-def played(context: Any) -> None:
+@when("it is simulated with the seeds 1, 2, 3 and 4")
+def simulated(context: Any) -> None:
     context.tallies = [play(attrs.evolve(context.plan, seed=seed)) for seed in (1, 2, 3, 4)]
 
 
@@ -176,8 +176,8 @@
     assert total(context, "served") >= share * total(context, "asked"), context.tallies
 
 
-@then("a guilty request ended at most {count:d} servers in each play")
-def ended(context: Any, count: int) -> None:
+@then("a guilty request crashed at most {count:d} servers in each simulation")
+def crashed(context: Any, count: int) -> None:
     assert all(0 < tally.guilty_ends <= count for tally in context.tallies), context.tallies
 
 
@@ -186,15 +186,15 @@
     context.spreads = [spread(size, seed, loss / 100) for seed in range(20)]
 
 
-@then("in 20 of 20 fleets all nodes hold it back within {seconds:g} s of the second end")
+@then("in 20 of 20 fleets all nodes hold it back within {seconds:g} s of the second crash")
 def all_hold(context: Any, seconds: float) -> None:
     late = [each for each in context.spreads if each.seconds > seconds]
     assert not late, late
 
 
-@then("an end costs at most {count:d} datagrams")
+@then("a crash costs at most {count:d} datagrams")
 def costs(context: Any, count: int) -> None:
-    """Three times to each node, and what is told at random until a second has passed."""
+    """Each node gets it three times, plus random gossip until a second has passed."""
     assert all(each.datagrams_an_end <= count for each in context.spreads), context.spreads
 
 
@@ -213,7 +213,7 @@
     run(context, make())
 
 
-async def end_two(network: NewsNetwork) -> None:
+async def crash_two(network: NewsNetwork) -> None:
     for number in (1, 2):
         network.nodes[number].server_ended(make_runs(network, 5))
         await asyncio.sleep(0.2)
@@ -224,7 +224,7 @@
     given_fleet(context, size)
 
     async def hold() -> None:
-        await end_two(context.network)
+        await crash_two(context.network)
         assert context.network.holders(GUILTY) == size
 
     run(context, hold())
@@ -244,8 +244,8 @@
     context.network.loss = loss / 100
 
 
-@given("none of them tells another at random")
-def given_no_rounds(context: Any) -> None:
+@given("none of them gossips at random")
+def given_no_gossip(context: Any) -> None:
     async def end() -> None:
         for task in context.network.tasks:
             task.cancel()
@@ -253,8 +253,8 @@
     run(context, end())
 
 
-@when("another has started anew, and meets {whom}")
-def starts_anew(context: Any, whom: str) -> None:
+@when("another has restarted, and meets {whom}")
+def restarted(context: Any, whom: str) -> None:
     async def start() -> None:
         network = context.network
         network.restart(9)
@@ -272,14 +272,14 @@
     assert context.network.nodes[9].spreader.is_informed
 
 
-@then("within {seconds:g} s only its {count:d} questions and their answers were sent")
-def only_questions(context: Any, seconds: float, count: int) -> None:
+@then("within {seconds:g} s only its {count:d} queries and their answers were sent")
+def only_queries(context: Any, seconds: float, count: int) -> None:
     run(context, asyncio.sleep(seconds))
     assert context.network.sent == 2 * count, context.network.sent
 
 
-@given("a fleet of {size:d} nodes, where a server has ended with a request")
-def given_one_end(context: Any, size: int) -> None:
+@given("a fleet of {size:d} nodes, where a server has crashed with a request")
+def given_one_crash(context: Any, size: int) -> None:
     given_fleet(context, size)
 
     async def end() -> None:
@@ -289,8 +289,8 @@
     run(context, end())
 
 
-@when("another server completes that request, and a third one ends with it")
-def completed_and_ended(context: Any) -> None:
+@when("another server completes that request, and a third one crashes with it")
+def completed_and_crashed(context: Any) -> None:
     async def complete() -> None:
         context.network.nodes[5].completed(GUILTY)
         await asyncio.sleep(0.2)
@@ -299,8 +299,8 @@
     run(context, complete())
 
 
-@when("{count:d} nodes tell of the end of a fourth one, half a second apart")
-def tell_of_one(context: Any, count: int) -> None:
+@when("{count:d} nodes report the crash of a fourth one, half a second apart")
+def report_one(context: Any, count: int) -> None:
     async def tell() -> None:
         network = context.network
         for node in network.nodes[:count]:
@@ -310,21 +310,21 @@
     run(context, tell())
 
 
-@given("a fleet of {size:d} nodes, one of which is cut off while a request ends two servers")
-def given_cut(context: Any, size: int) -> None:
+@given("a fleet of {size:d} nodes, one of which is partitioned while a request crashes two servers")
+def given_partitioned(context: Any, size: int) -> None:
     given_fleet(context, size)
 
     async def cut() -> None:
         context.network.cut.add(7)
-        await end_two(context.network)
+        await crash_two(context.network)
         await asyncio.sleep(5.0)
         assert context.network.holders(GUILTY) == size - 1
 
     run(context, cut())
 
 
-@when("that node is reached again, and another has started anew")
-def reached(context: Any) -> None:
+@when("that node is reachable again, and another has restarted")
+def reachable(context: Any) -> None:
     async def heal() -> None:
         context.network.cut.clear()
         context.network.restart(9)
@@ -372,31 +372,31 @@
     run(context, wait())
 
 
-@given("the news of an end of a server as a bulletin")
-def given_news(context: Any) -> None:
-    suspicion = SuspectReport(REQUEST, (ServerCrash(1, 0.5), ServerCrash(2)), (1,), 1.0)
-    (context.fields,) = pack_news([suspicion])
+@given("a crash report as a bulletin")
+def given_report(context: Any) -> None:
+    report = SuspectReport(REQUEST, (ServerCrash(1, 0.5), ServerCrash(2)), (1,), 1.0)
+    (context.fields,) = pack_news([report])
 
 
-@then("a node that knows only reports of load reads none in it")
+@then("a node that knows only load reports finds none in it")
 def reads_none(context: Any) -> None:
     assert unpack_report(context.fields) is None
 
 
-@then("a report of load is not taken for the news of an end")
-def not_news(context: Any) -> None:
+@then("a load report is not taken for a crash report")
+def not_crash_report(context: Any) -> None:
     assert is_quarantine_news(context.fields)
     assert not is_quarantine_news(report_fields(LoadReport(1, 2)))
 
 
-@when("one of them is sent the news {news}")
-def sent_news(context: Any, news: str) -> None:
+@when("one of them is sent the report {news}")
+def sent_report(context: Any, news: str) -> None:
     network = context.network
     context.fields = [["quarantine", json.loads(news)]]
     network.nodes[0].take(network.members[1], context.fields)
 
 
-@then("it counts one malformed piece of news and suspects nobody")
+@then("it counts one malformed report and has no suspects")
 def counts_malformed(context: Any) -> None:
     node = context.network.nodes[0]
     assert node.metrics.counts["quarantine.malformed"] == 1, node.metrics.counts
--- a/src/marjoramtide/policy/quarantine/__init__.py
+++ b/src/marjoramtide/policy/quarantine/__init__.py
@@ -1,7 +1,7 @@
-"""Which requests are held back because backend servers end while they run them?
+"""Which requests are held back because backend servers crash while they run them?
 
-Made for a request that ends each server that begins it and comes again and again, by any node; nine
-of ten requests that are lost with a server are innocent, and must be served on.
+For a request that crashes each server that starts it and is sent again and again, through any node.
+Nine of ten requests that are lost with a server are innocent, and must still be served.
 """
 
 from marjoramtide.policy.quarantine._completed_requests import CompletedRequests
--- a/src/marjoramtide/policy/quarantine/_recent_crashes.py
+++ b/src/marjoramtide/policy/quarantine/_recent_crashes.py
@@ -1,35 +1,36 @@
-"""How often backend servers of a service end."""
+"""The crash rate of the backend servers of a service."""
 
 from collections import Counter, OrderedDict
 from collections.abc import Container
 
-# Over how long ends are counted, in seconds. Long enough for a server to be back and end again a
-# few times, short enough that an outage that is over no longer excuses anybody.
+# The period over which crashes are counted, in seconds. Long enough for a server to restart and
+# crash again a few times, short enough that a past outage no longer excuses any request.
 WINDOW_S = 60.0
-# Ends that are kept; more in a minute say no more than that servers end all the time.
+# The maximum number of crashes kept; more within a minute add no information.
 MAX_CRASHES_KEPT = 1024
 
 
 class RecentCrashes:
-    """The ends of servers of the last minute, by their numbers."""
+    """The crashes of servers of the last minute, by their numbers."""
 
     def __init__(self) -> None:
         self.crashes: OrderedDict[int, float] = OrderedDict()
 
-    def add(self, number: int, ended_at: float) -> None:
-        """Note an end; the same one twice counts once."""
+    def add(self, number: int, crashed_at: float) -> None:
+        """Record a crash; duplicates count once."""
         if number not in self.crashes:
-            self.crashes[number] = ended_at
+            self.crashes[number] = crashed_at
         if len(self.crashes) > MAX_CRASHES_KEPT:
             self.crashes.popitem(last=False)
 
     def rate(self, server_count: int, now: float, without: Container[int]) -> float:
-        """Return how often one of so many servers ends, a second, leaving out some ends.
+        """Return the crashes per second of one of the servers, leaving out some crashes.
 
-        One end more than were seen is reckoned with: that none was seen in a minute does not mean
-        that none ever comes. In one second no more count than there are servers. Failure without
-        that: half of the nodes are lost, each of the rest that numbers ends by itself tells of each
-        of them, and by so many ends a request that ends servers passes for one that meets them.
+        One crash is added to those seen: that none was seen within a minute does not mean that none
+        ever occurs. Within one second at most one crash per server counts. Failure without that:
+        half of the nodes are lost, each of the rest numbers crashes itself and reports each of
+        them, and with so many crashes a request that crashes servers looks like one that was there
+        by chance.
         """
         since = now - WINDOW_S
         while self.crashes and next(iter(self.crashes.values())) < since:
--- a/src/marjoramtide/policy/quarantine/_run_decision.py
+++ b/src/marjoramtide/policy/quarantine/_run_decision.py
@@ -1,4 +1,4 @@
-"""What is decided of a request before a backend server may begin it."""
+"""The decision on a request before a backend server may start it."""
 
 from enum import StrEnum
 
@@ -6,17 +6,17 @@
 
 
 class RunVerdict(StrEnum):
-    """Whether a backend server may begin a request."""
+    """Whether a backend server may start a request."""
 
     RUN = "run"
     TRIAL = "trial"
-    """It may, alone in the fleet, to find out whether servers still end by it."""
+    """It may, as the only run in the fleet, to find out whether servers still crash."""
     HOLD = "hold"
 
 
 @attrs.frozen(slots=True)
 class RunDecision:
-    """The verdict, and for how many seconds a request is still held back."""
+    """The verdict, and for how many more seconds a request is held back."""
 
     verdict: RunVerdict
     wait_s: float = 0.0
--- a/src/marjoramtide/policy/quarantine/_suspect.py
+++ b/src/marjoramtide/policy/quarantine/_suspect.py
@@ -1,4 +1,4 @@
-"""A request that was running when servers ended."""
+"""A request that was running when servers crashed."""
 
 import itertools
 from collections.abc import Iterable
@@ -10,87 +10,87 @@
 
 T = TypeVar("T")
 
-# Ends that are kept of one request, as many again of which it was cleared. With more, only the
-# newest tell anything: its hold has reached its greatest length before.
+# Crashes that are kept for one request, and as many again that it was cleared of. More add no
+# information: the hold reaches its maximum before.
 MAX_CRASHES = 16
-# What is told of how long ago an end was, at most, in seconds.
-OLDEST_S = 86_400.0
-# Servers that end within so many seconds of each other are lost by one cause, a rack or a switch,
-# more likely than by a request that was running on all of them. What was running there is blamed
-# once; what began only after the first of these ends is blamed again.
-MOMENT_S = 0.05
+# The maximum reported age of a crash, in seconds.
+MAX_AGE_S = 86_400.0
+# Servers that crash within so many seconds of each other are more likely lost by one cause, such as
+# a rack or a switch, than by a request that was running on all of them. Such crashes count once for
+# the requests that were running; a crash counts again if the request started after the first one.
+SAME_CAUSE_S = 0.05
 
 
 @attrs.frozen(slots=True)
 class KnownCrash:
-    """When a server ended, and when it had begun the request; seconds of the monotonic clock."""
+    """When a server crashed and when it had started the request, on the monotonic clock."""
 
-    ended_at: float
-    began_at: float
+    crashed_at: float
+    started_at: float
 
     @property
     def ran_s(self) -> float:
-        return self.ended_at - self.began_at
+        return self.crashed_at - self.started_at
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Suspect:
-    """What this node holds of one request; times in seconds of the monotonic clock.
+    """What this node knows about one request; times in seconds of the monotonic clock.
 
-    ``ends`` are the ends by their numbers, ``cleared`` the numbers of those of which it is cleared;
-    both in the order in which they were heard of. ``heard_at`` is when the last news of it came,
-    ``guilty`` what was concluded from that.
-    ``label`` is its method and target, empty until this node has seen such a request, ``refused``
-    how often this node has refused it.
+    ``crashes`` are the crashes by their numbers, ``cleared`` the numbers of those it is cleared of;
+    both in the order in which they were reported. ``updated_at`` is when something new was last
+    reported, ``is_confirmed`` whether the crashes are then more than chance. ``label`` is its
+    method and target, empty until this node has seen such a request, ``refused`` how often this
+    node has rejected it.
     """
 
     fingerprint: int
     crashes: dict[int, KnownCrash] = attrs.Factory(dict)
     cleared: dict[int, None] = attrs.Factory(dict)
     trial_until: float = float("-inf")
-    heard_at: float = float("-inf")
+    updated_at: float = float("-inf")
     is_confirmed: bool = False
     label: str = ""
     refused: int = 0
 
     @property
     def crash_count(self) -> int:
-        """Return for how many ends it is blamed."""
+        """Return how many crashes count against it."""
         return len(self.counted_crashes())
 
     def counted_crashes(self) -> list[KnownCrash]:
-        """Return the ends of which it is not cleared, one of each moment, in their order."""
-        found: list[KnownCrash] = []
-        for end in sorted(self._open(), key=lambda end: end.ended_at):
-            moment = found[-1].ended_at if found else float("-inf")
-            if end.ended_at > moment + MOMENT_S or end.began_at > moment:
-                found.append(end)
-        return found
+        """Return the crashes it is not cleared of, one for each common cause, in their order."""
+        counted: list[KnownCrash] = []
+        for crash in sorted(self._uncleared(), key=lambda crash: crash.crashed_at):
+            previous_at = counted[-1].crashed_at if counted else float("-inf")
+            if crash.crashed_at > previous_at + SAME_CAUSE_S or crash.started_at > previous_at:
+                counted.append(crash)
+        return counted
 
     @property
     def last_crash_at(self) -> float:
-        """Return the time of the last end of which it is not cleared."""
-        return max((end.ended_at for end in self._open()), default=float("-inf"))
+        """Return the time of the last crash it is not cleared of."""
+        return max((crash.crashed_at for crash in self._uncleared()), default=float("-inf"))
 
-    def _open(self) -> list[KnownCrash]:
-        return [end for number, end in self.crashes.items() if number not in self.cleared]
+    def _uncleared(self) -> list[KnownCrash]:
+        return [crash for number, crash in self.crashes.items() if number not in self.cleared]
 
     def merge(self, report: SuspectReport, now: float) -> bool:
-        """Take in what is told of it; return whether any of that was new."""
-        new_ends = {
-            end.number: KnownCrash(now - end.age_s, now - end.age_s - end.ran_s)
-            for end in report.crashes
-            if end.number not in self.crashes
+        """Merge a report; return whether any of it was new."""
+        new_crashes = {
+            crash.number: KnownCrash(now - crash.age_s, now - crash.age_s - crash.ran_s)
+            for crash in report.crashes
+            if crash.number not in self.crashes
         }
-        self.crashes = keep_last(self.crashes | new_ends)
+        self.crashes = keep_last(self.crashes | new_crashes)
         cleared = self._clear(report.cleared)
-        tried = report.trial_s > 0 and self.trial_until < now
-        if tried:
+        has_trial = report.trial_s > 0 and self.trial_until < now
+        if has_trial:
             self.trial_until = now + report.trial_s
-        return bool(new_ends) or cleared or tried
+        return bool(new_crashes) or cleared or has_trial
 
     def clear(self) -> bool:
-        """Clear it of all ends that are known; return whether there was one."""
+        """Clear it of all known crashes; return whether there was one."""
         return self._clear(self.crashes)
 
     def _clear(self, numbers: Iterable[int]) -> bool:
@@ -99,12 +99,12 @@
         return bool(new)
 
     def to_report(self, now: float) -> SuspectReport:
-        """Return what others are told of it."""
+        """Return the report about it for other nodes."""
         return SuspectReport(
             self.fingerprint,
             tuple(
-                ServerCrash(number, min(OLDEST_S, max(0.0, now - end.ended_at)), end.ran_s)
-                for number, end in self.crashes.items()
+                ServerCrash(number, min(MAX_AGE_S, max(0.0, now - crash.crashed_at)), crash.ran_s)
+                for number, crash in self.crashes.items()
             ),
             tuple(self.cleared),
             max(0.0, self.trial_until - now),
@@ -112,6 +112,6 @@
 
 
 def keep_last(numbers: dict[int, T]) -> dict[int, T]:
-    """Return the last ``MAX_ENDS`` entries."""
+    """Return the last ``MAX_CRASHES`` entries."""
     excess = len(numbers) - MAX_CRASHES
     return numbers if excess <= 0 else dict(itertools.islice(numbers.items(), excess, None))
--- a/src/marjoramtide/policy/quarantine/_suspect_report.py
+++ b/src/marjoramtide/policy/quarantine/_suspect_report.py
@@ -1,13 +1,13 @@
-"""What nodes tell each other of a request that was running when servers ended."""
+"""What nodes tell each other about a request that was running when servers crashed."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class ServerCrash:
-    """One end of a backend server, by a number of 64 bits that the node beside it has drawn.
+    """One crash of a backend server, identified by a random 64-bit number from the node beside it.
 
-    ``age_s`` is how long ago that was, ``ran_s`` for how long the request had been running there
+    ``age_s`` is how long ago it was, ``ran_s`` for how long the request had been running there
     before, both in seconds.
     """
 
@@ -18,12 +18,12 @@
 
 @attrs.frozen(slots=True)
 class SuspectReport:
-    """The ends of servers that a request is suspected of, and those of which it is cleared.
+    """The crashes that a request is suspected of, and the numbers of those it is cleared of.
 
-    Both only grow, so that nodes come to hold the same whatever they hear first, twice or late, and
-    without a clock in common: a request that a server has completed is cleared of the ends that
-    were known by then, and of no later one. For ``trial_s`` seconds more a server tries whether it
-    still ends by the request.
+    Both are grow-only sets, so all nodes converge to the same state whatever the order, duplicates
+    and delays of reports, and without a common clock: a request that a server has completed is
+    cleared of the crashes that were known by then, and of no later one. ``trial_s`` is for how many
+    more seconds a server tests whether it still crashes.
     """
 
     fingerprint: int
