--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -1,4 +1,4 @@
-"""Steps for quotas without a network."""
+"""Steps for quotas, without a network."""
 
 from typing import Any
 
@@ -9,26 +9,26 @@
 from bench.quota.__main__ import plan_of
 from bench.quota._play import QUOTA
 from marjoramtide.policy.quota import FleetShares, QuotaAccount, make_quota_pool
-from marjoramtide.policy.quota._fleet_shares import REMEMBERED_S
+from marjoramtide.policy.quota._fleet_shares import RETENTION_S
 
 use_step_matcher("parse")
 
-HOWS = {
-    "by all nodes": "spread",
-    "by one node": "one",
-    "by another node each second": "moving",
+ARRIVALS = {
+    "through all nodes": "spread",
+    "through one node": "one",
+    "through another node each second": "moving",
 }
 FAULTS = {
-    "the owner of its quota ends": "owner ends",
-    "the owner starts again": "owner starts again",
-    "all nodes start again in turn": "all start again in turn",
-    "all nodes start again at once": "all start again at once",
-    "the owner stands still": "owner stands still",
-    "a third of the nodes is cut off": "a third is cut off",
-    "half of the nodes end": "half end",
+    "the owner of its quota crashes": "owner ends",
+    "the owner restarts": "owner starts again",
+    "all nodes restart in turn": "all start again in turn",
+    "all nodes restart at once": "all start again at once",
+    "the owner is suspended": "owner stands still",
+    "a third of the nodes is partitioned": "a third is cut off",
+    "half of the nodes crash": "half end",
     "its limit falls": "limit falls",
 }
-# A seed by which nodes that don't know each other yet give out far too much.
+# A seed with which nodes that don't know each other yet grant far too many tokens.
 SEEDS = {"all start again at once": 3}
 EXCESS = 0.1
 SLACK = 20.0
@@ -44,16 +44,18 @@
     context.plan = QuotaPlan(nodes, workspaces=1, per_s=limit / QUOTA, hot=4 * QUOTA, seconds=20)
 
 
-@when("it comes at four times its limit by all nodes")
-def when_beyond(context: Any) -> None:
+@when("it sends four times its limit through all nodes")
+def when_above_limit(context: Any) -> None:
     context.figures = play(context.plan)
 
 
-@when("its largest workspace comes {how}")
-def when_comes(context: Any, how: str) -> None:
+@when("its largest workspace sends requests {how}")
+def when_sends(context: Any, how: str) -> None:
     how, _, fault = how.partition(" while ")
-    known = FAULTS.get(fault, "")
-    plan = attrs.evolve(context.plan, how=HOWS[how], fault=known, seed=SEEDS.get(known, 1))
+    fault_name = FAULTS.get(fault, "")
+    plan = attrs.evolve(
+        context.plan, how=ARRIVALS[how], fault=fault_name, seed=SEEDS.get(fault_name, 1)
+    )
     context.figures = play(plan)
 
 
@@ -63,13 +65,13 @@
     assert figures.excess <= EXCESS * figures.limit + SLACK, figures
 
 
-@step("at least {share:d} in 100 of what is allowed is admitted, also of small workspaces")
-def nearly_all(context: Any, share: int) -> None:
+@step("at least {share:d} in 100 of what is allowed is admitted, also for small workspaces")
+def then_nearly_all(context: Any, share: int) -> None:
     figures: QuotaFigures = context.figures
     assert min(figures.served, figures.small_served) * 100 >= share, figures
 
 
-@given("an account with {count:d} tokens that were asked for at {at:f} s")
+@given("an account with {count:d} tokens that were requested at {at:f} s")
 def given_account(context: Any, count: int, at: float) -> None:
     context.account = QuotaAccount()
     context.account.add_lease(count, at)
@@ -77,10 +79,10 @@
 
 @then("it has {count:d} tokens at {at:f} s")
 def then_has(context: Any, count: int, at: float) -> None:
-    assert context.account.tokens.held(at) == count
+    assert context.account.tokens.count(at) == count
 
 
-@given("a pool of {rate:d} a second and {burst:d} at once, owned for {known:f} s")
+@given("a pool of {rate:d} a second and a burst of {burst:d}, owned for {known:f} s")
 def given_pool(context: Any, rate: int, burst: int, known: float) -> None:
     context.pool = make_quota_pool(rate, burst, known, 100.0)
 
@@ -91,28 +93,28 @@
 
 
 @given("{nodes:d} nodes in each of 2 data centres")
-def given_places(context: Any, nodes: int) -> None:
+def given_data_centres(context: Any, nodes: int) -> None:
     context.shares = FleetShares()
     for place in ("east", "west"):
         for number in range(nodes):
             context.shares.node_seen(f"{place}-{number}", place)
 
 
-@when("one data centre falls silent")
-def when_silent(context: Any) -> None:
+@when("one data centre becomes unreachable")
+def when_unreachable(context: Any) -> None:
     for address in [each for each, place in context.shares.present.items() if place == "east"]:
         context.shares.node_lost(address, 100.0)
 
 
 @then("the share of the other one is 0.5 for 60 s, and 1.0 after that")
 def then_half(context: Any) -> None:
-    assert context.shares.share("west", 100.0 + REMEMBERED_S - 1) == 0.5
-    assert attrs.evolve(context.shares).share("west", 100.0 + REMEMBERED_S + 1) == 1.0
+    assert context.shares.share("west", 100.0 + RETENTION_S - 1) == 0.5
+    assert attrs.evolve(context.shares).share("west", 100.0 + RETENTION_S + 1) == 1.0
 
 
-@when("one of its nodes says that it leaves")
+@when("one of its nodes announces that it leaves")
 def when_leaves(context: Any) -> None:
-    for address in list(context.shares.silent):
+    for address in list(context.shares.unreachable):
         context.shares.node_left(address)
 
 
--- a/src/marjoramtide/policy/quota/__init__.py
+++ b/src/marjoramtide/policy/quota/__init__.py
@@ -1,7 +1,7 @@
-"""Which requests of a workspace may be admitted, where all nodes together keep one rate limit?
+"""Which requests of a workspace may be admitted, if all nodes share one rate limit?
 
-Made for a workspace that sends six times its usual, by whichever nodes its callers come, beside
-seventy that send a few requests a second.
+For a workspace that sends six times its usual load, through any nodes, beside seventy that send a
+few requests a second.
 """
 
 from marjoramtide.policy.quota._demand_rate import DemandRate
--- a/src/marjoramtide/policy/quota/_expiring_tokens.py
+++ b/src/marjoramtide/policy/quota/_expiring_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens that were handed over, each lot good until a time of its own."""
+"""Tokens in batches, each of which expires at its own time."""
 
 from collections import deque
 
@@ -7,46 +7,46 @@
 
 @attrs.define(slots=True)
 class TokenBatch:
-    """Tokens that end together, at a time in seconds of the monotonic clock."""
+    """Tokens that expire together, at a time in seconds of the monotonic clock."""
 
     amount: int
-    ends_at: float
+    expires_at: float
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class ExpiringTokens:
-    """Gives out the tokens that end first.
+    """Takes the tokens that expire first.
 
-    A lot that ends unused is lost: a node that stood still for seconds must not spend what
-    belonged to a time long past beside what others were given since.
+    Expired tokens are lost: a node that was suspended for seconds must not spend tokens of the past
+    in addition to those that others have been given since.
     """
 
     batches: deque[TokenBatch] = attrs.Factory(deque)
 
-    def add(self, amount: int, ends_at: float) -> None:
+    def add(self, amount: int, expires_at: float) -> None:
         if amount > 0:
-            self.batches.append(TokenBatch(amount, ends_at))
+            self.batches.append(TokenBatch(amount, expires_at))
 
-    def drop_ended(self, now: float) -> int:
-        """Drop what is no longer good; return how many tokens those were."""
-        ended = 0
-        while self.batches and self.batches[0].ends_at <= now:
-            ended += self.batches.popleft().amount
-        return ended
+    def drop_expired(self, now: float) -> int:
+        """Drop the expired tokens and return their number."""
+        expired = 0
+        while self.batches and self.batches[0].expires_at <= now:
+            expired += self.batches.popleft().amount
+        return expired
 
-    def held(self, now: float) -> int:
-        """Return how many tokens are good."""
-        self.drop_ended(now)
-        return sum(lot.amount for lot in self.batches)
+    def count(self, now: float) -> int:
+        """Return how many tokens have not expired."""
+        self.drop_expired(now)
+        return sum(batch.amount for batch in self.batches)
 
     def take(self, wanted: int, now: float) -> int:
-        """Return how many of the wanted tokens could be taken."""
+        """Take up to ``wanted`` tokens and return their number."""
         taken = 0
-        while taken < wanted and self.held(now):
-            lot = self.batches[0]
-            part = min(lot.amount, wanted - taken)
-            lot.amount -= part
+        while taken < wanted and self.count(now):
+            batch = self.batches[0]
+            part = min(batch.amount, wanted - taken)
+            batch.amount -= part
             taken += part
-            if not lot.amount:
+            if not batch.amount:
                 self.batches.popleft()
         return taken
