--- a/features/steps/budget_steps.py
+++ b/features/steps/budget_steps.py
@@ -1,4 +1,4 @@
-"""Steps on budgets of second tries, of looks, and of returning callers."""
+"""Steps for budgets of retries and health checks, and for retry delays."""
 
 import random
 from collections import Counter
@@ -46,33 +46,35 @@
     assert budget.withdraw(START + 60)
 
 
-@given("{count:d} callers are refused at the same moment by a service of {rate:d} answers a second")
+@given(
+    "{count:d} callers are rejected at the same moment by a service of {rate:d} responses a second"
+)
 def step_callers(context: Any, count: int, rate: int) -> None:
     hint = RetryAfterHint(random.Random(1))
-    context.returns = [hint.next_ms(20.0, float(rate), START) for _ in range(count)]
+    context.delays_ms = [hint.next_ms(20.0, float(rate), START) for _ in range(count)]
 
 
-@then("no tenth of a second sees more than {most:d} of them return")
-def step_spread_returns(context: Any, most: int) -> None:
-    busiest = max(Counter(delay // 100 for delay in context.returns).values())
+@then("at most {most:d} of them retry within any tenth of a second")
+def step_spread_retries(context: Any, most: int) -> None:
+    busiest = max(Counter(delay // 100 for delay in context.delays_ms).values())
     assert busiest <= most, busiest
 
 
-@given("{count:d} callers are refused by a node that knows no server and has seen no answer")
-def step_lonely_callers(context: Any, count: int) -> None:
+@given("{count:d} callers are rejected by a node that knows no server and has seen no response")
+def step_callers_of_new_node(context: Any, count: int) -> None:
     own = Member("own", "t", "r", "a", "p", "g", "o", MemberState.STARTING)
     selector = make_selector(RouteSettings(service="s"), own, random.Random(1))
-    context.returns = [selector.retry_after_ms(START + number / 100) for number in range(count)]
+    context.delays_ms = [selector.retry_after_ms(START + number / 100) for number in range(count)]
 
 
-@then("all of them are told to return within {seconds:g} s")
-def step_return_in_time(context: Any, seconds: float) -> None:
-    assert max(context.returns) <= seconds * 1000, max(context.returns)
+@then("all of them are told to retry within {seconds:g} s")
+def step_retry_in_time(context: Any, seconds: float) -> None:
+    assert max(context.delays_ms) <= seconds * 1000, max(context.delays_ms)
 
 
-@given("a measuring budget of 1 read a second and {share:g} of {slots:d} slots")
-def step_measuring(context: Any, share: float, slots: int) -> None:
-    context.measuring = lambda: HealthCheckBudget(per_s=1.0, share=share, slots=slots)
+@given("a health check budget of 1 read a second and {share:g} of {slots:d} slots")
+def step_health_checks(context: Any, share: float, slots: int) -> None:
+    context.make_budget = lambda: HealthCheckBudget(per_s=1.0, share=share, slots=slots)
 
 
 @then(
@@ -84,9 +86,9 @@
         "failures": ([False, True], None),
         "traffic": ([True], None),
         "executions of 200 ms": ([True], 200.0),
-        "silence": ([], None),
+        "no traffic": ([], None),
     }[traffic]
-    budget = context.measuring()
+    budget = context.make_budget()
     reads = 0
     for now in (START + tick / 10 for tick in range(seconds * 10)):
         for succeeded in results:
@@ -97,8 +99,8 @@
     assert low <= reads <= high, reads
 
 
-@given("looks of {took:d} ms at a server of {slots:d} slots whose executions take {ms:d} ms")
-def step_looks(context: Any, took: int, slots: int, ms: int) -> None:
+@given("reads of {took:d} ms from a server of {slots:d} slots whose executions take {ms:d} ms")
+def step_reads_of_server(context: Any, took: int, slots: int, ms: int) -> None:
     def interval_ms(share: float) -> float:
         budget = HealthCheckBudget(per_s=40.0, share=share, slots=slots)
         budget.record_response(START, succeeded=True, took_ms=float(ms))
@@ -119,7 +121,7 @@
 
 @then("a failed request brings the next read forward to {seconds:g} s after the last")
 def step_read_forward(context: Any, seconds: float) -> None:
-    budget = context.measuring()
+    budget = context.make_budget()
     budget.record_read(START)
     budget.record_response(START + 0.1, succeeded=True)
     assert budget.next_read_at(START + 0.1) > START + seconds
--- a/src/marjoramtide/policy/budgets/__init__.py
+++ b/src/marjoramtide/policy/budgets/__init__.py
@@ -1,6 +1,6 @@
-"""How much may be spent on second tries and on measuring, and when should a caller come back?
+"""Budgets of retries, hedges and health checks, and retry delays for rejected callers.
 
-Made for storms: callers and nodes that all try again at once keep a service down after its fault.
+For storms: callers and nodes that all retry at once keep a service down after its fault is gone.
 """
 
 from marjoramtide.policy.budgets._health_check_budget import HealthCheckBudget
--- a/src/marjoramtide/policy/budgets/_retry_budget.py
+++ b/src/marjoramtide/policy/budgets/_retry_budget.py
@@ -1,10 +1,10 @@
-"""The budget of second tries."""
+"""The budget of retries or hedges."""
 
 import math
 
 import attrs
 
-# For how many seconds a budget saves its income, unless it is made with another figure.
+# The time constant, in seconds, over which a budget accumulates tokens by default.
 RETRY_WINDOW_S = 10.0
 
 
@@ -14,10 +14,10 @@
 
     Failure: servers fail, each request is tried three times, and the threefold load keeps them
     failing after the cause is gone (a retry storm). Each first attempt deposits ``share`` of a
-    token and each second try takes a whole one, so second tries never exceed that share of the
-    requests of the last ``window_s`` seconds: a storm can't feed itself, since a retry deposits
-    nothing. ``min_per_s`` tokens a second come in besides, so that a quiet service may retry too; a
-    new budget starts with what they amount to.
+    token and each second attempt takes a whole one, so second attempts never exceed that share of
+    the requests of the last ``window_s`` seconds: a storm can't sustain itself, since a retry
+    deposits nothing. In addition ``min_per_s`` tokens are added a second, so that a service with
+    little traffic may retry too; a new budget starts with ``window_s`` seconds of them.
     """
 
     share: float
@@ -27,25 +27,25 @@
     updated_at: float = 0.0
 
     @tokens.default
-    def _income_without_requests(self) -> float:
-        # Not 0: the first request that a fresh node gets may be refused by a server that stalls.
+    def _initial_tokens(self) -> float:
+        # Not 0: the first request of a new node may be rejected by a stalled server.
         return self.min_per_s * self.window_s
 
     def _refresh(self, now: float) -> None:
         elapsed = max(0.0, now - self.updated_at) if self.updated_at else 0.0
         self.updated_at = now
-        # Decay instead of a fixed ceiling: the balance tends to ``window_s`` seconds of income at
-        # any rate of requests, so a night of success can't be saved up for a storm.
-        kept = math.exp(-elapsed / self.window_s)
-        self.tokens = self.tokens * kept + self.min_per_s * self.window_s * (1 - kept)
+        # Decay instead of a fixed maximum: the balance tends to ``window_s`` seconds of deposits at
+        # any request rate, so tokens can't be saved up for hours before a storm.
+        decay = math.exp(-elapsed / self.window_s)
+        self.tokens = self.tokens * decay + self.min_per_s * self.window_s * (1 - decay)
 
     def deposit(self, now: float) -> None:
-        """Note a first attempt."""
+        """Record a first attempt."""
         self._refresh(now)
         self.tokens += self.share
 
     def withdraw(self, now: float) -> bool:
-        """Take a token for a second try; ``False`` where there is none."""
+        """Take a token for a second attempt; return ``False`` if there is none."""
         self._refresh(now)
         if self.tokens < 1:
             return False
--- a/src/marjoramtide/policy/budgets/_token_bucket.py
+++ b/src/marjoramtide/policy/budgets/_token_bucket.py
@@ -1,13 +1,13 @@
-"""A budget that refills with time."""
+"""A token bucket."""
 
 import attrs
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class TokenBucket:
-    """Allows ``rate`` units a second on average and ``burst`` at once.
+    """Allows ``rate`` tokens a second on average and ``burst`` at once.
 
-    Times are in seconds of the monotonic clock. The bucket begins full, unless another ``level`` is
+    Times are in seconds of the monotonic clock. The bucket starts full, unless another ``level`` is
     set, which may be below 0.
     """
 
@@ -21,23 +21,23 @@
         return self.burst
 
     def refill(self, now: float) -> float:
-        """Return what the bucket holds now."""
+        """Refill the bucket and return its level."""
         self.level = min(self.burst, self.level + max(0.0, now - self.updated) * self.rate)
         self.updated = now
         return self.level
 
     def take(self, amount: float, now: float) -> bool:
-        """Take ``amount`` if the budget holds it."""
+        """Take ``amount`` tokens if the bucket holds them."""
         if amount > self.refill(now):
             return False
         self.level -= amount
         return True
 
     def spend(self, amount: float, now: float) -> None:
-        """Take ``amount`` whether or not the budget holds it."""
+        """Take ``amount`` tokens even if the bucket doesn't hold them."""
         self.refill(now)
         self.level -= amount
 
     def wait_s(self, amount: float, now: float) -> float:
-        """Return after how many seconds the budget holds ``amount``, which may be above a burst."""
+        """Return after how many seconds ``amount`` tokens, even above ``burst``, are refilled."""
         return max(0.0, amount - self.refill(now)) / self.rate
