--- a/features/policy/evacuation.feature
+++ b/features/policy/evacuation.feature
@@ -1,8 +1,8 @@
 Feature: Which data centres are evacuated follows from the newest word of the store
 
   Scenario Outline: News in any order leaves the newest in force
-    # Copies of news overtake each other: an old one must neither bring an evacuation back nor end it.
-    Given a node that has heard <heard>
+    # Snapshots arrive out of order: an old one must neither restore an evacuation nor end it.
+    Given a node that has received <heard>
     Then <names> is evacuated there
 
     Examples:
@@ -18,9 +18,9 @@
       | none at 9, a at 5 of epoch 1              | a       |
 
   Scenario Outline: A store that comes back from a copy does not end an evacuation
-    # The copy is older than the operator's entry, which was acknowledged. Nothing more may be sent
-    # there, and the entry is written again some moment later, unless it has been taken back since.
-    Given a node that has heard <heard>
+    # The backup is older than the operator's entry, which was acknowledged. Nothing more may be sent
+    # there, and the entry is written again a moment later, unless it has been revoked since.
+    Given a node that has received <heard>
     Then <names> is evacuated there
 
     Examples:
@@ -36,20 +36,20 @@
       | a at 5, none at 3 of epoch 1, none at 3 of epoch 2                     | a       |
 
   Scenario: A node that missed the operator's second order and its end brings nothing back
-    # The others know that the evacuation was written again and taken back; news of it was lost on the
-    # way to one node, which still holds to it and tells so.
-    Given a node that has heard a at 5, none at 3 of epoch 1, a at 4 of epoch 1, none at 6 of epoch 1
-    When it hears of a node that has heard a at 5, none at 3 of epoch 1, none at 6 of epoch 1
+    # The others know that the evacuation was written again and revoked; one node has lost these
+    # updates, still holds the evacuation and reports it.
+    Given a node that has received a at 5, none at 3 of epoch 1, a at 4 of epoch 1, none at 6 of epoch 1
+    When it receives the state of a node that has received a at 5, none at 3 of epoch 1, none at 6 of epoch 1
     Then nothing is evacuated there
 
   Scenario: A node that starts after the store came back holds to what the others hold to
-    Given a node that has heard a at 5, none at 3 of epoch 1, 15 s pass
-    When another node hears of it what it tells
+    Given a node that has received a at 5, none at 3 of epoch 1, 15 s pass
+    When another node receives its state
     Then a is evacuated at the other node for another 5 s
 
   Scenario Outline: All nodes know of an evacuation within a second, also where datagrams are lost
-    # Nodes that have not heard go on sending to servers which the operator was told get nothing.
-    When a fleet of <size> nodes, with 3 in 100 datagrams lost, hears of one by <watchers> of its watchers
+    # Nodes without the update keep sending to servers after the operator was told that they get none.
+    When a fleet of <size> nodes, with 3 in 100 datagrams lost, is told of one by <watchers> of its watchers
     Then all of it knows within 1 s, with each of 5 seeds
 
     Examples:
@@ -62,7 +62,7 @@
 
   Scenario Outline: News that is none changes nothing
     Given store news <news>
-    Then that news is refused as malformed
+    Then that news is rejected as malformed
 
     Examples:
       | news                                    |
--- a/features/policy/statements.feature
+++ b/features/policy/statements.feature
@@ -1,11 +1,11 @@
 Feature: The newest word of a start of a backend server holds
 
   Scenario Outline: Which of two answers holds
-    # Answers overtake each other. One is newer for certain where its request was sent after the other
-    # one had come.
-    Given a start "i-1" of a server
-    When an answer to a request sent at <sent> comes at <came> and names <first>
-    And an answer to a request sent at <sent_next> comes at <came_next> and names <next>
+    # Responses arrive out of order. One is known to be newer if its request was sent after the other
+    # one had arrived.
+    Given a server process "i-1"
+    When the response to a request sent at <sent> arrives at <came> and states <first>
+    And the response to a request sent at <sent_next> arrives at <came_next> and states <next>
     Then its limit is <limit>
 
     Examples:
@@ -20,43 +20,43 @@
       | 1.0  | 1.2  | none  | 0.9       | 1.3       | 4    | 4     |
 
   Scenario: A limit that is named in every other answer stays in force
-    Given a start "i-1" of a server
-    When answers name 8 and none in turn, one each 0.1 s for 5 s
+    Given a server process "i-1"
+    When responses state 8 and none in turn, one each 0.1 s for 5 s
     Then its limit is 8 all the while
 
   Scenario: Health that never named a limit says nothing of its end
-    Given a start "i-1" of a server
-    When an answer to a request sent at 1.0 comes at 1.2 and names 8
-    And its health, asked at 5.0, names none
+    Given a server process "i-1"
+    When the response to a request sent at 1.0 arrives at 1.2 and states 8
+    And its health check, sent at 5.0, states none
     Then its limit is 8
 
   Scenario: Health that has named a limit tells of its end
-    Given a start "i-1" of a server
-    When its health, asked at 1.0, names 8
-    And its health, asked at 5.0, names none
+    Given a server process "i-1"
+    When its health check, sent at 1.0, states 8
+    And its health check, sent at 5.0, states none
     Then its limit is none
 
   Scenario: That a server leaves is never taken back
-    Given a start "i-1" of a server
-    When its health, asked at 1.0, says that it leaves
-    And an answer to a request sent at 2.0 comes at 2.2 and names none
-    Then it counts as leaving
+    Given a server process "i-1"
+    When its health check, sent at 1.0, states that it is leaving
+    And the response to a request sent at 2.0 arrives at 2.2 and states none
+    Then it is leaving
 
   Scenario: Without an identity a newer answer may be that of another start
-    Given a start "" of a server
-    When its health, asked at 1.0, says that it leaves
-    And an answer to a request sent at 2.0 comes at 2.2 and names none
-    Then it doesn't count as leaving
+    Given a server process ""
+    When its health check, sent at 1.0, states that it is leaving
+    And the response to a request sent at 2.0 arrives at 2.2 and states none
+    Then it is not leaving
 
   Scenario Outline: What another node tells of a start
-    Given a start "i-1" of a server
+    Given a server process "i-1"
     When <before>
-    And another node tells of "<start>" that it names 8 and leaves
+    And another node reports of "<start>" that it states 8 and is leaving
     Then its limit is <limit>
     And it <leaves>
 
     Examples:
-      | before                                                             | start | limit | leaves                   |
-      | nothing was heard of it                                            | i-1   | 8     | counts as leaving        |
-      | nothing was heard of it                                            | i-2   | none  | doesn't count as leaving |
-      | an answer to a request sent at 1.0 comes at 1.2 and names none     | i-1   | none  | counts as leaving        |
+      | before                                                               | start | limit | leaves         |
+      | nothing was stated                                                   | i-1   | 8     | is leaving     |
+      | nothing was stated                                                   | i-2   | none  | is not leaving |
+      | the response to a request sent at 1.0 arrives at 1.2 and states none | i-1   | none  | is leaving     |
--- a/features/steps/evacuation_policy_steps.py
+++ b/features/steps/evacuation_policy_steps.py
@@ -1,4 +1,4 @@
-"""Steps on which data centres are evacuated, without a network."""
+"""Steps for evacuated data centres, without a network."""
 
 import json
 import re
@@ -15,29 +15,29 @@
 use_step_matcher("parse")
 
 NOW = 1000.0
-HEARD = re.compile(r"(?P<names>[a-z ]+) at (?P<revision>\d+)( of epoch (?P<epoch>\d+))?")
+SNAPSHOT = re.compile(r"(?P<names>[a-z ]+) at (?P<revision>\d+)( of epoch (?P<epoch>\d+))?")
 
 
-def hear(context: Any, event: str) -> None:
-    """Let the node hear one piece of news, or let time pass."""
+def apply_event(context: Any, event: str) -> None:
+    """Send one snapshot to the node, or let time pass."""
     if event == "nothing":
         return
     if event.endswith("s pass"):
         context.now += float(event.split()[0])
         return
-    found = HEARD.fullmatch(event)
+    found = SNAPSHOT.fullmatch(event)
     assert found is not None, event
     names = frozenset() if found["names"] == "none" else frozenset(found["names"].split(" and "))
     version = version_of(int(found["epoch"] or 0), int(found["revision"]))
     context.evacuations.merge(EvacuationSnapshot(version, names), context.now)
 
 
-@given("a node that has heard {events}")
-def given_heard(context: Any, events: str) -> None:
+@given("a node that has received {events}")
+def given_received(context: Any, events: str) -> None:
     context.now = NOW
     context.evacuations = EvacuationState()
     for event in events.split(", "):
-        hear(context, event)
+        apply_event(context, event)
 
 
 @then("{names} is evacuated there")
@@ -46,16 +46,16 @@
     assert context.evacuations.in_force(context.now) == wanted
 
 
-@when("it hears of a node that has heard {events}")
-def when_hears_of_other(context: Any, events: str) -> None:
+@when("it receives the state of a node that has received {events}")
+def when_receives_other(context: Any, events: str) -> None:
     own, now = context.evacuations, context.now
-    given_heard(context, events)
+    given_received(context, events)
     own.merge(context.evacuations.snapshot(now), now)
     context.evacuations = own
 
 
-@when("another node hears of it what it tells")
-def when_told(context: Any) -> None:
+@when("another node receives its state")
+def when_other_receives(context: Any) -> None:
     context.other = EvacuationState()
     context.other.merge(context.evacuations.snapshot(context.now), context.now)
 
@@ -68,9 +68,9 @@
 
 @when(
     "a fleet of {size:d} nodes, with {lost:d} in 100 datagrams lost, "
-    "hears of one by {watchers:d} of its watchers"
+    "is told of one by {watchers:d} of its watchers"
 )
-def when_heard(context: Any, size: int, lost: int, watchers: int) -> None:
+def when_fleet_is_told(context: Any, size: int, lost: int, watchers: int) -> None:
     context.plans = [SpreadPlan(size, lost / 100, watchers, seed) for seed in range(1, 6)]
 
 
@@ -85,10 +85,10 @@
     context.news = json.loads(news)
 
 
-@then("that news is refused as malformed")
-def then_refused(context: Any) -> None:
+@then("that news is rejected as malformed")
+def then_rejected(context: Any) -> None:
     try:
         unpack_store_news(context.news)
     except MalformedError:
         return
-    raise AssertionError(f"{context.news} was read")
+    raise AssertionError(f"{context.news} was accepted")
--- a/features/steps/server_starts_steps.py
+++ b/features/steps/server_starts_steps.py
@@ -1,4 +1,4 @@
-"""Steps for backend servers that start again under the identity that they had."""
+"""Steps for backend servers that restart with the same identity."""
 
 import asyncio
 import time
@@ -12,7 +12,7 @@
 from marjoramtide.serving import Registration
 
 INSTANCE = "i-1"
-FAILED_MS = 5000.0
+FAILURE_MS = 5000.0
 FAILURES = 40
 
 
@@ -27,7 +27,7 @@
 
 
 @given("the server of node {number:d} was born at {born:d} and has sent {count:d} heartbeats")
-def was_born(context: Any, number: int, born: int, count: int) -> None:
+def born_with_heartbeats(context: Any, number: int, born: int, count: int) -> None:
     seat(context, number).registrant.born = born
     has_sent(context, number, count)
 
@@ -40,8 +40,8 @@
 
 
 @given("a booking runs at the server of node 1 when that crashes without a word")
-def crashes_amid_a_booking(context: Any) -> None:
-    """Crash it in the same turn of the loop, so that the booking can't have ended before."""
+def crashes_during_booking(context: Any) -> None:
+    """Crash it in the same iteration of the event loop, so that the booking can't end before."""
     each = seat(context, 1)
 
     async def begin() -> None:
@@ -57,7 +57,7 @@
 
 
 @step("the server of node {number:d} starts again under its identity, born at {born:d}")
-def starts_again(context: Any, number: int, born: int) -> None:
+def restarts(context: Any, number: int, born: int) -> None:
     each = seat(context, number)
     each.server.faults.drain = False
     each.server.start_again(each.registrant.slots)
@@ -96,7 +96,7 @@
     for ticket in range(-FAILURES, 0):
         profile = CallProfile(False, True, now + 60, attempt=2, kind="learned")
         serving.admission.offer(ticket, profile, now)
-        serving.admission.finished(ticket, now + FAILED_MS / 1000, FAILED_MS, ticket % 4 == 0)
+        serving.admission.finished(ticket, now + FAILURE_MS / 1000, FAILURE_MS, ticket % 4 == 0)
     context.before = report(context, 1)
     assert context.before.service_time_ms > 1000 and context.before.success_rate < 0.5
 
@@ -105,7 +105,7 @@
 def nothing_known(context: Any) -> None:
     now = report(context, 1)
     assert now.incarnation > context.before.incarnation, (now, context.before)
-    assert now.sequence > context.before.sequence, "others would pass over it as an old one"
+    assert now.sequence > context.before.sequence, "others would ignore it as an old one"
     assert (now.service_time_ms, now.success_rate) == (0.0, 1.0), now
     assert now.uptime_s < context.before.uptime_s, now
 
--- a/src/marjoramtide/policy/evacuation/__init__.py
+++ b/src/marjoramtide/policy/evacuation/__init__.py
@@ -1,7 +1,7 @@
-"""Which data centres' backend servers get no work, because an operator has evacuated them?
+"""Which data centres' backend servers get no requests because an operator has evacuated them?
 
-Made for news that reaches a node on several ways and in any order, and for a store that comes back
-from a copy which lacks, or still has, what the operator has written since.
+For updates that reach a node from several sources and in any order, and for a store that is
+restored from a backup which lacks, or still contains, what the operator has changed since.
 """
 
 from marjoramtide.policy.evacuation._evacuation_snapshot import EvacuationSnapshot
--- a/src/marjoramtide/policy/evacuation/_evacuation_snapshot.py
+++ b/src/marjoramtide/policy/evacuation/_evacuation_snapshot.py
@@ -1,4 +1,4 @@
-"""What the store held of evacuations at one version of it."""
+"""The evacuations at one version of the store."""
 
 import attrs
 
@@ -7,8 +7,8 @@
 class EvacuationSnapshot:
     """The names of all data centres that were evacuated at a version of the store.
 
-    ``kept_s`` holds those that a copy of the store lacks and that are evacuated all the same, with
-    the seconds for which they still are.
+    ``held_s`` contains those that a restored store lacks and that are still treated as evacuated,
+    with the remaining seconds.
     """
 
     version: int = 0
--- a/src/marjoramtide/policy/statements/__init__.py
+++ b/src/marjoramtide/policy/statements/__init__.py
@@ -1,7 +1,7 @@
-"""What has this start of the backend server said of itself, and does it still hold?
+"""Which rate limit has this backend server process requested, and is it leaving?
 
-Made for servers that ask in their answers to be given less, or nothing, while answers overtake each
-other and nodes beside them start anew.
+For servers that ask in their responses for fewer requests, or for none, while responses arrive out
+of order and the nodes beside them restart.
 """
 
 from marjoramtide.policy.statements._statement_tracker import StatementTracker
