--- a/src/marjoramtide/policy/evacuation/_evacuation_state.py
+++ b/src/marjoramtide/policy/evacuation/_evacuation_state.py
@@ -60,8 +60,8 @@
 
     def snapshot(self, now: float) -> EvacuationSnapshot:
         """Return the snapshot for other nodes."""
-        held_s = tuple((name, until - now) for name, until in sorted(self.held_until.items()))
-        return attrs.evolve(self.latest, held_s=held_s)
+        held = tuple((name, until - now) for name, until in sorted(self.held_until.items()))
+        return attrs.evolve(self.latest, held_s=held)
 
     def next_expiry(self) -> float | None:
         """Return when the first of the held evacuations expires."""
