--- a/features/policy/evacuation.feature
+++ b/features/policy/evacuation.feature
@@ -2,38 +2,38 @@
 
   Scenario Outline: News in any order leaves the newest in force
     # Snapshots arrive out of order: an old one must neither restore an evacuation nor end it.
-    Given a node that has received <heard>
+    Given a node that has received <events>
     Then <names> is evacuated there
 
     Examples:
-      | heard                                     | names   |
-      | nothing                                   | nothing |
-      | a at 5                                    | a       |
-      | a at 5, none at 7                         | nothing |
-      | none at 7, a at 5                         | nothing |
-      | a at 5, none at 7, a at 9                 | a       |
-      | a at 5, a at 9, none at 7                 | a       |
-      | a and b at 5, b at 6                      | b       |
-      | a at 5 of epoch 1, none at 9              | a       |
-      | none at 9, a at 5 of epoch 1              | a       |
+      | events                       | names   |
+      | nothing                      | nothing |
+      | a at 5                       | a       |
+      | a at 5, none at 7            | nothing |
+      | none at 7, a at 5            | nothing |
+      | a at 5, none at 7, a at 9    | a       |
+      | a at 5, a at 9, none at 7    | a       |
+      | a and b at 5, b at 6         | b       |
+      | a at 5 of epoch 1, none at 9 | a       |
+      | none at 9, a at 5 of epoch 1 | a       |
 
   Scenario Outline: A store that comes back from a copy does not end an evacuation
     # The backup is older than the operator's entry, which was acknowledged. Nothing more may be sent
     # there, and the entry is written again a moment later, unless it has been revoked since.
-    Given a node that has received <heard>
+    Given a node that has received <events>
     Then <names> is evacuated there
 
     Examples:
-      | heard                                                                  | names   |
-      | a at 5, none at 3 of epoch 1                                           | a       |
-      | a at 5, none at 3 of epoch 1, 19 s pass                                | a       |
-      | a at 5, none at 3 of epoch 1, 21 s pass                                | nothing |
-      | a at 5, none at 3 of epoch 1, a at 4 of epoch 1                        | a       |
-      | a at 5, none at 3 of epoch 1, a at 4 of epoch 1, 21 s pass             | a       |
-      | a at 5, none at 3 of epoch 1, a at 4 of epoch 1, none at 6 of epoch 1  | nothing |
-      | a at 5, none at 7, a at 3 of epoch 1                                   | a       |
-      | a at 5, none at 7, a at 3 of epoch 1, none at 4 of epoch 1             | nothing |
-      | a at 5, none at 3 of epoch 1, none at 3 of epoch 2                     | a       |
+      | events                                                                | names   |
+      | a at 5, none at 3 of epoch 1                                          | a       |
+      | a at 5, none at 3 of epoch 1, 19 s pass                               | a       |
+      | a at 5, none at 3 of epoch 1, 21 s pass                               | nothing |
+      | a at 5, none at 3 of epoch 1, a at 4 of epoch 1                       | a       |
+      | a at 5, none at 3 of epoch 1, a at 4 of epoch 1, 21 s pass            | a       |
+      | a at 5, none at 3 of epoch 1, a at 4 of epoch 1, none at 6 of epoch 1 | nothing |
+      | a at 5, none at 7, a at 3 of epoch 1                                  | a       |
+      | a at 5, none at 7, a at 3 of epoch 1, none at 4 of epoch 1            | nothing |
+      | a at 5, none at 3 of epoch 1, none at 3 of epoch 2                    | a       |
 
   Scenario: A node that missed the operator's second order and its end brings nothing back
     # The others know that the evacuation was written again and revoked; one node has lost these
@@ -65,15 +65,15 @@
     Then that news is rejected as malformed
 
     Examples:
-      | news                                    |
-      | []                                      |
-      | [["store"]]                             |
-      | [["store", 0, 5, "a", []]]              |
-      | [["store", 0, 5, [7], []]]              |
-      | [["store", -1, 5, ["a"], []]]           |
-      | [["store", 0, 1e9, ["a"], []]]          |
-      | [["store", 0, 5, [""], []]]             |
-      | [["store", 0, 5, ["a"], [["a", -1]]]]   |
-      | [["store", 0, 5, ["a"], [["a", 1e9]]]]  |
-      | [["store", 0, 5, ["a"], [["a"]]]]       |
-      | [["store", true, 5, ["a"], []]]         |
+      | news                                   |
+      | []                                     |
+      | [["store"]]                            |
+      | [["store", 0, 5, "a", []]]             |
+      | [["store", 0, 5, [7], []]]             |
+      | [["store", -1, 5, ["a"], []]]          |
+      | [["store", 0, 1e9, ["a"], []]]         |
+      | [["store", 0, 5, [""], []]]            |
+      | [["store", 0, 5, ["a"], [["a", -1]]]]  |
+      | [["store", 0, 5, ["a"], [["a", 1e9]]]] |
+      | [["store", 0, 5, ["a"], [["a"]]]]      |
+      | [["store", true, 5, ["a"], []]]        |
--- a/features/policy/overload.feature
+++ b/features/policy/overload.feature
@@ -18,5 +18,5 @@
 
     Examples:
       | load | decision |
-      | 160  | refused  |
+      | 160  | rejected |
       | 50   | queued   |
--- a/features/policy/quarantine.feature
+++ b/features/policy/quarantine.feature
@@ -3,11 +3,11 @@
   Scenario Outline: Two ends that no completion speaks against hold a request back
     # Crashes and completions are reported in any order, by several nodes, more than once, and late. A
     # wrong hold costs a caller its answer; a wrong run costs a server.
-    Given a quarantine that has received <heard>
+    Given a quarantine that has received <events>
     Then the request <verdict>
 
     Examples:
-      | heard                                                                            | verdict         |
+      | events                                                                           | verdict         |
       | nothing                                                                          | runs            |
       | crash 1                                                                          | runs            |
       | crash 1, crash 1, crash 1                                                        | runs            |
@@ -23,17 +23,17 @@
       | crash 1, crash 2 of 50 s ago                                                     | waits 59 s      |
       | crash 1, crash 2 soon                                                            | runs            |
       | crash 1, crash 2 soon, crash 3                                                   | waits 60 s      |
-      | crash 1, crash 2 soon and begun after                                            | waits 60 s      |
+      | crash 1, crash 2 soon and started after                                          | waits 60 s      |
       | crash 1 of 50 s ago, crash 2 of 50 s ago                                         | waits 10 s      |
       | crash 1, crash 2, crash 3                                                        | waits 240 s     |
       | crash 1, crash 2, crash 3, crash 4                                               | waits 960 s     |
       | crash 1, crash 2, crash 3, crash 4, crash 5, crash 6                             | waits 3600 s    |
       | crash 1, crash 2, 61 s later                                                     | runs as a trial |
-      | crash 1, crash 2, 61 s later, begun                                              | waits 10 s      |
+      | crash 1, crash 2, 61 s later, started                                            | waits 10 s      |
       | crash 1, crash 2, 61 s later, a trial elsewhere                                  | waits 10 s      |
-      | crash 1, crash 2, 61 s later, begun, crash 3                                     | waits 240 s     |
-      | crash 1, crash 2, 61 s later, begun, completed                                   | runs            |
-      | crash 1, crash 2, 61 s later, begun, 11 s later                                  | runs as a trial |
+      | crash 1, crash 2, 61 s later, started, crash 3                                   | waits 240 s     |
+      | crash 1, crash 2, 61 s later, started, completed                                 | runs            |
+      | crash 1, crash 2, 61 s later, started, 11 s later                                | runs as a trial |
       | 20 other crashes, crash 1 after 6 s, crash 2 after 6 s                           | runs            |
       | 20 other crashes, crash 1 after 6 s, crash 2 after 6 s, crash 3 after 6 s        | runs            |
       | 20 other crashes, crash 1 after 0.2 s, crash 2 after 0.2 s, crash 3 after 0.2 s  | waits 240 s     |
@@ -98,9 +98,9 @@
     And at most 1 in 1000 innocent requests was held back
 
     Examples:
-      | what                                          |
-      | a guilty request comes 5 times a second       |
-      | a guilty request comes amid losses of a third |
+      | what                                            |
+      | a guilty request arrives 5 times a second       |
+      | a guilty request arrives amid losses of a third |
 
   Scenario Outline: All nodes hold a request back within a second of the end that decides it
     # The crashes are seen by two nodes, and the request arrives again through any other one, which
@@ -187,11 +187,11 @@
 
   Scenario Outline: News that is none is refused and changes nothing
     Given a fleet of 2 nodes
-    When one of them is sent the report <news>
+    When one of them is sent the report <report>
     Then it counts one malformed report and has no suspects
 
     Examples:
-      | news                                       |
+      | report                                     |
       | [1]                                        |
       | ["x", [[1, 0, 0]], [], 0]                  |
       | [-1, [[1, 0, 0]], [], 0]                   |
--- a/features/policy/statements.feature
+++ b/features/policy/statements.feature
@@ -4,20 +4,20 @@
     # Responses arrive out of order. One is known to be newer if its request was sent after the other
     # one had arrived.
     Given a server process "i-1"
-    When the response to a request sent at <sent> arrives at <came> and states <first>
-    And the response to a request sent at <sent_next> arrives at <came_next> and states <next>
+    When the response to a request sent at <sent> arrives at <arrived> and states <first>
+    And the response to a request sent at <sent_next> arrives at <arrived_next> and states <next>
     Then its limit is <limit>
 
     Examples:
-      | sent | came | first | sent_next | came_next | next | limit |
-      | 1.0  | 1.2  | 8     | 1.1       | 1.3       | none | 8     |
-      | 1.0  | 1.2  | 8     | 1.1       | 2.5       | none | 8     |
-      | 1.0  | 1.2  | 8     | 1.3       | 1.5       | none | 8     |
-      | 1.0  | 1.2  | 8     | 2.2       | 2.4       | none | none  |
-      | 1.0  | 1.2  | 8     | 1.1       | 1.3       | 4    | 4     |
-      | 1.0  | 1.2  | 8     | 1.1       | 2.5       | 20   | 8     |
-      | 1.0  | 1.2  | 8     | 2.2       | 2.4       | 20   | 20    |
-      | 1.0  | 1.2  | none  | 0.9       | 1.3       | 4    | 4     |
+      | sent | arrived | first | sent_next | arrived_next | next | limit |
+      | 1.0  | 1.2     | 8     | 1.1       | 1.3          | none | 8     |
+      | 1.0  | 1.2     | 8     | 1.1       | 2.5          | none | 8     |
+      | 1.0  | 1.2     | 8     | 1.3       | 1.5          | none | 8     |
+      | 1.0  | 1.2     | 8     | 2.2       | 2.4          | none | none  |
+      | 1.0  | 1.2     | 8     | 1.1       | 1.3          | 4    | 4     |
+      | 1.0  | 1.2     | 8     | 1.1       | 2.5          | 20   | 8     |
+      | 1.0  | 1.2     | 8     | 2.2       | 2.4          | 20   | 20    |
+      | 1.0  | 1.2     | none  | 0.9       | 1.3          | 4    | 4     |
 
   Scenario: A limit that is named in every other answer stays in force
     Given a server process "i-1"
--- a/features/steps/fair_share_steps.py
+++ b/features/steps/fair_share_steps.py
@@ -198,4 +198,4 @@
     now = 10.03
     profile = CallProfile(False, True, now + 1.5, 2, "k", now - 0.01, 1)
     verdict = context.server.admission.offer(1 << 40, profile, now).verdict
-    assert verdict is {"refused": Verdict.REJECT, "queued": Verdict.QUEUE}[decision], verdict
+    assert verdict is {"rejected": Verdict.REJECT, "queued": Verdict.QUEUE}[decision], verdict
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -44,8 +44,8 @@
     "half of 12 servers, whose requests take 6 s, is lost every 8 s": PlayPlan(
         servers=12, per_s=12.0, work_s=6.0, common=0.0, loss_every_s=8.0, loss_share=0.5
     ),
-    "a guilty request comes 5 times a second": PlayPlan(guilty_per_s=5.0),
-    "a guilty request comes amid losses of a third": PlayPlan(
+    "a guilty request arrives 5 times a second": PlayPlan(guilty_per_s=5.0),
+    "a guilty request arrives amid losses of a third": PlayPlan(
         guilty_per_s=5.0, loss_every_s=7.0, loss_share=0.3
     ),
 }
@@ -59,14 +59,16 @@
         case "crash":
             context.now = now = now + (0.03 if "soon" in event else 1.0)
             age_s = float(numbers[1]) if "ago" in event else 0.0
-            ran_s = float(event.split()[3]) if " after " in event and "begun" not in event else 0.5
-            ran_s = 0.01 if "begun after" in event else ran_s
+            ran_s = (
+                float(event.split()[3]) if " after " in event and "started" not in event else 0.5
+            )
+            ran_s = 0.01 if "started after" in event else ran_s
             quarantine.merge(SuspectReport(REQUEST, (ServerCrash(numbers[0], age_s, ran_s),)), now)
         case "completed":
             quarantine.clear(REQUEST)
         case "cleared":
             quarantine.merge(SuspectReport(REQUEST, cleared=tuple(numbers)), now)
-        case "begun":
+        case "started":
             assert quarantine.decide(REQUEST, now).verdict is RunVerdict.TRIAL
         case "a" if "trial" in event:
             quarantine.merge(SuspectReport(REQUEST, trial_s=10.0), now)
@@ -389,10 +391,10 @@
     assert not is_quarantine_news(report_fields(LoadReport(1, 2)))
 
 
-@when("one of them is sent the report {news}")
-def sent_report(context: Any, news: str) -> None:
+@when("one of them is sent the report {report}")
+def sent_report(context: Any, report: str) -> None:
     network = context.network
-    context.fields = [["quarantine", json.loads(news)]]
+    context.fields = [["quarantine", json.loads(report)]]
     network.nodes[0].take(network.members[1], context.fields)
 
 
--- a/src/marjoramtide/policy/admission/_edf_admission.py
+++ b/src/marjoramtide/policy/admission/_edf_admission.py
@@ -194,7 +194,7 @@
         # An idle server accepts a request whatever was measured before. Otherwise a server that was
         # slow once would reject everything as too late, never run anything, and so never learn that
         # it is fast again.
-        if self.in_use and remaining_ms < self.times.kind(profile.kind).quick.value:
+        if self.in_use and remaining_ms < self.times.kind(profile.kind).low.value:
             return _reject(ErrorCode.DEADLINE, 0.0)
         self._start(ticket, profile, now)
         return Decision(Verdict.START)
--- a/src/marjoramtide/policy/admission/_kind_times.py
+++ b/src/marjoramtide/policy/admission/_kind_times.py
@@ -14,14 +14,14 @@
 class KindTimes:
     """The smoothed times, in milliseconds, of one route's requests of one class.
 
-    ``mean`` follows the current average, ``quick`` the low end: a request with less time left than
+    ``mean`` follows the current average, ``low`` the low end: a request with less time left than
     this can't finish even if the server is at its fastest. ``base`` is the long-run mean, by which
     kinds are compared, and ``deviation`` the mean absolute deviation from it.
     """
 
     mean: Smoothed = attrs.Factory(lambda: Smoothed(0.2, 0.2))
     deviation: Smoothed = attrs.Factory(lambda: Smoothed(0.05, 0.05))
-    quick: Smoothed = attrs.Factory(lambda: Smoothed(0.01, 0.3))
+    low: Smoothed = attrs.Factory(lambda: Smoothed(0.01, 0.3))
     base: Smoothed = attrs.Factory(lambda: Smoothed(0.02, 0.02))
 
     def add(self, duration_ms: float) -> None:
@@ -29,7 +29,7 @@
         if self.mean.count:
             self.deviation.add_mean(abs(duration_ms - self.base.value))
         self.mean.add(duration_ms)
-        self.quick.add(duration_ms)
+        self.low.add(duration_ms)
         self.base.add_mean(duration_ms)
 
     @property
--- a/src/marjoramtide/policy/admission/_knee_limiter.py
+++ b/src/marjoramtide/policy/admission/_knee_limiter.py
@@ -11,18 +11,18 @@
 # The share of the slots that is the first limit of an unknown server. Servers that slow down when
 # nearly full do so in the last two fifths; a limit that is too low is raised under load.
 INITIAL_LIMIT_SHARE = 0.8
-# Executions that must have ended at some concurrency before it is told from lower ones. Single
-# times deviate by a third to two thirds of their mean; the mean of eight is known to 12 to 24 in a
-# hundred, and the steps to find are a third and more.
+# Executions that must have ended at some concurrency before it is distinguished from lower ones.
+# Single times deviate by a third to two thirds of their mean; the mean of eight is known to 12 to
+# 24 in a hundred, and the steps to find are a third and more.
 MIN_SAMPLES = 8
 # The weight of an execution among those of its concurrency, once there are some.
 WEIGHT = 0.05
-# How much longer executions must take at a higher concurrency to be told from those below, as a
-# logarithm: a fifth. A smaller step costs less than the slots that would be left unused.
+# How much longer executions must take at a higher concurrency to be distinguished from those below,
+# as a logarithm: a fifth. A smaller step costs less than the slots that would be left unused.
 MIN_STEP = math.log(1.2)
 # The share of the best throughput that a lower limit must reach to be preferred: it answers sooner.
 NEARLY_BEST = 0.97
-# The shortest duration that is told apart, in milliseconds: below the resolution of a timer.
+# The shortest duration, in milliseconds: below the resolution of a timer.
 MIN_DURATION_MS = 0.1
 # Executions under load after which the limit is chosen again, as a multiple of the limit.
 ROUNDS = 2
--- a/src/marjoramtide/policy/admission/_run_estimates.py
+++ b/src/marjoramtide/policy/admission/_run_estimates.py
@@ -75,5 +75,5 @@
         could still end in time.
         """
         times = self.times.kind(profile.kind)
-        work_ms = times.planned_ms if due == profile.goal else times.quick.value
+        work_ms = times.planned_ms if due == profile.goal else times.low.value
         return due - work_ms * min(self.pace.slowdown, self.pace.best) / 1000
