--- a/features/policy/budgets.feature
+++ b/features/policy/budgets.feature
@@ -40,7 +40,7 @@
     And a failed request brings the next read forward to 1 s after the last
     And with failures and reads of 2000 ms it reads between 2 and 4 times in 120 s
 
-  Scenario: Where a look takes no slot, long executions don't make looks rare
+  Scenario: Where a read takes no slot, long executions don't make reads rare
     # Half of the requests start on servers that are slowed down by neighbours. Executions take two
     # seconds there, reads are counted as if each took as long, and the known slowdown of a server is
     # 400 ms old while it changes every 200 ms.
--- a/features/policy/cold.feature
+++ b/features/policy/cold.feature
@@ -1,6 +1,6 @@
-Feature: A cold backend server is given what it bears, no more and hardly less
+Feature: A cold backend server gets as many requests as it can take, and hardly fewer
 
-  Scenario Outline: Whatever comes, no second brings a cold server more than its bound
+  Scenario Outline: A cold server gets at most its bound within any second, whatever the load
     # A server that has just started is idle, so all nodes send to it. Far above its cold capacity it
     # crashes, and all requests it runs are lost. It can take 7.5 requests a second, and may get 19
     # within one second.
@@ -17,7 +17,7 @@
       | that becomes cold after 14 a second  | 50   | 14    |
       | that becomes cold after 5 a second   | 50   | 22    |
 
-  Scenario: A server that turns cold amid a burst has had most of what it may get
+  Scenario: Requests sent before a server becomes cold count towards its bound
     Given a server of 20 slots whose work takes 20 ms, that becomes cold after 16 in 100 ms
     When 50 requests a second arrive for 2 s
     Then at most 19 requests start within any second
@@ -37,7 +37,7 @@
     And 50 requests a second arrive for 1 s
     Then at least 45 of them start in the last second
 
-  Scenario: What a cold server can't begin in time is refused at once
+  Scenario: Requests that a cold server can't start in time are rejected at once
     # A request that could only start after its deadline waits for nothing instead of being rejected
     # on arrival.
     Given a server of 7 slots whose work takes 100 ms, that has just started cold
@@ -46,12 +46,12 @@
     Then each rejection came at once, with a retry delay
     And at least 90 in 100 of the queued ones started
 
-  Scenario: What a cold server bears goes to the first rank
+  Scenario: A cold server serves the first rank first
     Given a server of 7 slots whose work takes 100 ms, that has just started cold
     When 6 requests of rank 0 and 20 of rank 2 a second arrive for 3 s
     Then at least 90 in 100 of rank 0 start
 
-  Scenario: Others are told of a cold server as of one with few slots
+  Scenario: A cold server is reported to other nodes with few slots
     Given a server of 7 slots whose work takes 200 ms, that has just started cold
     When 8 requests a second arrive for 2 s
     Then it is reported with a limit of 2
--- a/features/policy/evacuation.feature
+++ b/features/policy/evacuation.feature
@@ -60,7 +60,7 @@
       | 195  | 6        |
       | 195  | 1        |
 
-  Scenario Outline: News that is none changes nothing
+  Scenario Outline: Malformed news is rejected
     Given store news <news>
     Then that news is rejected as malformed
 
--- a/features/policy/named_rates.feature
+++ b/features/policy/named_rates.feature
@@ -1,6 +1,6 @@
-Feature: A backend server that names a rate is given that, hardly less, and never far more
+Feature: A backend server that requests a rate limit gets that rate, hardly less, and never far more
 
-  Scenario Outline: Whatever comes, no 4 s bring it more than its limit allows
+  Scenario Outline: Within any 4 s it gets at most what its limit allows, whatever the load
     # The bound is one and a half times the requested rate plus 5, from 3 s after the first request.
     Given a server of 18 slots with work of 160 ms, which gets <before> requests a second
     When it requests <rate> a second while <load> arrive for <seconds> s
@@ -49,18 +49,18 @@
     And a first attempt without a goal is rejected as rate-limited, to retry in 161 to 700 ms
     And a second attempt due in 1200 ms is queued
 
-  Scenario: A node that has just started begins with nothing to give
+  Scenario: The token bucket of a node that has just started is empty
     # What its previous process sent in the seconds before counts at the server.
     Given a server of 18 slots with work of 160 ms, which gets 0 requests a second
     When it requests 5 a second while 60 arrive for 4 s
     Then at most 22 of them start
 
-  Scenario: Others are told of it as of a server with few slots
+  Scenario: It is reported to other nodes with few slots
     Given a server of 18 slots with work of 160 ms, which gets 25 requests a second
     When it requests 7.6 a second while 25 arrive for 6 s
     Then it is reported with a concurrency of 2
 
-  Scenario: What a cold server bears and what it names both bind
+  Scenario: The limit of a cold server and the one it requests both apply
     Given a server of 18 slots with work of 160 ms, which gets 25 requests a second
     When it becomes cold with 7.5 a second, and requests 4 a second while 25 arrive for 8 s
     Then in the last 4 s at most 18 of them start
--- a/features/policy/overload.feature
+++ b/features/policy/overload.feature
@@ -1,4 +1,4 @@
-Feature: Under more than can be done, what is begun is answered in time
+Feature: Under overload, requests that start are answered in time
 
   Scenario: Time is kept for requests that take longer than the mean
     # Lookups wait for a slot and start at the last moment at which the mean execution would still be
--- a/features/policy/quarantine.feature
+++ b/features/policy/quarantine.feature
@@ -185,7 +185,7 @@
     Then a node that knows only load reports finds none in it
     And a load report is not taken for a crash report
 
-  Scenario Outline: News that is none is refused and changes nothing
+  Scenario Outline: Malformed reports are rejected and change nothing
     Given a fleet of 2 nodes
     When one of them is sent the report <report>
     Then it counts one malformed report and has no suspects
