--- a/src/marjoramtide/policy/evacuation/__init__.py
+++ b/src/marjoramtide/policy/evacuation/__init__.py
@@ -1,10 +1,10 @@
-"""Which data centres' backend servers get no work, because an operator has evacuated them?
+"""Which data centres' backend servers get no requests because an operator has evacuated them?
 
-Made for news that reaches a node on several ways and in any order, and for a store that comes back
-from a copy which lacks, or still has, what the operator has written since.
+For updates that reach a node from several sources and in any order, and for a store that is
+restored from a backup which lacks, or still contains, what the operator has changed since.
 """
 
-from marjoramtide.policy.evacuation._evacuated import Evacuated
-from marjoramtide.policy.evacuation._evacuations import KEPT_S, Evacuations
+from marjoramtide.policy.evacuation._evacuation_snapshot import EvacuationSnapshot
+from marjoramtide.policy.evacuation._evacuation_state import EVACUATION_HOLD_S, EvacuationState
 
-__all__ = ["KEPT_S", "Evacuated", "Evacuations"]
+__all__ = ["EVACUATION_HOLD_S", "EvacuationSnapshot", "EvacuationState"]
