--- a/bench/control_links.py
+++ b/bench/control_links.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from marjoramtide.clock import FreezeDetector, SystemClock
-from marjoramtide.exchange import Answer, Request, RequestBody, RequestHandler
+from marjoramtide.exchange import Request, RequestBody, RequestHandler, Response
 from marjoramtide.peers import PeerClient, PeerControlChannel, PeerServer
 from marjoramtide.peers._lanes import ROUTINE
 from standins.free_port import free_port
@@ -31,7 +31,7 @@
 class NoRequests(RequestHandler):
     """Nobody sends requests here."""
 
-    async def handle(self, request: Request, body: RequestBody) -> Answer:
+    async def handle(self, request: Request, body: RequestBody) -> Response:
         raise NotImplementedError
 
 
--- a/bench/model/_caller.py
+++ b/bench/model/_caller.py
@@ -10,7 +10,7 @@
 from bench.model._kind_plan import KindPlan
 from bench.model._model_node import ModelNode
 from bench.model._tally import RequestEnd
-from marjoramtide.exchange import Answer, NotRunError, Request, RequestFailedError
+from marjoramtide.exchange import NotRunError, Request, RequestFailedError, Response
 
 # The longest that a caller waits as it was told, as a share of the time it has left.
 HONOURED_SHARE = 1 / 3
@@ -56,7 +56,7 @@
             await asyncio.sleep(self.wait_s(failure, deadline - loop.time()))
         return self.end(began, loop.time(), failure)
 
-    async def ask(self, number: int, deadline: float) -> Answer:
+    async def ask(self, number: int, deadline: float) -> Response:
         """Make one try."""
         node = self.find()
         await asyncio.sleep(self.way_s)
--- a/bench/model/_mechanisms.py
+++ b/bench/model/_mechanisms.py
@@ -26,7 +26,7 @@
     Mechanism(
         "ask again where none is quicker",
         f"{INGRESS}._dispatcher",
-        "Dispatcher.choose_to_wait",
+        "Dispatcher.choose_slowed_node",
         NOTHING,
     ),
     Mechanism("tell others of each change of pace", FORECAST, "ForecastSelector.reported", NOTHING),
@@ -49,7 +49,7 @@
     Mechanism(
         "calls ranked as their parents",
         f"{INGRESS}._calls",
-        "Calls.as_its_parent",
+        "NestedCalls.inherit_from_parent",
         "lambda self, request: None",
     ),
     Mechanism(
@@ -109,12 +109,12 @@
     Mechanism("explorer", f"{PLACING}._explorer", "Explorer.pick", NOTHING),
     Mechanism("sound nodes first", FORECAST, "ForecastSelector._is_sound", "lambda *args: True"),
     Mechanism("hedges", f"{INGRESS}._service_state", "ServiceState.may_hedge", NEVER),
-    Mechanism("first moments", f"{INGRESS}._start_up", "START_UP_S", "0.0"),
+    Mechanism("first moments", f"{INGRESS}._start_up", "STARTUP_GRACE_S", "0.0"),
     Mechanism(
         "places dealt to refused callers",
         f"{POLICY}.budgets._come_back_hint",
         "ComeBackHint.next_ms",
         "lambda self, base_ms, rate_per_s, now: max(1, round(base_ms))",
     ),
-    Mechanism("spread of come-back hints", f"{INGRESS}._attempts", "SPREAD", "1.0"),
+    Mechanism("spread of come-back hints", f"{INGRESS}._attempts", "RETRY_AFTER_JITTER", "1.0"),
 )
--- a/bench/model/_model_node.py
+++ b/bench/model/_model_node.py
@@ -12,14 +12,14 @@
 from bench.model._model_work import ModelWork
 from bench.model._virtual_loop import LoopClock
 from marjoramtide.exchange import (
-    Answer,
     LoadReport,
     Request,
     RequestFailedError,
+    Response,
     ServerStatement,
     inline_body,
 )
-from marjoramtide.ingress import Calls, Dispatcher, StartUp
+from marjoramtide.ingress import Dispatcher, NestedCalls, StartupGrace
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.policy import StartStatements
 from marjoramtide.serving import BackendState, HealthReading, Measurer, ServerLoad, ServingService
@@ -66,9 +66,9 @@
         self.measurer.next_look_at = self.serving.next_look_at
         self.serving.measurer = self.measurer
         self.serving.pace_listener = lambda report: publish(self, report)
-        start_up = StartUp(self.clock)
+        start_up = StartupGrace(self.clock)
         start_up.begin()
-        self.directory.on_change(lambda member: start_up.note_news())
+        self.directory.on_change(lambda member: start_up.notify())
         self.dispatcher = Dispatcher(
             self.directory,
             self.view,
@@ -80,11 +80,11 @@
             tracer,
             start_up,
         )
-        self.calls = Calls(self.serving.running)
+        self.calls = NestedCalls(self.serving.running)
         settings = self.view.route(member.service, "/")
         self.serving.open(settings)
         self.measurer.configure(settings)
-        self.served: set[asyncio.Task[Answer]] = set()
+        self.served: set[asyncio.Task[Response]] = set()
         self.is_up = True
         self.is_leaving = False
         self.looking = asyncio.ensure_future(self.measurer.run())
@@ -122,16 +122,16 @@
         self.serving.hand_back()
         self.directory.set_state(MemberState.DRAINING)
 
-    async def dispatch(self, request: Request, settings: RouteSettings) -> Answer:
+    async def dispatch(self, request: Request, settings: RouteSettings) -> Response:
         """Serve a request that entered here."""
-        request = self.calls.as_its_parent(request) or request
+        request = self.calls.inherit_from_parent(request) or request
         task = asyncio.ensure_future(self.dispatcher.dispatch(request, inline_body(), settings))
         self.served.add(task)
         task.add_done_callback(self.served.discard)
         try:
             return await task
         except RequestFailedError as error:
-            self.calls.note_failure(request, error)
+            self.calls.record_failure(request, error)
             raise
 
     def end(self) -> None:
--- a/bench/model/_model_peers.py
+++ b/bench/model/_model_peers.py
@@ -5,7 +5,7 @@
 from typing import TYPE_CHECKING
 
 from marjoramtide.errors import ErrorCode
-from marjoramtide.exchange import Answer, NotRunError, Request, RequestBody, UnknownOutcomeError
+from marjoramtide.exchange import NotRunError, Request, RequestBody, Response, UnknownOutcomeError
 
 if TYPE_CHECKING:
     from bench.model._model_node import ModelNode
@@ -22,7 +22,7 @@
         self.find = find
         self.way_s = way_s
 
-    async def request(self, address: str, request: Request, body: RequestBody) -> Answer:
+    async def request(self, address: str, request: Request, body: RequestBody) -> Response:
         """Return the answer; raises ``NotRunError`` or ``UnknownOutcomeError``."""
         way_s = self.way_s(address)
         await asyncio.sleep(way_s)
--- a/bench/model/_model_transport.py
+++ b/bench/model/_model_transport.py
@@ -7,10 +7,10 @@
 from bench.model._model_work import ModelWork
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import (
-    Answer,
     NotRunError,
     Request,
     RequestBody,
+    Response,
     ServerStatement,
     UnknownOutcomeError,
 )
@@ -58,7 +58,7 @@
         body: RequestBody,
         remaining_ms: float,
         begun: Callable[[], None],
-    ) -> Answer:
+    ) -> Response:
         begun()
         sent_at = asyncio.get_running_loop().time()
         await asyncio.sleep(BESIDE_S)
@@ -67,7 +67,7 @@
         except ServerFullError as error:
             self.note_load(self.server.load())
             raise NotRunError(
-                ErrorCode.OVERLOADED, "the server refused it", step=STEP, reached=True
+                ErrorCode.OVERLOADED, "the server refused it", step=STEP, reached_backend=True
             ) from error
         except ServerGoneError as error:
             raise UnknownOutcomeError(
@@ -75,7 +75,7 @@
             ) from error
         self.note_load(self.server.load())
         self.note_statement(self.server.statement(), sent_at)
-        return Answer(200 if succeeded else 500, ())
+        return Response(200 if succeeded else 500, ())
 
     async def read(self, path: str, timeout_s: float) -> EndpointAnswer:
         await asyncio.sleep(LOOK_S)
--- a/bench/model/_world.py
+++ b/bench/model/_world.py
@@ -175,7 +175,7 @@
 
     def tell(self, reader: ModelNode, member: Member, report: LoadReport) -> None:
         if reader.is_up and reader.directory.find(member.node) is not None:
-            reader.dispatcher.note_report(member, report)
+            reader.dispatcher.record_load_report(member, report)
 
     async def call(self, server: ModelServer, request_id: str, deadline: float) -> bool:
         """Make a call for a running request, through the node beside its server."""
@@ -198,7 +198,7 @@
             deadline=min(deadline, now + kind.deadline_ms / 1000),
             request_id=request_id,
             depth=2,
-            parent=request_id.partition("/")[2].rpartition(".")[0].rpartition(".")[0],
+            parent_run=request_id.partition("/")[2].rpartition(".")[0].rpartition(".")[0],
             rank=settings.rank,
             goal=now + settings.goal_ms / 1000,
         )
--- a/features/peer_places.py
+++ b/features/peer_nodes.py
@@ -10,7 +10,7 @@
 from bench.model._model_directory import ModelDirectory
 from features.steps.peer_links_steps import SilentHandler
 from marjoramtide.clock import FreezeDetector, SystemClock
-from marjoramtide.ingress import PeerEnds
+from marjoramtide.ingress import PeerCrashDetector
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.peers import PeerClient, PeerServer
 from marjoramtide.serving import Run
@@ -25,14 +25,14 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Place:
+class PeerNode:
     """A node's peer port, and what it puts down to whom."""
 
     member: Member
     directory: ModelDirectory
     server: PeerServer
     client: PeerClient
-    ends: PeerEnds
+    crash_detector: PeerCrashDetector
     blamed: list[int] = attrs.Factory(list)
 
     @property
@@ -40,7 +40,7 @@
         assert self.server.server is not None
         return list(self.server.server.connections)
 
-    def end(self) -> None:
+    def kill(self) -> None:
         """End as a process does that is killed: nobody listens, and all connections break."""
         assert self.server.server is not None
         # The library's own close needs a turn of the loop.
@@ -55,7 +55,7 @@
     )
 
 
-async def open_place(context: Any, name: str, data_centre: str = "nadi-hall") -> Place:
+async def open_peer_node(context: Any, name: str, data_centre: str = "nadi-hall") -> PeerNode:
     """Start the peer port of a node; all know each other once ``meet`` was called."""
     clock = SystemClock()
     server = PeerServer(KEY, clock, FreezeDetector(clock))
@@ -67,21 +67,21 @@
     client = PeerClient(KEY, clock)
 
     def report(lost: Member, runs: Sequence[Run]) -> None:
-        place.blamed += [run.fingerprint for run in runs]
+        peer_node.blamed += [run.fingerprint for run in runs]
 
-    ends = PeerEnds(client, clock, Metrics(), lambda request, body: 0, report)
+    crash_detector = PeerCrashDetector(client, clock, Metrics(), lambda request, body: 0, report)
     directory = ModelDirectory(member, lambda node: None)
-    place = Place(member, directory, server, client, ends)
-    context.places.append(place)
+    peer_node = PeerNode(member, directory, server, client, crash_detector)
+    context.peer_nodes.append(peer_node)
     context.closing += [client.close, server.close]
-    return place
+    return peer_node
 
 
 def meet(context: Any) -> None:
-    members = [place.member for place in context.places]
-    for place in context.places:
+    members = [peer_node.member for peer_node in context.peer_nodes]
+    for peer_node in context.peer_nodes:
         for member in members:
-            place.directory.take(member)
+            peer_node.directory.take(member)
 
 
 async def until(condition: Any) -> None:
@@ -96,9 +96,9 @@
     return "{}:{}".format(*silent.getsockname())
 
 
-def end_slowly(place: Place, seconds: float) -> None:
+def stop_slowly(peer_node: PeerNode, seconds: float) -> None:
     """End as a process does whose listening socket is closed last, some time after the others."""
-    host, _, port = place.member.peer_address.rpartition(":")
-    place.end()
+    host, _, port = peer_node.member.peer_address.rpartition(":")
+    peer_node.kill()
     silent = socket.create_server((host, int(port)))
     asyncio.get_running_loop().call_later(seconds, silent.close)
--- a/features/steps/backend_answers_steps.py
+++ b/features/steps/backend_answers_steps.py
@@ -10,10 +10,10 @@
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from marjoramtide.exchange import (
-    Answer,
     NotRunError,
     Request,
     RequestBody,
+    Response,
     UnknownOutcomeError,
     inline_body,
     stream_body,
@@ -89,7 +89,7 @@
     await listener.wait_closed()
 
 
-async def exchange(context: Any, request: Request, body: RequestBody) -> Answer | Exception:
+async def exchange(context: Any, request: Request, body: RequestBody) -> Response | Exception:
     """Send a request; return its whole answer or how it failed."""
     context.begun = False
 
@@ -156,7 +156,7 @@
 
 @then('its answer has status {status:d} and the body "{body}"')
 def check_answer(context: Any, status: int, body: str) -> None:
-    assert isinstance(context.ended, Answer), repr(context.ended)
+    assert isinstance(context.ended, Response), repr(context.ended)
     assert (context.ended.status, context.ended.body) == (status, body.encode()), context.ended
 
 
--- a/features/steps/hedging_steps.py
+++ b/features/steps/hedging_steps.py
@@ -12,10 +12,10 @@
 from marjoramtide.clock import SystemClock
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import (
-    Answer,
     NotRunError,
     Request,
     RequestBody,
+    Response,
     UnknownOutcomeError,
     inline_body,
 )
@@ -41,7 +41,7 @@
     open: set[str] = attrs.Factory(set)
     answering: Any = None
 
-    async def request(self, address: str, request: Request, body: RequestBody) -> Answer:
+    async def request(self, address: str, request: Request, body: RequestBody) -> Response:
         self.asked.append(address)
         try:
             return await self.act(address)
@@ -49,7 +49,7 @@
             self.cancelled.add(address)
             raise
 
-    async def act(self, node: str) -> Answer:
+    async def act(self, node: str) -> Response:
         what, _, status = self.scripts[node].partition(" ")
         if what == "hang":
             await asyncio.Event().wait()
@@ -70,7 +70,7 @@
         async def cancel() -> None:
             self.open.discard(node)
 
-        return Answer(int(status), (("X-Node", node),), stream=no_chunks(), cancel=cancel)
+        return Response(int(status), (("X-Node", node),), stream=no_chunks(), cancel=cancel)
 
 
 async def no_chunks() -> AsyncIterator[bytes]:
@@ -125,7 +125,7 @@
     state.selector = InTurn(names, make_selector(SETTINGS, own, rng))
 
 
-def start(context: Any, remaining_s: float = 60.0) -> "asyncio.Task[Answer]":
+def start(context: Any, remaining_s: float = 60.0) -> "asyncio.Task[Response]":
     request = Request(
         "mapdesk",
         "GET",
@@ -138,7 +138,7 @@
     return asyncio.create_task(context.dispatcher.dispatch(request, inline_body(), SETTINGS))
 
 
-async def end(task: "asyncio.Task[Answer]") -> Any:
+async def end(task: "asyncio.Task[Response]") -> Any:
     async with asyncio.timeout(END_S):
         (ended,) = await asyncio.gather(task, return_exceptions=True)
     return ended
@@ -186,7 +186,7 @@
 
 @then("the caller gets {status:d} from {node}")
 def check_dispatched(context: Any, status: int, node: str) -> None:
-    assert isinstance(context.ended, Answer), repr(context.ended)
+    assert isinstance(context.ended, Response), repr(context.ended)
     assert (context.ended.status, context.ended.headers) == (status, (("X-Node", node),))
     context.nodes.open.discard(node)  # the one that is sent on to the caller
 
--- a/features/steps/ingress_callers_steps.py
+++ b/features/steps/ingress_callers_steps.py
@@ -11,7 +11,7 @@
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from marjoramtide.clock import SystemClock
-from marjoramtide.exchange import Answer, Request, RequestBody
+from marjoramtide.exchange import Request, RequestBody, Response
 from marjoramtide.ingress import Ingress
 from marjoramtide.settings import DEFAULTS, RouteSettings, Workspaces
 from marjoramtide.telemetry import Metrics, Tracer
@@ -24,8 +24,8 @@
 SETTLE_S = 0.3
 
 
-async def answer_at_once(request: Request, body: RequestBody, settings: RouteSettings) -> Answer:
-    return Answer(200, (), ANSWER, length=len(ANSWER))
+async def answer_at_once(request: Request, body: RequestBody, settings: RouteSettings) -> Response:
+    return Response(200, (), ANSWER, length=len(ANSWER))
 
 
 async def start_ingress(context: Any, dispatch: Any) -> None:
@@ -76,9 +76,9 @@
     async def work() -> bytes:
         reading = asyncio.create_task(asyncio.to_thread(read_all, context.caller, seconds))
         transports = [each.transport for each in context.ingress.server.connections]
-        await context.ingress.leave()
-        context.ingress.stopping = True
-        await context.ingress.drained()
+        await context.ingress.start_draining()
+        context.ingress.is_stopping = True
+        await context.ingress.wait_drained()
         await context.ingress.close()
         # What the process has not handed to the system by now is lost with it.
         for transport in transports:
@@ -108,7 +108,7 @@
     assert context.metrics.totals["ingress.refused.slow-caller"] == 1, context.metrics.totals
 
 
-async def never_answer(request: Request, body: RequestBody, settings: RouteSettings) -> Answer:
+async def never_answer(request: Request, body: RequestBody, settings: RouteSettings) -> Response:
     await asyncio.Event().wait()
     raise AssertionError("it never ends")
 
@@ -155,10 +155,10 @@
 
 @given("a node whose backend servers answer when it stops")
 def given_answer_at_stop(context: Any) -> None:
-    async def answer(request: Request, body: RequestBody, settings: RouteSettings) -> Answer:
-        while not context.ingress.leaving:
+    async def answer(request: Request, body: RequestBody, settings: RouteSettings) -> Response:
+        while not context.ingress.is_draining:
             await asyncio.sleep(0)
-        return Answer(200, (), b"late", length=4)
+        return Response(200, (), b"late", length=4)
 
     context.runner = context.cleanup.enter_context(asyncio.Runner())
     context.runner.run(start_ingress(context, answer))
@@ -170,7 +170,7 @@
         asking = asyncio.create_task(send_raw(f"127.0.0.1:{context.port}", HEAD % 1))
         while not context.ingress.in_progress:
             await asyncio.sleep(0.01)
-        await context.ingress.leave()
+        await context.ingress.start_draining()
         return await asking
 
     context.answer = context.runner.run(work())
--- a/features/steps/node_ends_steps.py
+++ b/features/steps/node_ends_steps.py
@@ -6,7 +6,7 @@
 import attrs
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.peer_places import end_slowly, listen_silently, open_place, until
+from features.peer_nodes import listen_silently, open_peer_node, stop_slowly, until
 from marjoramtide.exchange import Request, inline_body
 from marjoramtide.membership import MemberState
 
@@ -19,10 +19,10 @@
 @given("a node that another one keeps connections to")
 def given_two(context: Any) -> None:
     context.runner = context.cleanup.enter_context(asyncio.Runner())
-    context.places, context.closing = [], []
+    context.peer_nodes, context.closing = [], []
 
     async def work() -> None:
-        serving, other = [await open_place(context, name) for name in ("serving", "other")]
+        serving, other = [await open_peer_node(context, name) for name in ("serving", "other")]
         request = Request("mapdesk", "GET", "/", (), False, True, float("inf"))
         for urgent in (False, True):
             asking = attrs.evolve(request, urgent=urgent, deadline=loop_time() + 60.0)
@@ -46,26 +46,26 @@
 
 @when("{what}, and a request that it ran is lost")
 def is_lost(context: Any, what: str) -> None:
-    serving, other = context.places
+    serving, other = context.peer_nodes
     member = serving.member
 
     async def work() -> None:
         nonlocal member
         match what:
             case "its process ends":
-                serving.end()
+                serving.kill()
             case "its process ends, and takes connections for 0.2 s":
-                end_slowly(serving, 0.2)
+                stop_slowly(serving, 0.2)
             case "it resets a connection":
                 serving.sessions[0].transport.abort()
             case "its process stands still":
                 member = attrs.evolve(member, peer_address=listen_silently(context))
             case "it is known to leave, and its process ends":
                 member = attrs.evolve(member, state=MemberState.LEAVING)
-                serving.end()
+                serving.kill()
         # In the same turn of the loop: of the kept connections none has been read since.
         request = Request("mapdesk", "GET", "/", (), False, True, loop_time() + 60.0)
-        await other.ends.note_lost(member, request, inline_body(), loop_time())
+        await other.crash_detector.report_lost_request(member, request, inline_body(), loop_time())
         await asyncio.sleep(LOOKED_AT_S)
 
     context.runner.run(work())
@@ -73,5 +73,5 @@
 
 @then("it is put down {whom}")
 def put_down(context: Any, whom: str) -> None:
-    blamed = context.places[1].blamed
+    blamed = context.peer_nodes[1].blamed
     assert len(blamed) == (whom == "to that node"), blamed
--- a/features/steps/peer_bodies_steps.py
+++ b/features/steps/peer_bodies_steps.py
@@ -10,11 +10,11 @@
 from marjoramtide.clock import FreezeDetector, SystemClock
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import (
-    Answer,
     NotRunError,
     Request,
     RequestBody,
     RequestHandler,
+    Response,
     inline_body,
 )
 from marjoramtide.peers import PeerClient
@@ -30,17 +30,17 @@
 class RefusingHandler(RequestHandler):
     """Has no room."""
 
-    async def handle(self, request: Request, body: RequestBody) -> Answer:
+    async def handle(self, request: Request, body: RequestBody) -> Response:
         raise NotRunError(ErrorCode.OVERLOADED, "no room", step="test")
 
 
 class EchoHandler(RequestHandler):
     """Answers with the body."""
 
-    async def handle(self, request: Request, body: RequestBody) -> Answer:
-        held = await body.collected()
+    async def handle(self, request: Request, body: RequestBody) -> Response:
+        held = await body.buffered()
         assert held.inline is not None
-        return Answer(200, (), held.inline, len(held.inline))
+        return Response(200, (), held.inline, len(held.inline))
 
 
 class CountingSession(Session):
@@ -92,7 +92,7 @@
     client = context.client
     context.bodies = [bytes([number]) * size for number in range(count)]
 
-    async def upload(data: bytes) -> Answer:
+    async def upload(data: bytes) -> Response:
         deadline = client.clock.monotonic() + LEFT_S
         request = Request("s", "POST", "/", (), False, False, deadline)
         return await client.request(context.peer, request, inline_body(data))
--- a/features/steps/peer_links_steps.py
+++ b/features/steps/peer_links_steps.py
@@ -10,11 +10,11 @@
 from features.edge.peer_attacks import request
 from marjoramtide.clock import FreezeDetector, SystemClock
 from marjoramtide.exchange import (
-    AT_ONCE_BYTES,
-    Answer,
+    MAX_BYTES_WITH_HEAD,
     Request,
     RequestBody,
     RequestHandler,
+    Response,
     UnknownOutcomeError,
     inline_body,
 )
@@ -34,7 +34,7 @@
 class SilentHandler(RequestHandler):
     """Begins every request and never answers."""
 
-    async def handle(self, request: Request, body: RequestBody) -> Answer:
+    async def handle(self, request: Request, body: RequestBody) -> Response:
         await asyncio.get_running_loop().create_future()
         raise AssertionError("a silent handler answered")
 
@@ -86,7 +86,7 @@
     await asyncio.Event().wait()
 
 
-def send_to_peer(context: Any, size: int, urgent: bool) -> "asyncio.Task[Answer]":
+def send_to_peer(context: Any, size: int, urgent: bool) -> "asyncio.Task[Response]":
     deadline = context.client.clock.monotonic() + 60.0
     request = Request("s", "POST", "/", (), urgent, False, deadline)
     work = context.client.request(context.peer, request, inline_body(bytes(size)))
@@ -108,7 +108,7 @@
             await asyncio.sleep(0.01)
         link = list(context.client.links.values())[-1]
         while not link.socket.paused:
-            context.waiting.append(send_to_peer(context, AT_ONCE_BYTES, urgent))
+            context.waiting.append(send_to_peer(context, MAX_BYTES_WITH_HEAD, urgent))
             await asyncio.sleep(0)
 
 
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -12,7 +12,7 @@
 from marjoramtide.clock import SystemClock
 from marjoramtide.daemon._node import Node
 from marjoramtide.errors import ErrorCode
-from marjoramtide.exchange import Answer, NotRunError, Request, RequestBody, inline_body
+from marjoramtide.exchange import NotRunError, Request, RequestBody, Response, inline_body
 from marjoramtide.membership import MemberState
 from marjoramtide.serving import (
     BackendState,
@@ -38,7 +38,7 @@
 
     async def send(
         self, request: Request, body: RequestBody, remaining_ms: float, begun: Callable[[], None]
-    ) -> Answer:
+    ) -> Response:
         begun()
         self.begun.set()
         await asyncio.get_running_loop().create_future()
@@ -66,7 +66,7 @@
 class RefusedClaims:
     """Refuses every claim, as while the store is down."""
 
-    async def send(self, execution: Any, dispatch: Any) -> Answer:
+    async def send(self, execution: Any, dispatch: Any) -> Response:
         raise NotRunError(ErrorCode.STORE_UNAVAILABLE, "no claim", step="test")
 
 
@@ -98,7 +98,9 @@
 def when_unclaimed(context: Any, count: int) -> None:
     deadline = context.clock.monotonic() + FAR_S
     for number in range(count):
-        request = Request("s", "POST", "/", (), False, False, deadline, key=f"key-{number}")
+        request = Request(
+            "s", "POST", "/", (), False, False, deadline, idempotency_key=f"key-{number}"
+        )
         try:
             context.runner.run(context.serving.handle(request, inline_body()))
         except NotRunError:
--- a/features/steps/slowed_steps.py
+++ b/features/steps/slowed_steps.py
@@ -10,7 +10,14 @@
 
 from marjoramtide.clock import SystemClock
 from marjoramtide.errors import ErrorCode
-from marjoramtide.exchange import Answer, LoadReport, NotRunError, Request, RequestBody, inline_body
+from marjoramtide.exchange import (
+    LoadReport,
+    NotRunError,
+    Request,
+    RequestBody,
+    Response,
+    inline_body,
+)
 from marjoramtide.ingress import Dispatcher
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.settings import RouteSettings
@@ -37,12 +44,12 @@
     slowed: set[str]
     asked: list[str] = attrs.Factory(list)
 
-    async def request(self, address: str, request: Request, body: RequestBody) -> Answer:
+    async def request(self, address: str, request: Request, body: RequestBody) -> Response:
         self.asked.append(address)
         await asyncio.sleep(0)
         if address in self.slowed and request.attempt == 1:
             raise NotRunError(ErrorCode.SLOWED, "slowed", step="test", report=SLOWED)
-        return Answer(200, (), report=SLOWED if address in self.slowed else None)
+        return Response(200, (), report=SLOWED if address in self.slowed else None)
 
 
 def given_nodes(context: Any, names: list[str], slowed: set[str]) -> None:
@@ -82,7 +89,7 @@
     now = SystemClock().monotonic()
     request = Request("mapdesk", "POST", "/", (), False, False, now + 5, goal=now + 0.3)
 
-    async def dispatch() -> Answer:
+    async def dispatch() -> Response:
         return await context.dispatcher.dispatch(request, inline_body(), SETTINGS)
 
     context.answer = context.runner.run(dispatch())
@@ -103,7 +110,7 @@
 
 @when("the slowed node tells of its pace before any request")
 def tells_early(context: Any) -> None:
-    context.dispatcher.note_report(context.dispatcher.directory.find("a"), SLOWED)
+    context.dispatcher.record_load_report(context.dispatcher.directory.find("a"), SLOWED)
 
 
 @then("what is believed of it holds the slowdown")
--- a/features/steps/start_up_steps.py
+++ b/features/steps/start_up_steps.py
@@ -11,8 +11,8 @@
 from features.steps.ingress_callers_steps import answer_at_once
 from features.steps.slowed_steps import SETTINGS, SlowedNodes
 from marjoramtide.clock import FreezeDetector, SystemClock
-from marjoramtide.exchange import Answer, NotRunError, Request, inline_body
-from marjoramtide.ingress import Dispatcher, Ingress, StartUp
+from marjoramtide.exchange import NotRunError, Request, Response, inline_body
+from marjoramtide.ingress import Dispatcher, Ingress, StartupGrace
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.settings import DEFAULTS, RouteSettings, Workspaces
 from marjoramtide.telemetry import Metrics, Tracer
@@ -40,7 +40,7 @@
     clock, rng = SystemClock(), random.Random(1)
     context.runner = context.cleanup.enter_context(asyncio.Runner())
     context.nodes = SlowedNodes(set())
-    context.start_up = StartUp(clock)
+    context.start_up = StartupGrace(clock)
     context.dispatcher = Dispatcher(
         directory,
         view,
@@ -65,7 +65,7 @@
     start_dispatcher(context)
     context.members = [make_member("a", "mapdesk")]
     context.informed = False
-    context.start_up.is_informed = lambda: context.informed
+    context.start_up.is_quarantine_known = lambda: context.informed
     context.start_up.begin()
 
 
@@ -79,7 +79,7 @@
     now = SystemClock().monotonic()
     request = Request("mapdesk", "POST", "/", (), False, False, now + 5, goal=now + 3)
 
-    async def dispatch() -> Answer | NotRunError:
+    async def dispatch() -> Response | NotRunError:
         try:
             return await context.dispatcher.dispatch(request, inline_body(), SETTINGS)
         except NotRunError as error:
@@ -87,12 +87,12 @@
         finally:
             context.took_s = SystemClock().monotonic() - now
 
-    async def work() -> Answer | NotRunError:
+    async def work() -> Response | NotRunError:
         asked = asyncio.create_task(dispatch())
         await asyncio.sleep(seconds)
         context.members = [make_member("a", "mapdesk")]
         context.informed = True
-        context.start_up.note_news()
+        context.start_up.notify()
         async with asyncio.timeout(HANGS_S):
             return await asked
 
@@ -101,7 +101,7 @@
 
 @then("it is answered by that node")
 def answered_by_it(context: Any) -> None:
-    assert isinstance(context.ended, Answer), context.ended
+    assert isinstance(context.ended, Response), context.ended
     assert context.nodes.asked == ["a"], context.nodes.asked
 
 
@@ -131,7 +131,7 @@
         on_change=lambda listener: None,
     )
     context.runner = context.cleanup.enter_context(asyncio.Runner())
-    context.start_up = StartUp(clock, context.freeze)
+    context.start_up = StartupGrace(clock, context.freeze)
     context.ingress = Ingress(
         "n",
         context.view,
@@ -172,7 +172,7 @@
         asked = asyncio.create_task(ask())
         await asyncio.sleep(seconds)
         context.view.is_current = True
-        context.start_up.note_news()
+        context.start_up.notify()
         async with asyncio.timeout(HANGS_S):
             return await asked
 
--- a/features/steps/witness_steps.py
+++ b/features/steps/witness_steps.py
@@ -8,7 +8,15 @@
 import attrs
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.peer_places import KEY, Place, end_slowly, listen_silently, meet, open_place, until
+from features.peer_nodes import (
+    KEY,
+    PeerNode,
+    listen_silently,
+    meet,
+    open_peer_node,
+    stop_slowly,
+    until,
+)
 from features.steps.platform_node_steps import run as run_fleet
 from features.steps.platform_node_steps import seat
 from marjoramtide.clock import SystemClock
@@ -28,13 +36,13 @@
 
 async def start_teller(context: Any) -> None:
     """Start to tell, and wait until a witness is there where there can be one."""
-    own = context.places[0]
+    own = context.peer_nodes[0]
     client = PeerClient(KEY, SystemClock())
     context.teller = RunTeller(
         own.directory, client, lambda fingerprint: False, SystemClock(), random.Random(1), Metrics()
     )
     context.telling = asyncio.create_task(context.teller.run())
-    if len(context.places) > 1:
+    if len(context.peer_nodes) > 1:
         await until(lambda: context.teller.link is not None)
     context.closing.insert(0, client.close)
 
@@ -42,15 +50,17 @@
 def start(context: Any, *data_centres: str) -> None:
     """Start the teller's own port, and one for each of the data centres."""
     context.runner = context.cleanup.enter_context(asyncio.Runner())
-    context.places, context.closing = [], []
+    context.peer_nodes, context.closing = [], []
 
     async def work() -> None:
-        await open_place(context, "teller")
+        await open_peer_node(context, "teller")
         for number, data_centre in enumerate(data_centres, start=1):
-            await open_place(context, f"other-{number}", data_centre)
+            await open_peer_node(context, f"other-{number}", data_centre)
         meet(context)
-        for place in context.places:
-            place.server.run_listener = RunWitness(place.directory, place.ends)
+        for peer_node in context.peer_nodes:
+            peer_node.server.run_listener = RunWitness(
+                peer_node.directory, peer_node.crash_detector
+            )
         await start_teller(context)
 
     async def close() -> None:
@@ -88,8 +98,8 @@
     given_teller(context)
 
     async def work() -> None:
-        await until(lambda: context.places[1].sessions)
-        for session in context.places[1].sessions:
+        await until(lambda: context.peer_nodes[1].sessions)
+        for session in context.peer_nodes[1].sessions:
             session.transport.pause_reading()
         own_end = context.teller.link.socket.transport.get_extra_info("socket")
         own_end.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SMALL_BUFFER_BYTES)
@@ -97,9 +107,13 @@
     context.runner.run(work())
 
 
-def witness(context: Any) -> Place:
+def witness(context: Any) -> PeerNode:
     """Return the node that the teller has chosen."""
-    return next(place for place in context.places if place.member.node == context.teller.last)
+    return next(
+        peer_node
+        for peer_node in context.peer_nodes
+        if peer_node.member.node == context.teller.last
+    )
 
 
 async def begin_runs(context: Any) -> None:
@@ -114,17 +128,17 @@
 def begins(context: Any, what: str) -> None:
     async def work() -> None:
         await begin_runs(context)
-        own, other = context.places[0], witness(context)
+        own, other = context.peer_nodes[0], witness(context)
         link = context.teller.link.socket
         match what:
             case "its process ends":
-                own.end()
+                own.kill()
                 link.transport.abort()
             case "its process ends, and takes connections for 0.2 s":
-                end_slowly(own, 0.2)
+                stop_slowly(own, 0.2)
                 link.transport.abort()
             case "its connection is closed as agreed":
-                own.end()
+                own.kill()
                 context.telling.cancel()
             case "its connection is reset":
                 link.transport.abort()
@@ -135,11 +149,11 @@
             case "it is known to leave, and its process ends":
                 leaving = attrs.evolve(own.member, state=MemberState.LEAVING)
                 other.directory.known["teller"] = leaving
-                own.end()
+                own.kill()
                 link.transport.abort()
             case "its witness ends":
                 context.ended = other
-                other.end()
+                other.kill()
         await asyncio.sleep(LOOKED_AT_S)
 
     context.runner.run(work())
@@ -153,11 +167,11 @@
 
 @then("the other node is told of a and b within {seconds:g} s")
 def other_told(context: Any, seconds: float) -> None:
-    (other,) = (place for place in context.places[1:] if place is not context.ended)
+    (other,) = (peer_node for peer_node in context.peer_nodes[1:] if peer_node is not context.ended)
 
     async def work() -> None:
         await until(lambda: context.teller.link is not None)
-        context.places[0].end()
+        context.peer_nodes[0].kill()
         context.teller.link.socket.transport.abort()
         await until(lambda: sorted(map(chr, other.blamed)) == ["a", "b"])
 
@@ -167,7 +181,7 @@
 @then("the witness is in its data centre")
 def in_data_centre(context: Any) -> None:
     chosen = witness(context).member.data_centre
-    assert chosen == context.places[0].member.data_centre, chosen
+    assert chosen == context.peer_nodes[0].member.data_centre, chosen
 
 
 @when("it begins a")
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -22,7 +22,14 @@
 from marjoramtide.daemon._supervision import keep_running
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.evacuation import make_evacuations
-from marjoramtide.ingress import Authenticator, Calls, Dispatcher, Ingress, PeerEnds, StartUp
+from marjoramtide.ingress import (
+    Authenticator,
+    Dispatcher,
+    Ingress,
+    NestedCalls,
+    PeerCrashDetector,
+    StartupGrace,
+)
 from marjoramtide.interface import Interface, own_interface
 from marjoramtide.membership import Member, MemberState, make_membership
 from marjoramtide.operators import make_operators_app
@@ -147,9 +154,9 @@
             lambda: self.settings_changed(self.view.revision),
         )
         self.quarantine.held_listener = self.serving.refuse_held
-        self.start_up = StartUp(self.clock, self.freeze, is_informed=self.is_informed)
-        self.quarantine.spreader.informed_listener = self.start_up.note_news
-        self.peer_ends = PeerEnds(
+        self.start_up = StartupGrace(self.clock, self.freeze, is_quarantine_known=self.is_informed)
+        self.quarantine.spreader.informed_listener = self.start_up.notify
+        self.peer_ends = PeerCrashDetector(
             self.peer_client,
             self.clock,
             self.metrics,
@@ -190,7 +197,7 @@
             Authenticator(
                 self.view,
                 interface.callers.scheme,
-                Calls(interface.runs or self.serving.running),
+                NestedCalls(interface.runs or self.serving.running),
             ),
             self.quotas,
         )
@@ -216,8 +223,8 @@
         self.view.on_change(self.settings_changed)
         self.membership.on_change(self.member_changed)
         self.membership.on_change(self.quarantine.member_changed)
-        self.view.on_change(lambda revision: self.start_up.note_news())
-        self.membership.on_change(lambda member: self.start_up.note_news())
+        self.view.on_change(lambda revision: self.start_up.notify())
+        self.membership.on_change(lambda member: self.start_up.notify())
 
     async def start(self) -> None:
         """Open every port and begin every task."""
@@ -325,7 +332,7 @@
         self.serving.set_evacuated(self.settings.data_centre in data_centres)
         self.update_state()
         # What waits for members may be refused at once now, or have somewhere to go.
-        self.start_up.note_news()
+        self.start_up.notify()
 
     def drain(self, drained: bool) -> None:
         """Stop or resume taking new work, on an operator's word."""
--- a/src/marjoramtide/daemon/_node_news.py
+++ b/src/marjoramtide/daemon/_node_news.py
@@ -70,7 +70,7 @@
         elif is_claim_news(fields):
             self.take_claim(member, fields)
         elif (report := unpack_report(fields)) is not None:
-            self.dispatcher.note_report(member, report)
+            self.dispatcher.record_load_report(member, report)
 
     def take_claim(self, member: Member, fields: list[Any]) -> None:
         """Remember a claim of another node."""
--- a/src/marjoramtide/daemon/_planned_stop.py
+++ b/src/marjoramtide/daemon/_planned_stop.py
@@ -35,7 +35,7 @@
     log.info("daemon.stopping", in_progress=len(node.serving.in_progress))
     ends_at = node.clock.monotonic() + node.stop_grace_s * LAST_SHARE
     node.stopping = True
-    node.ingress.leaving = True
+    node.ingress.is_draining = True
     linger_s = min(node.interface.stop_linger_s, node.stop_grace_s / 2)
     try:
         async with asyncio.timeout(node.stop_grace_s * STOP_SHARE):
@@ -43,12 +43,12 @@
                 await asyncio.sleep(linger_s * SERVE_ON_SHARE)
             node.end_serving()
             await asyncio.sleep(linger_s * (1 - SERVE_ON_SHARE))
-            await node.ingress.leave()
+            await node.ingress.start_draining()
             # Requests that others sent before they heard still get a "not run" in place of a
             # broken connection, which would be an unknown outcome to a booking.
             await asyncio.sleep(LEAVE_PAUSE_S)
-            node.ingress.stopping = True
-            await node.ingress.drained()
+            node.ingress.is_stopping = True
+            await node.ingress.wait_drained()
             await node.serving.idle.wait()
             await node.peer_server.drained()
             await node.claim_gate.finish()
@@ -67,10 +67,10 @@
     Failure: a lookup with a long deadline waits in the queue of another node until the process is
     ended by force, and its caller, whose connection breaks, never hears what became of it.
     """
-    node.dispatcher.end_all()
+    node.dispatcher.expire_all()
     try:
         async with asyncio.timeout(LAST_ANSWERS_S):
-            await node.ingress.drained()
+            await node.ingress.wait_drained()
     except TimeoutError:
         log.warning("daemon.answers_cut", code=ErrorCode.DEADLINE, left=node.ingress.in_progress)
 
--- a/src/marjoramtide/exchange/_failures.py
+++ b/src/marjoramtide/exchange/_failures.py
@@ -23,11 +23,11 @@
         peer: str = "",
         retry_after_ms: int | None = None,
         report: LoadReport | None = None,
-        reached: bool = False,
+        reached_backend: bool = False,
     ) -> None:
         super().__init__(code, message, step=step, peer=peer, retry_after_ms=retry_after_ms)
         self.report = report
-        self.reached = reached
+        self.reached_backend = reached_backend
         self.tries: Sequence[Any] = ()
 
 
--- a/src/marjoramtide/exchange/_headers.py
+++ b/src/marjoramtide/exchange/_headers.py
@@ -17,7 +17,7 @@
     )
 )
 # Written anew at each hop.
-OWN_REQUEST = frozenset(
+REWRITTEN_REQUEST_HEADERS = frozenset(
     (
         "content-length",
         "expect",
@@ -28,7 +28,7 @@
         "traceparent",
     )
 )
-OWN_ANSWER = frozenset(
+REWRITTEN_RESPONSE_HEADERS = frozenset(
     ("content-length", "request-outcome", "retry-after-ms", "marjoramtide-node", "date", "server")
 )
 
--- a/src/marjoramtide/exchange/_request.py
+++ b/src/marjoramtide/exchange/_request.py
@@ -32,13 +32,13 @@
     idempotent: bool
     deadline: float
     depth: int = 0
-    key: str = ""
+    idempotency_key: str = ""
     trace: str = ""
     attempt: int = 1
     request_id: str = ""
     rank: int = 0
     goal: float = float("inf")
-    parent: str = ""
+    parent_run: str = ""
     relayed: bool = False
     statement: ServerStatement | None = None
     workspace: str = ""
--- a/src/marjoramtide/exchange/_request_body.py
+++ b/src/marjoramtide/exchange/_request_body.py
@@ -6,9 +6,9 @@
 
 from marjoramtide.errors import MarjoramtideError
 
-INLINE_BYTES = 64 * 1024
+MAX_INLINE_BYTES = 64 * 1024
 # Of a body in memory that goes to another node, up to so much travels with the head.
-AT_ONCE_BYTES = 4 * 1024
+MAX_BYTES_WITH_HEAD = 4 * 1024
 
 
 @attrs.define(slots=True, eq=False, repr=False)
@@ -24,13 +24,13 @@
     inline: bytes | None = None
     stream: AsyncIterator[bytes] | None = None
     length: int | None = None
-    opened: bool = False
+    is_opened: bool = False
     error: MarjoramtideError | None = None
 
     @property
     def repeatable(self) -> bool:
         """Tell whether the body can still be sent from its beginning."""
-        return self.inline is not None or not self.opened
+        return self.inline is not None or not self.is_opened
 
     @property
     def content(self) -> bytes:
@@ -38,32 +38,32 @@
 
         Of a long one that is its length: a node that has not been sent it yet knows no more.
         """
-        if self.inline is not None and len(self.inline) <= AT_ONCE_BYTES:
+        if self.inline is not None and len(self.inline) <= MAX_BYTES_WITH_HEAD:
             return b"\n" + self.inline
         return f"{self.length}".encode()
 
-    def held_back(self) -> "RequestBody":
+    def for_peer(self) -> "RequestBody":
         """Return the body as another node is sent it: a long one once the request is admitted.
 
         Failure: a scarce service is sent more uploads than it can do. The links beside its servers
         are full of bodies of requests that are refused, and answers, calls and settings wait behind
         them for up to a second.
         """
-        if self.inline is None or len(self.inline) <= AT_ONCE_BYTES:
+        if self.inline is None or len(self.inline) <= MAX_BYTES_WITH_HEAD:
             return self
         return stream_body(pieces(self.inline), len(self.inline))
 
-    async def collected(self) -> "RequestBody":
+    async def buffered(self) -> "RequestBody":
         """Return a body in memory of one that is short enough to be held there, else itself."""
-        if self.stream is None or self.length is None or self.length > INLINE_BYTES:
+        if self.stream is None or self.length is None or self.length > MAX_INLINE_BYTES:
             return self
         return inline_body(b"".join([piece async for piece in self.open()]))
 
     def open(self) -> AsyncIterator[bytes]:
         """Return the chunks of a streamed body, once."""
-        if self.stream is None or self.opened:
+        if self.stream is None or self.is_opened:
             raise RuntimeError("the body is not a stream, or was opened before")
-        self.opened = True
+        self.is_opened = True
         return self.stream
 
 
--- a/src/marjoramtide/exchange/_answer.py
+++ b/src/marjoramtide/exchange/_response.py
@@ -11,7 +11,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Answer:
+class Response:
     """Status and headers, with the whole body or with the stream of a large one.
 
     ``served_ms`` is how long the request spent at the serving node until the head of the answer,
--- a/src/marjoramtide/exchange/_runs.py
+++ b/src/marjoramtide/exchange/_runs.py
@@ -5,7 +5,7 @@
 from marjoramtide.exchange._request import Request
 
 
-class Runs(ABC):
+class RunRegistry(ABC):
     """Finds running requests by identities that only whoever runs them is told."""
 
     @abstractmethod
@@ -17,11 +17,11 @@
         """Tell whether a run may have been there that isn't known, or has just ended."""
 
     @abstractmethod
-    def note_call_refused(self, run: str) -> None:
+    def record_refused_call(self, run: str) -> None:
         """Note that a call of a run was refused for want of room."""
 
 
-class NoRuns(Runs):
+class EmptyRunRegistry(RunRegistry):
     """For a node whose backend server makes no calls."""
 
     def find(self, run: str) -> Request | None:
@@ -30,5 +30,5 @@
     def may_have_run(self, run: str) -> bool:
         return False
 
-    def note_call_refused(self, run: str) -> None:
+    def record_refused_call(self, run: str) -> None:
         return None
--- a/src/marjoramtide/ingress/__init__.py
+++ b/src/marjoramtide/ingress/__init__.py
@@ -2,29 +2,34 @@
 
 from marjoramtide.ingress._authenticator import Authenticator
 from marjoramtide.ingress._caller_protocol import CallerProtocol
-from marjoramtide.ingress._calls import Calls
+from marjoramtide.ingress._calls import NestedCalls
+from marjoramtide.ingress._default_caller_protocol import DefaultCallerProtocol
 from marjoramtide.ingress._dispatcher import Dispatcher
 from marjoramtide.ingress._ingress import Ingress
-from marjoramtide.ingress._own_callers import OwnCallers
-from marjoramtide.ingress._peer_ends import PeerEnds
-from marjoramtide.ingress._read_request import bad, read_idempotent, read_route, single
+from marjoramtide.ingress._peer_crash_detector import PeerCrashDetector
+from marjoramtide.ingress._read_request import (
+    bad_request,
+    read_idempotent,
+    read_route,
+    single_header,
+)
 from marjoramtide.ingress._request_quota import NoQuota, QuotaLease, RequestQuota
-from marjoramtide.ingress._start_up import StartUp
+from marjoramtide.ingress._start_up import StartupGrace
 
 __all__ = [
     "Authenticator",
     "CallerProtocol",
-    "Calls",
+    "DefaultCallerProtocol",
     "Dispatcher",
     "Ingress",
+    "NestedCalls",
     "NoQuota",
-    "OwnCallers",
-    "PeerEnds",
+    "PeerCrashDetector",
     "QuotaLease",
     "RequestQuota",
-    "StartUp",
-    "bad",
+    "StartupGrace",
+    "bad_request",
     "read_idempotent",
     "read_route",
-    "single",
+    "single_header",
 ]
--- a/src/marjoramtide/ingress/_attempts.py
+++ b/src/marjoramtide/ingress/_attempts.py
@@ -4,11 +4,11 @@
 
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import (
-    Answer,
     NotRunError,
     Request,
     RequestBody,
     RequestFailedError,
+    Response,
     UnknownOutcomeError,
 )
 from marjoramtide.ingress._class_budgets import ClassBudgets
@@ -16,7 +16,7 @@
 from marjoramtide.ingress._service_state import ServiceState
 from marjoramtide.settings import RouteSettings
 
-SPREAD = 1.5
+RETRY_AFTER_JITTER = 1.5
 # Runs that may be lost with their servers or nodes until a request is not given to another one.
 MAX_LOST = 2
 LOST = frozenset((ErrorCode.PEER_LOST, ErrorCode.BACKEND_FAILED, ErrorCode.TRUNCATED))
@@ -48,7 +48,7 @@
     lost: list[float] = attrs.Factory(list)
     unknown: UnknownOutcomeError | None = None
     refused: RequestFailedError | None = None
-    answers: list[Answer] = attrs.Factory(list)
+    answers: list[Response] = attrs.Factory(list)
     story: list[Decision] = attrs.Factory(list)
 
     @property
@@ -70,14 +70,14 @@
                 # That this node has not heard of it yet must not use up the caller's tries.
                 self.count -= 1
             else:
-                self.turned_away += not error.reached
+                self.turned_away += not error.reached_backend
 
-    def settle(self, ended: Answer | BaseException) -> Exception | None:
+    def settle(self, ended: Response | BaseException) -> Exception | None:
         """Take the end of a try: ``None`` where its answer is final, else how it failed.
 
         A server error of an idempotent request is kept as the answer for want of a better one.
         """
-        if isinstance(ended, Answer):
+        if isinstance(ended, Response):
             self.answers.append(ended)
             if not ended.is_server_error:
                 return None
@@ -89,7 +89,7 @@
         self.note(ended)
         return ended
 
-    def take_answer(self) -> Answer:
+    def take_answer(self) -> Response:
         """Return the last answer, for the caller; it is no longer ours to close."""
         return self.answers.pop()
 
@@ -105,7 +105,7 @@
             return False
         if not self.body.repeatable:
             return False
-        if isinstance(error, NotRunError) and not error.reached:
+        if isinstance(error, NotRunError) and not error.reached_backend:
             return self.budgets.rejections.withdraw(now)
         if isinstance(error, NotRunError):
             return self.budgets.retries.withdraw(now)
@@ -165,7 +165,9 @@
         else:
             # A full node tells all that it turns away in one moment the same. They would come back
             # in one moment, and be turned away again.
-            error.retry_after_ms = round(error.retry_after_ms * self.state.rng.uniform(1, SPREAD))
+            error.retry_after_ms = round(
+                error.retry_after_ms * self.state.rng.uniform(1, RETRY_AFTER_JITTER)
+            )
         return error
 
 
--- a/src/marjoramtide/ingress/_authenticator.py
+++ b/src/marjoramtide/ingress/_authenticator.py
@@ -11,7 +11,7 @@
     unauthenticated,
     without_key,
 )
-from marjoramtide.ingress._calls import Calls
+from marjoramtide.ingress._calls import NestedCalls
 from marjoramtide.settings import (
     RouteSettings,
     SettingsView,
@@ -31,7 +31,7 @@
 
     view: SettingsView
     scheme: str
-    calls: Calls = attrs.field(factory=Calls)
+    calls: NestedCalls = attrs.field(factory=NestedCalls)
 
     def admit(self, http: web.BaseRequest, request: Request, settings: RouteSettings) -> Request:
         """Return the request as the other nodes and the backend server are to see it.
@@ -39,7 +39,7 @@
         Raises ``unauthenticated``, and ``NotRunError`` with ``key-unverified`` where a good key, or
         an unknown one, may have become the other since this node last heard of the settings.
         """
-        call = self.calls.as_its_parent(request)
+        call = self.calls.inherit_from_parent(request)
         if call is not None:
             return call
         needs_key = settings.authentication == "key"
--- a/src/marjoramtide/ingress/_caller_connection.py
+++ b/src/marjoramtide/ingress/_caller_connection.py
@@ -92,7 +92,7 @@
         """
         self.log_refused(ErrorCode.OVERLOADED, "too many connections of callers", "not-run")
         assert self.transport is not None
-        self.transport.write(self.protocol.turned_away)
+        self.transport.write(self.protocol.connection_limit_response)
         self.force_close()
 
     def data_received(self, data: bytes) -> None:
--- a/src/marjoramtide/ingress/_caller_protocol.py
+++ b/src/marjoramtide/ingress/_caller_protocol.py
@@ -6,7 +6,7 @@
 from aiohttp import web
 
 from marjoramtide.errors import MarjoramtideError
-from marjoramtide.exchange import Answer, Request
+from marjoramtide.exchange import Request, Response
 from marjoramtide.settings import RouteSettings, SettingsView
 from marjoramtide.telemetry import Tracer
 
@@ -14,7 +14,7 @@
 class CallerProtocol(ABC):
     """Reads requests and words answers; it decides nothing and holds no state."""
 
-    turned_away: bytes
+    connection_limit_response: bytes
     """The whole answer to a connection that is one too many."""
 
     scheme: str
@@ -36,5 +36,5 @@
         """Return the one final answer for a request that was given up."""
 
     @abstractmethod
-    def answer_headers(self, answer: Answer, node: str) -> Iterable[tuple[str, str]]:
+    def response_headers(self, answer: Response, node: str) -> Iterable[tuple[str, str]]:
         """Return the headers with which a backend server's answer goes to the caller."""
--- a/src/marjoramtide/ingress/_own_callers.py
+++ b/src/marjoramtide/ingress/_default_caller_protocol.py
@@ -5,7 +5,7 @@
 from aiohttp import web
 
 from marjoramtide.errors import MarjoramtideError
-from marjoramtide.exchange import Answer, Outcome, Request
+from marjoramtide.exchange import Outcome, Request, Response
 from marjoramtide.ingress._caller_protocol import CallerProtocol
 from marjoramtide.ingress._read_request import read_request
 from marjoramtide.ingress._refusal import refusal
@@ -20,10 +20,10 @@
 )
 
 
-class OwnCallers(CallerProtocol):
+class DefaultCallerProtocol(CallerProtocol):
     """``Request-Timeout-Ms``, ``Priority`` and ``Idempotency-Key``; ``Request-Outcome`` back."""
 
-    turned_away = TURNED_AWAY
+    connection_limit_response = TURNED_AWAY
     scheme = "Bearer"
 
     def read(
@@ -34,7 +34,7 @@
     def refusal(self, error: MarjoramtideError, node: str, request_id: str = "") -> web.Response:
         return refusal(error, node)
 
-    def answer_headers(self, answer: Answer, node: str) -> Iterator[tuple[str, str]]:
+    def response_headers(self, answer: Response, node: str) -> Iterator[tuple[str, str]]:
         own = {
             "Request-Outcome": str(Outcome.COMPLETED),
             "Marjoramtide-Node": node,
--- a/src/marjoramtide/ingress/_dispatcher.py
+++ b/src/marjoramtide/ingress/_dispatcher.py
@@ -12,24 +12,24 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.exchange import (
-    Answer,
     LoadReport,
     NotRunError,
     Request,
     RequestBody,
     RequestFailedError,
     RequestHandler,
+    Response,
     ServerStatement,
     UnknownOutcomeError,
 )
 from marjoramtide.ingress._attempts import Attempts
 from marjoramtide.ingress._decision import Decision
-from marjoramtide.ingress._failure_lessons import learn_failure
+from marjoramtide.ingress._failure_feedback import learn_failure
 from marjoramtide.ingress._hedge import Hedge
 from marjoramtide.ingress._known_statements import KnownStatements
-from marjoramtide.ingress._peer_ends import PeerEnds
+from marjoramtide.ingress._peer_crash_detector import PeerCrashDetector
 from marjoramtide.ingress._service_state import ServiceState, make_service_state
-from marjoramtide.ingress._start_up import StartUp
+from marjoramtide.ingress._start_up import StartupGrace
 from marjoramtide.membership import Directory, Member
 from marjoramtide.peers import PeerClient
 from marjoramtide.policy import (
@@ -59,8 +59,8 @@
         rng: random.Random,
         metrics: Metrics,
         tracer: Tracer,
-        start_up: StartUp | None = None,
-        peer_ends: PeerEnds | None = None,
+        start_up: StartupGrace | None = None,
+        peer_ends: PeerCrashDetector | None = None,
     ) -> None:
         """Without a ``start_up`` no request waits for members.
 
@@ -78,7 +78,7 @@
         self.statements = KnownStatements()
         self.splits: dict[tuple[str, str, Shares], SmoothSplit] = {}
         self.limits: set[asyncio.Timeout] = set()
-        self.start_up = start_up or StartUp(clock)
+        self.start_up = start_up or StartupGrace(clock)
         self.peer_ends = peer_ends
         view.on_change(self.settings_changed)
 
@@ -122,7 +122,7 @@
 
     async def dispatch(
         self, request: Request, body: RequestBody, settings: RouteSettings
-    ) -> Answer:
+    ) -> Response:
         """Return the answer; raises ``NotRunError`` or ``UnknownOutcomeError`` as soon as known.
 
         Where the route shares its requests out, the part is drawn once and kept: what has no room
@@ -137,7 +137,7 @@
         try:
             async with self.time_limit(max(0.0, request.deadline - now)):
                 await self.start_up.wait_until(
-                    lambda: self.knows(request.service) and self.start_up.is_informed()
+                    lambda: self.knows(request.service) and self.start_up.is_quarantine_known()
                 )
                 if request.idempotent and body.inline is not None:
                     attempts.budgets.hedges.deposit(now)
@@ -169,7 +169,7 @@
             finally:
                 self.limits.discard(limit)
 
-    def end_all(self) -> None:
+    def expire_all(self) -> None:
         """End all that is under way, as if each deadline had passed."""
         now = asyncio.get_running_loop().time()
         for limit in self.limits:
@@ -180,7 +180,7 @@
         """Tell whether any node is known that may take work of a service."""
         return bool(self.directory.members_of(service))
 
-    async def try_in_turn(self, attempts: Attempts) -> Answer:
+    async def try_in_turn(self, attempts: Attempts) -> Response:
         """Try one node after the other."""
         while True:
             node = self.choose(attempts)
@@ -194,7 +194,7 @@
                 if not attempts.may_retry(error, now):
                     raise attempts.final_error(now) from error
 
-    async def try_hedged(self, attempts: Attempts) -> Answer:
+    async def try_hedged(self, attempts: Attempts) -> Response:
         """Try nodes, a second one beside the first where that one is slow; the loser is cancelled.
 
         Only for idempotent requests whose body can be sent again.
@@ -219,7 +219,9 @@
             if hedge.running or attempts.answers:
                 await self.cancel_all(hedge.running, attempts)
 
-    async def await_others(self, attempts: Attempts, hedge: Hedge, delay_s: float | None) -> Answer:
+    async def await_others(
+        self, attempts: Attempts, hedge: Hedge, delay_s: float | None
+    ) -> Response:
         """Wait for what runs after the first try has failed."""
         while hedge.running:
             done, _ = await asyncio.wait(
@@ -246,7 +248,7 @@
             self.metrics.count("ingress.hedges")
             self.start_another(attempts, hedge)
 
-    def go_on(self, attempts: Attempts, hedge: Hedge, ended: Answer | BaseException) -> bool:
+    def go_on(self, attempts: Attempts, hedge: Hedge, ended: Response | BaseException) -> bool:
         """Take the end of a try; tell whether it is final, else begin another where allowed."""
         failure = attempts.settle(ended)
         if failure is None:
@@ -262,12 +264,12 @@
         if node is not None:
             hedge.add(self.attempt(attempts, node))
 
-    async def cancel_all(self, running: "set[asyncio.Task[Answer]]", attempts: Attempts) -> None:
+    async def cancel_all(self, running: "set[asyncio.Task[Response]]", attempts: Attempts) -> None:
         """Cancel the tries that lost, and close what they may have brought all the same."""
         for task in running:
             task.cancel()
         for ended in await asyncio.gather(*running, return_exceptions=True):
-            if isinstance(ended, Answer):
+            if isinstance(ended, Response):
                 await ended.close()
         for answer in attempts.answers:
             await answer.close()
@@ -287,13 +289,15 @@
             attempts.excluded -= attempts.rejected_by
             node = attempts.state.selector.choose(profile, now, attempts.excluded)
         if node is None and attempts.slowed:
-            node = self.choose_to_wait(attempts, profile, now)
+            node = self.choose_slowed_node(attempts, profile, now)
         if node is not None:
             attempts.excluded.add(node)
             attempts.count += 1
         return node
 
-    def choose_to_wait(self, attempts: Attempts, profile: CallProfile, now: float) -> str | None:
+    def choose_slowed_node(
+        self, attempts: Attempts, profile: CallProfile, now: float
+    ) -> str | None:
         """Return the best of the nodes that refused for their servers' pace alone, once.
 
         Failure: the only server of a service that is left is slow for some tenths of a second. It
@@ -311,7 +315,7 @@
         route = attempts.settings.route
         return make_call_profile(request, request.deadline, attempts.count + 1, route)
 
-    async def attempt(self, attempts: Attempts, node: str) -> Answer:
+    async def attempt(self, attempts: Attempts, node: str) -> Response:
         """Send the request to one node, and let the selector learn from what becomes of it."""
         selector = attempts.state.selector
         started = self.clock.monotonic()
@@ -372,7 +376,9 @@
         lost = isinstance(error, UnknownOutcomeError) and error.code is ErrorCode.PEER_LOST
         member = self.directory.find(node) if lost else None
         if self.peer_ends is not None and member is not None:
-            await self.peer_ends.note_lost(member, attempts.request, attempts.body, started)
+            await self.peer_ends.report_lost_request(
+                member, attempts.request, attempts.body, started
+            )
 
     def note_decision(
         self,
@@ -399,7 +405,7 @@
         attempts.state.decisions.append(decision)
         attempts.story.append(decision)
 
-    def note_report(self, member: Member, report: LoadReport) -> None:
+    def record_load_report(self, member: Member, report: LoadReport) -> None:
         """Take in the load of a member that has published it unasked."""
         try:
             # Also before the first request for the service: a node tells of changes alone, so what
@@ -423,7 +429,7 @@
 
     async def send(
         self, attempts: Attempts, node: str, statement: ServerStatement | None
-    ) -> Answer:
+    ) -> Response:
         """Send the request to a node: by a call where it is this one, else by its peer address.
 
         ``statement`` is what is known of the backend server there.
--- a/src/marjoramtide/ingress/_hedge.py
+++ b/src/marjoramtide/ingress/_hedge.py
@@ -6,7 +6,7 @@
 
 import attrs
 
-from marjoramtide.exchange import Answer, RequestFailedError
+from marjoramtide.exchange import RequestFailedError, Response
 
 
 @attrs.define(slots=True, eq=False, repr=False)
@@ -23,15 +23,15 @@
     """
 
     start: Callable[[], None]
-    failed: Callable[["asyncio.Task[Answer]"], object]
-    running: "set[asyncio.Task[Answer]]" = attrs.Factory(set)
+    failed: Callable[["asyncio.Task[Response]"], object]
+    running: "set[asyncio.Task[Response]]" = attrs.Factory(set)
     started: bool = False
     owner: "asyncio.Task[Any] | None" = None
-    winner: "asyncio.Task[Answer] | None" = None
+    winner: "asyncio.Task[Response] | None" = None
 
     async def first(
-        self, attempt: Coroutine[Any, Any, Answer], delay_s: float | None
-    ) -> Answer | Exception:
+        self, attempt: Coroutine[Any, Any, Response], delay_s: float | None
+    ) -> Response | Exception:
         """Return the good answer that came first, or how the first try failed."""
         owner = self.owner = asyncio.current_task()
         assert owner is not None
@@ -56,13 +56,13 @@
         self.started = True
         self.start()
 
-    def add(self, attempt: Coroutine[Any, Any, Answer]) -> None:
+    def add(self, attempt: Coroutine[Any, Any, Response]) -> None:
         """Run another try beside the first."""
         task = asyncio.create_task(attempt)
         self.running.add(task)
         task.add_done_callback(self.ended)
 
-    def ended(self, task: "asyncio.Task[Answer]") -> None:
+    def ended(self, task: "asyncio.Task[Response]") -> None:
         # Once the first try has ended, whoever waits for the rest takes their ends.
         if self.owner is None or self.winner is not None or task.cancelled():
             return
--- a/src/marjoramtide/ingress/_ingress.py
+++ b/src/marjoramtide/ingress/_ingress.py
@@ -12,11 +12,11 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.exchange import (
-    Answer,
     NotRunError,
     Request,
     RequestBody,
     RequestFailedError,
+    Response,
     UnknownOutcomeError,
     inline_body,
 )
@@ -25,11 +25,11 @@
 from marjoramtide.ingress._caller_protocol import CallerProtocol
 from marjoramtide.ingress._caller_server import CallerServer
 from marjoramtide.ingress._decision import Decision
+from marjoramtide.ingress._default_caller_protocol import DefaultCallerProtocol
 from marjoramtide.ingress._dispatcher import Dispatcher
-from marjoramtide.ingress._own_callers import OwnCallers
 from marjoramtide.ingress._read_body import read_body
 from marjoramtide.ingress._request_quota import NoQuota, QuotaLease, RequestQuota
-from marjoramtide.ingress._start_up import StartUp
+from marjoramtide.ingress._start_up import StartupGrace
 from marjoramtide.settings import RouteSettings, SettingsView
 from marjoramtide.telemetry import Metrics, Tracer, read_trace
 
@@ -61,7 +61,7 @@
         metrics: Metrics,
         tracer: Tracer,
         protocol: CallerProtocol | None = None,
-        start_up: StartUp | None = None,
+        start_up: StartupGrace | None = None,
         authenticator: Authenticator | None = None,
         quotas: RequestQuota | None = None,
     ) -> None:
@@ -71,8 +71,8 @@
         key, without ``quotas`` no workspace is limited.
         """
         self.node = node
-        self.start_up = start_up or StartUp(clock)
-        self.protocol = protocol or OwnCallers()
+        self.start_up = start_up or StartupGrace(clock)
+        self.protocol = protocol or DefaultCallerProtocol()
         self.authenticator = authenticator or Authenticator(view, self.protocol.scheme)
         self.quotas = quotas or NoQuota()
         self.view = view
@@ -80,8 +80,8 @@
         self.clock = clock
         self.metrics = metrics
         self.tracer = tracer
-        self.leaving = False
-        self.stopping = False
+        self.is_draining = False
+        self.is_stopping = False
         self.in_progress = 0
         self.max_in_progress = MAX_IN_PROGRESS
         self.urgent_reserve = URGENT_RESERVE
@@ -166,9 +166,9 @@
         except MarjoramtideError as error:
             broken = body.error if body is not None else None
             if lease is not None and not isinstance(error, UnknownOutcomeError):
-                lease.give_back()
+                lease.refund()
             if request is not None:
-                self.authenticator.calls.note_failure(request, error)
+                self.authenticator.calls.record_failure(request, error)
             return self.refuse(http, broken or error, request)
 
     async def read_body(
@@ -191,7 +191,7 @@
 
     def check_open(self) -> None:
         """Refuse where this node must not take callers' requests."""
-        if self.stopping:
+        if self.is_stopping:
             raise NotRunError(
                 ErrorCode.DRAINING, "the node is stopping", step="ingress", retry_after_ms=0
             )
@@ -235,7 +235,7 @@
             **log_fields(error, http.remote),
         )
         response = self.protocol.refusal(error, self.node, request_id)
-        if self.leaving or not http.content.at_eof():
+        if self.is_draining or not http.content.at_eof():
             # The rest of a body that was not read would be taken for the next request.
             response.force_close()
         return response
@@ -250,7 +250,7 @@
         left_ms = round((request.deadline - self.clock.monotonic()) * 1000)
         return request_fields(request, tries) | {"left_ms": left_ms}
 
-    def note_late(self, request: Request, answer: Answer) -> None:
+    def note_late(self, request: Request, answer: Response) -> None:
         """Tell of an answer that comes later than the operator wants it, and of its tries."""
         late_s = self.clock.monotonic() - request.goal
         if late_s > 0:
@@ -267,7 +267,7 @@
             )
 
     async def send(
-        self, http: web.BaseRequest, request: Request, answer: Answer
+        self, http: web.BaseRequest, request: Request, answer: Response
     ) -> web.StreamResponse:
         """Give the answer to the caller, whole or visibly broken off."""
         self.metrics.count("ingress.completed")
@@ -313,25 +313,25 @@
         if http.transport is not None:
             http.transport.abort()
 
-    def add_headers(self, response: web.StreamResponse, answer: Answer) -> None:
-        for name, value in self.protocol.answer_headers(answer, self.node):
+    def add_headers(self, response: web.StreamResponse, answer: Response) -> None:
+        for name, value in self.protocol.response_headers(answer, self.node):
             response.headers.add(name, value)
-        if self.leaving:
+        if self.is_draining:
             # Kept open, it would be closed at the end of the stop, perhaps amid the caller's next
             # booking, which would then be unknown to its caller.
             response.force_close()
 
-    async def leave(self) -> None:
+    async def start_draining(self) -> None:
         """Take no new connections, and end each kept one with its next answer.
 
         What comes on kept connections meanwhile is passed on to other nodes: callers can't know yet
         that this one stops, and need not be refused for it.
         """
-        self.leaving = True
+        self.is_draining = True
         if self.site is not None:
             await self.site.stop()
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Wait until no request is in progress and callers have been sent every byte.
 
         What a handler has given stands in the connection's buffer until the caller takes it. A
--- a/src/marjoramtide/ingress/_peer_ends.py
+++ b/src/marjoramtide/ingress/_peer_crash_detector.py
@@ -28,7 +28,7 @@
 Report = Callable[[Member, Sequence[Run]], None]
 
 
-class PeerEnds:
+class PeerCrashDetector:
     """Finds out whether a node has ended, and reports what is known to have run there.
 
     Failure: a request ends the node that serves it. That node tells nobody what it served, so the
@@ -56,7 +56,7 @@
         self.looking: dict[str, asyncio.Task[None]] = {}
         self.later: set[asyncio.Task[None]] = set()
 
-    async def note_lost(
+    async def report_lost_request(
         self, member: Member, request: Request, body: RequestBody, started: float
     ) -> None:
         """Take a request whose connection broke; return once it is known whether its node ended.
@@ -66,12 +66,12 @@
         """
         fingerprint = self.fingerprint(request, body)
         run = Run(fingerprint, request.request_id, request.label, started)
-        self.note(member, [run])
+        self.report_lost_runs(member, [run])
         task = self.looking.get(member.node)
         if task is not None:
             await asyncio.shield(task)
 
-    def note(self, member: Member, runs: Sequence[Run]) -> None:
+    def report_lost_runs(self, member: Member, runs: Sequence[Run]) -> None:
         """Take what ran at a node whose connection broke, and look whether that node has ended."""
         if member.state in (MemberState.LEAVING, MemberState.DEAD):
             return
--- a/src/marjoramtide/ingress/_read_body.py
+++ b/src/marjoramtide/ingress/_read_body.py
@@ -6,7 +6,7 @@
 from aiohttp.http_exceptions import HttpProcessingError
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
-from marjoramtide.exchange import INLINE_BYTES, RequestBody, UnknownOutcomeError, inline_body
+from marjoramtide.exchange import MAX_INLINE_BYTES, RequestBody, UnknownOutcomeError, inline_body
 
 STEP = "ingress.read_body"
 
@@ -46,13 +46,13 @@
     if length is not None and length > limit:
         raise too_large(limit)
     first = bytearray()
-    if length is None or length <= INLINE_BYTES:
+    if length is None or length <= MAX_INLINE_BYTES:
         await invite(http)
-        while len(first) <= INLINE_BYTES and not http.content.at_eof():
+        while len(first) <= MAX_INLINE_BYTES and not http.content.at_eof():
             first += await read_some(http)
         if len(first) > limit:
             raise too_large(limit)
-        if http.content.at_eof() and len(first) <= INLINE_BYTES:
+        if http.content.at_eof() and len(first) <= MAX_INLINE_BYTES:
             return inline_body(bytes(first))
     body = RequestBody(length=length)
     body.stream = rest(http, bytes(first), limit, body)
--- a/src/marjoramtide/ingress/_read_request.py
+++ b/src/marjoramtide/ingress/_read_request.py
@@ -5,7 +5,7 @@
 from aiohttp import HttpVersion10, HttpVersion11, web
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
-from marjoramtide.exchange import OWN_REQUEST, Request, end_to_end, is_origin_form
+from marjoramtide.exchange import REWRITTEN_REQUEST_HEADERS, Request, end_to_end, is_origin_form
 from marjoramtide.settings import RouteSettings, SettingsView
 from marjoramtide.telemetry import Tracer
 
@@ -24,26 +24,26 @@
 VERSIONS = (HttpVersion10, HttpVersion11)
 
 
-def bad(message: str) -> MarjoramtideError:
+def bad_request(message: str) -> MarjoramtideError:
     """Return the error for a request that breaks the protocol or a header's rules."""
     return MarjoramtideError(ErrorCode.BAD_REQUEST, message, step=STEP)
 
 
-def single(http: web.BaseRequest, name: str) -> str:
+def single_header(http: web.BaseRequest, name: str) -> str:
     """Return a header that may stand once; two of them could be read differently by each hop."""
     values = http.headers.getall(name, ())
     if len(values) > 1:
-        raise bad(f"{name} stands {len(values)} times; allowed: once")
+        raise bad_request(f"{name} stands {len(values)} times; allowed: once")
     return values[0] if values else ""
 
 
 def read_timeout(http: web.BaseRequest, settings: RouteSettings) -> float:
     """Return the seconds that the caller gives, bounded by the settings."""
-    text = single(http, "Request-Timeout-Ms")
+    text = single_header(http, "Request-Timeout-Ms")
     if "Request-Timeout-Ms" not in http.headers:
         return settings.timeout_ms / 1000
     if not TIMEOUT_PATTERN.fullmatch(text) or not float(text):
-        raise bad(f"Request-Timeout-Ms {text[:40]!r}; allowed: a number above 0")
+        raise bad_request(f"Request-Timeout-Ms {text[:40]!r}; allowed: a number above 0")
     return min(float(text), settings.max_timeout_ms) / 1000
 
 
@@ -57,15 +57,15 @@
         return False
     text = match[1].strip()
     if text not in ("0", "1", "2", "3", "4", "5", "6", "7"):
-        raise bad(f"Priority u={text[:40]!r}; allowed: 0 to 7")
+        raise bad_request(f"Priority u={text[:40]!r}; allowed: 0 to 7")
     return int(text) <= URGENT_URGENCY
 
 
 def read_depth(http: web.BaseRequest, settings: RouteSettings) -> int:
     """Return how deep this call is: one more than the call that led to it."""
-    text = single(http, "Marjoramtide-Depth")
+    text = single_header(http, "Marjoramtide-Depth")
     if text and not (text.isascii() and text.isdigit() and len(text) < 6):
-        raise bad(f"Marjoramtide-Depth {text[:40]!r}; allowed: a whole number")
+        raise bad_request(f"Marjoramtide-Depth {text[:40]!r}; allowed: a whole number")
     depth = int(text or 0) + 1
     if depth > settings.max_depth:
         raise MarjoramtideError(
@@ -85,11 +85,11 @@
 
 def read_key(http: web.BaseRequest) -> str:
     """Return the ``Idempotency-Key``, or an empty string."""
-    key = single(http, "Idempotency-Key")
+    key = single_header(http, "Idempotency-Key")
     if len(key) > MAX_KEY_CHARACTERS or not key.isprintable():
-        raise bad(f"Idempotency-Key: at most {MAX_KEY_CHARACTERS} printable characters")
+        raise bad_request(f"Idempotency-Key: at most {MAX_KEY_CHARACTERS} printable characters")
     if "Idempotency-Key" in http.headers and not key:
-        raise bad("Idempotency-Key is empty")
+        raise bad_request("Idempotency-Key is empty")
     return key
 
 
@@ -99,7 +99,7 @@
         # The library keeps bytes that are no UTF-8 as lone surrogates. CBOR text can't carry them
         # to another node: whether such a request is served would depend on where it goes.
         if not value.isascii() and not is_text(value):
-            raise bad(f"{name[:40]}; allowed: ASCII or UTF-8")
+            raise bad_request(f"{name[:40]}; allowed: ASCII or UTF-8")
 
 
 def is_text(value: str) -> bool:
@@ -114,7 +114,7 @@
 def check_head(http: web.BaseRequest, max_bytes: int = MAX_HEAD_BYTES) -> None:
     """Raise where the head is too large, or leaves open where the body ends."""
     if http.version not in VERSIONS:
-        raise bad("HTTP version; allowed: 1.0 and 1.1")
+        raise bad_request("HTTP version; allowed: 1.0 and 1.1")
     size = len(http.raw_path) + sum(len(name) + len(value) for name, value in http.raw_headers)
     if size > max_bytes:
         raise MarjoramtideError(
@@ -129,11 +129,11 @@
     # is refused since the header that names it does not travel on: the backend server would take
     # the coded bytes for the plain ones.
     if "Content-Length" in http.headers:
-        raise bad("both Content-Length and Transfer-Encoding")
+        raise bad_request("both Content-Length and Transfer-Encoding")
     if len(codings) > 1 or codings[0].strip().lower() != "chunked":
-        raise bad("Transfer-Encoding; allowed: chunked")
+        raise bad_request("Transfer-Encoding; allowed: chunked")
     if http.version != HttpVersion11:
-        raise bad("Transfer-Encoding needs HTTP/1.1")
+        raise bad_request("Transfer-Encoding needs HTTP/1.1")
 
 
 def read_route(http: web.BaseRequest, view: SettingsView) -> RouteSettings:
@@ -144,12 +144,12 @@
     check_head(http, view.node_values["max_head_bytes"])
     check_values(http)
     if not is_origin_form(http.raw_path):
-        raise bad("the request target; allowed: a path with its query, without a fragment")
+        raise bad_request("the request target; allowed: a path with its query, without a fragment")
     if http.method in REFUSED_METHODS:
-        raise bad(f"method {http.method} is not served")
-    host = single(http, "Host")
+        raise bad_request(f"method {http.method} is not served")
+    host = single_header(http, "Host")
     if not host:
-        raise bad("no Host header")
+        raise bad_request("no Host header")
     return view.find(host, http.raw_path)
 
 
@@ -163,15 +163,15 @@
         service=settings.service,
         method=http.method,
         target=http.raw_path,
-        headers=end_to_end(http.headers.items(), OWN_REQUEST),
+        headers=end_to_end(http.headers.items(), REWRITTEN_REQUEST_HEADERS),
         urgent=read_urgent(http, settings),
         idempotent=read_idempotent(http.method, settings),
         deadline=now + read_timeout(http, settings),
         depth=read_depth(http, settings),
-        key=read_key(http),
+        idempotency_key=read_key(http),
         trace=trace.header(),
         request_id=http.headers.get("X-Request-Id", "")[:MAX_KEY_CHARACTERS],
-        parent=single(http, "Marjoramtide-Run"),
+        parent_run=single_header(http, "Marjoramtide-Run"),
         rank=settings.rank,
         goal=now + settings.goal_ms / 1000 if settings.goal_ms else float("inf"),
     )
--- a/src/marjoramtide/ingress/_request_quota.py
+++ b/src/marjoramtide/ingress/_request_quota.py
@@ -9,7 +9,7 @@
     """A token of a workspace's quota that a request has taken."""
 
     @abstractmethod
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Give the token back: the request did not run."""
 
 
--- a/src/marjoramtide/ingress/_start_up.py
+++ b/src/marjoramtide/ingress/_start_up.py
@@ -11,11 +11,11 @@
 # seconds. Measured after a loss of all of ten nodes: settings were known 70 to 150 ms after the
 # port was open, the others of a service 250 to 400 ms after it. What is not known by then is not
 # about to be.
-START_UP_S = 0.5
+STARTUP_GRACE_S = 0.5
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class StartUp:
+class StartupGrace:
     """Lets requests wait for the news that a node which has just started is about to hear.
 
     Failure: all nodes lose power and start again amid their traffic. For some tenths of a second
@@ -34,7 +34,7 @@
     clock: Clock
     freeze: FreezeDetector | None = None
     ends_at: float = float("-inf")
-    is_informed: Callable[[], bool] = lambda: True
+    is_quarantine_known: Callable[[], bool] = lambda: True
     news: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
@@ -43,9 +43,9 @@
 
     def begin(self) -> None:
         """Note that the node takes callers from now on, or again."""
-        self.ends_at = self.clock.monotonic() + START_UP_S
+        self.ends_at = self.clock.monotonic() + STARTUP_GRACE_S
 
-    def note_news(self) -> None:
+    def notify(self) -> None:
         """Look again at what requests wait for."""
         self.news.set()
         self.news.clear()
--- a/src/marjoramtide/interface/_own.py
+++ b/src/marjoramtide/interface/_own.py
@@ -1,7 +1,7 @@
 """The interface that this project defines itself."""
 
 from marjoramtide.clock import SystemClock
-from marjoramtide.ingress import OwnCallers
+from marjoramtide.ingress import DefaultCallerProtocol
 from marjoramtide.interface._interface import Interface
 from marjoramtide.serving import OwnBackend, RunTokens
 from marjoramtide.settings.sync import OwnTreeSource
@@ -12,5 +12,9 @@
     """Return the project's own protocols for all parties."""
     tokens = RunTokens(SystemClock())
     return Interface(
-        OwnStoreProtocol(), OwnTreeSource(), OwnCallers(), OwnBackend(tokens), runs=tokens
+        OwnStoreProtocol(),
+        OwnTreeSource(),
+        DefaultCallerProtocol(),
+        OwnBackend(tokens),
+        runs=tokens,
     )
--- a/src/marjoramtide/peers/_client.py
+++ b/src/marjoramtide/peers/_client.py
@@ -9,11 +9,11 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.exchange import (
-    Answer,
     NotRunError,
     Request,
     RequestBody,
     RequestFailedError,
+    Response,
 )
 from marjoramtide.peers._client_connection import PeerClientConnection
 from marjoramtide.peers._handshake import HANDSHAKE_TIMEOUT_S, open_as_client
@@ -48,7 +48,7 @@
         self.looks: set[asyncio.Task[Link]] = set()
         self.closing: set[asyncio.Task[None]] = set()
 
-    async def request(self, address: str, request: Request, body: RequestBody) -> Answer:
+    async def request(self, address: str, request: Request, body: RequestBody) -> Response:
         """Have the node at ``address`` serve a request; raises as ``RequestHandler.handle``."""
         link = await self.link(address, URGENT if request.urgent else ROUTINE)
         remaining_ms = (request.deadline - self.clock.monotonic()) * 1000
--- a/src/marjoramtide/peers/_link.py
+++ b/src/marjoramtide/peers/_link.py
@@ -11,11 +11,11 @@
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.exchange import (
-    Answer,
     NotRunError,
     Request,
     RequestBody,
     RequestFailedError,
+    Response,
     UnknownOutcomeError,
 )
 from marjoramtide.peers._byte_stream import ByteStream
@@ -67,13 +67,13 @@
         self.ending: asyncio.Task[None] | None = None
         self.reader = asyncio.create_task(self.read(), name=f"peers.link {peer} {lane}")
 
-    async def request(self, request: Request, body: RequestBody, remaining_ms: float) -> Answer:
+    async def request(self, request: Request, body: RequestBody, remaining_ms: float) -> Response:
         """Send a request and wait for its answer."""
         number = next(self.numbers)
-        if not request.key:
+        if not request.idempotency_key:
             # With a key the serving node must know the whole body to tell a repetition from another
             # request under the same key.
-            body = body.held_back()
+            body = body.for_peer()
         message = RequestMessage(
             id=number,
             service=request.service,
@@ -84,7 +84,7 @@
             idempotent=request.idempotent,
             remaining_ms=remaining_ms,
             depth=request.depth,
-            key=request.key,
+            key=request.idempotency_key,
             trace=request.trace,
             attempt=request.attempt,
             body=body.inline or b"",
@@ -219,7 +219,7 @@
             case FailureMessage():
                 pending.fail(failure_error(message, self.peer))
                 self.forget(message.id)
-            case ContinueMessage() if not pending.body.opened:
+            case ContinueMessage() if not pending.body.is_opened:
                 pending.sender = asyncio.create_task(self.send_body(message.id, pending))
             case CreditMessage():
                 pending.window.credit(message.size)
@@ -248,7 +248,7 @@
         if pending.answer.done():
             return
         number = message.id
-        answer = Answer(
+        answer = Response(
             status=message.status,
             headers=unpack_headers(message.headers),
             body=message.body,
@@ -331,5 +331,5 @@
         peer=peer,
         retry_after_ms=message.retry_after_ms if message.retry_after_ms >= 0 else None,
         report=unpack_report(message.report),
-        reached=message.reached,
+        reached_backend=message.reached,
     )
--- a/src/marjoramtide/peers/_pending.py
+++ b/src/marjoramtide/peers/_pending.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from marjoramtide.exchange import Answer, RequestBody
+from marjoramtide.exchange import RequestBody, Response
 from marjoramtide.peers._byte_stream import ByteStream
 from marjoramtide.peers._send_window import SendWindow
 
@@ -13,7 +13,7 @@
 class Pending:
     """What the connection's reader needs to hand an answer to whoever waits for it."""
 
-    answer: "asyncio.Future[Answer]"
+    answer: "asyncio.Future[Response]"
     body: RequestBody
     window: SendWindow = attrs.Factory(SendWindow)
     stream: ByteStream | None = None
--- a/src/marjoramtide/peers/_session.py
+++ b/src/marjoramtide/peers/_session.py
@@ -15,11 +15,11 @@
 from marjoramtide.clock import Clock, FreezeDetector
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.exchange import (
-    Answer,
     NotRunError,
     Request,
     RequestFailedError,
     RequestHandler,
+    Response,
     UnknownOutcomeError,
     inline_body,
     is_origin_form,
@@ -202,7 +202,7 @@
             failure = UnknownOutcomeError(ErrorCode.INTERNAL, str(error), step="peers.serve")
             await self.fail(message.id, failure, not_run=False)
 
-    async def handle(self, message: RequestMessage, served: Served) -> Answer:
+    async def handle(self, message: RequestMessage, served: Served) -> Response:
         now = self.clock.monotonic()
         if self.freeze.was_frozen(now):
             # Frames that waited in the socket while this process was stopped carry deadlines that
@@ -221,7 +221,7 @@
             idempotent=message.idempotent,
             deadline=served.deadline,
             depth=message.depth,
-            key=message.key,
+            idempotency_key=message.key,
             trace=message.trace,
             attempt=message.attempt,
             request_id=message.request_id,
@@ -244,7 +244,7 @@
         async for data in served.body:
             yield data
 
-    async def send_answer(self, number: int, answer: Answer, served: Served) -> None:
+    async def send_answer(self, number: int, answer: Response, served: Served) -> None:
         message = AnswerMessage(
             id=number,
             status=answer.status,
@@ -280,7 +280,13 @@
         retry_after_ms = -1 if error.retry_after_ms is None else error.retry_after_ms
         report = pack_report(error.report)
         message = FailureMessage(
-            number, not_run, str(error.code), error.message, retry_after_ms, report, error.reached
+            number,
+            not_run,
+            str(error.code),
+            error.message,
+            retry_after_ms,
+            report,
+            error.reached_backend,
         )
         with contextlib.suppress(ConnectionClosed):
             await self.send(message)
--- a/src/marjoramtide/platform/_callers.py
+++ b/src/marjoramtide/platform/_callers.py
@@ -5,8 +5,14 @@
 from aiohttp import web
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
-from marjoramtide.exchange import Answer, Request, UnknownOutcomeError, end_to_end
-from marjoramtide.ingress import CallerProtocol, bad, read_idempotent, read_route, single
+from marjoramtide.exchange import Request, Response, UnknownOutcomeError, end_to_end
+from marjoramtide.ingress import (
+    CallerProtocol,
+    bad_request,
+    read_idempotent,
+    read_route,
+    single_header,
+)
 from marjoramtide.platform._headers import (
     CALLING_SERVICE,
     DEADLINE,
@@ -58,7 +64,7 @@
     ``calling_service`` is the service on this node's instance, where every request begins.
     """
 
-    turned_away = TURNED_AWAY
+    connection_limit_response = TURNED_AWAY
     scheme = "Token"
 
     def __init__(self, calling_service: str) -> None:
@@ -68,7 +74,7 @@
         self, http: web.BaseRequest, view: SettingsView, tracer: Tracer, now: float
     ) -> tuple[Request, RouteSettings]:
         settings = read_route(http, view)
-        request_id = single(http, REQUEST_ID)[:MAX_ID_CHARACTERS]
+        request_id = single_header(http, REQUEST_ID)[:MAX_ID_CHARACTERS]
         headers = end_to_end(http.headers.items(), WRITTEN_ANEW)
         request = Request(
             service=settings.service,
@@ -79,7 +85,7 @@
             idempotent=read_idempotent(http.method, settings),
             deadline=now + read_remaining_ms(http, settings) / 1000,
             depth=1 + request_id.count(CALL_SEPARATOR),
-            parent=request_id.rpartition(CALL_SEPARATOR)[0],
+            parent_run=request_id.rpartition(CALL_SEPARATOR)[0],
             trace=tracer.begin("", settings.trace_share).header(),
             request_id=request_id,
             rank=settings.rank,
@@ -99,13 +105,13 @@
             headers[RETRY_AFTER] = f"{error.retry_after_ms / 1000:.3f}"
         return web.Response(status=status, headers=headers, text=f"{error.code}: {error.message}\n")
 
-    def answer_headers(self, answer: Answer, node: str) -> Iterable[tuple[str, str]]:
+    def response_headers(self, answer: Response, node: str) -> Iterable[tuple[str, str]]:
         return answer.headers
 
 
 def read_remaining_ms(http: web.BaseRequest, settings: RouteSettings) -> float:
     """Return the milliseconds that the caller gives, bounded by the route's timeout."""
-    text = single(http, DEADLINE)
+    text = single_header(http, DEADLINE)
     if not text:
         return settings.timeout_ms
     try:
@@ -113,5 +119,5 @@
     except ValueError:
         remaining_ms = -1.0
     if not 0 < remaining_ms < float("inf"):
-        raise bad(f"{DEADLINE} {text[:40]!r}; allowed: a number above 0")
+        raise bad_request(f"{DEADLINE} {text[:40]!r}; allowed: a number above 0")
     return min(remaining_ms, settings.max_timeout_ms)
--- a/src/marjoramtide/quota/_quota_service.py
+++ b/src/marjoramtide/quota/_quota_service.py
@@ -46,7 +46,7 @@
     account: QuotaAccount
     leased_at: float
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         self.quotas.give_back(self.workspace, self.account, self.leased_at)
 
 
--- a/src/marjoramtide/serving/_backend_reply.py
+++ b/src/marjoramtide/serving/_backend_reply.py
@@ -8,7 +8,7 @@
 import httptools
 
 from marjoramtide.errors import ErrorCode
-from marjoramtide.exchange import INLINE_BYTES, UnknownOutcomeError
+from marjoramtide.exchange import MAX_INLINE_BYTES, UnknownOutcomeError
 
 MAX_HEAD_BYTES = 64 * 1024
 NO_CONTENT = (204, 304)
@@ -167,7 +167,7 @@
             return
         self.pieces.append(data)
         self.size += len(data)
-        if self.size >= INLINE_BYTES and not self.paused:
+        if self.size >= MAX_INLINE_BYTES and not self.paused:
             self.paused = True
             self.transport.pause_reading()
 
--- a/src/marjoramtide/serving/_backend_transport.py
+++ b/src/marjoramtide/serving/_backend_transport.py
@@ -3,7 +3,7 @@
 from abc import ABC, abstractmethod
 from collections.abc import Callable
 
-from marjoramtide.exchange import Answer, Request, RequestBody
+from marjoramtide.exchange import Request, RequestBody, Response
 from marjoramtide.serving._endpoint_answer import EndpointAnswer
 
 
@@ -17,7 +17,7 @@
         body: RequestBody,
         remaining_ms: float,
         begun: Callable[[], None],
-    ) -> Answer:
+    ) -> Response:
         """Send the request and return its answer.
 
         Calls ``begun`` before the first byte of the request may leave. Raises ``NotRunError``
--- a/src/marjoramtide/serving/_claim_gate.py
+++ b/src/marjoramtide/serving/_claim_gate.py
@@ -18,7 +18,7 @@
 )
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
-from marjoramtide.exchange import Answer, NotRunError, Request, UnknownOutcomeError
+from marjoramtide.exchange import NotRunError, Request, Response, UnknownOutcomeError
 from marjoramtide.serving._execution import Execution
 from marjoramtide.settings import SettingsView
 
@@ -43,15 +43,15 @@
         self.background: set[asyncio.Task[Any]] = set()
 
     async def send(
-        self, execution: Execution, dispatch: Callable[[Execution], Awaitable[Answer]]
-    ) -> Answer:
+        self, execution: Execution, dispatch: Callable[[Execution], Awaitable[Response]]
+    ) -> Response:
         """Claim, dispatch and record; raises as ``RequestHandler.handle``."""
         request = execution.request
         try:
             settings = self.view.route(request.service, request.target)
             result = await self.claims.acquire(
                 request.service,
-                request.key,
+                request.idempotency_key,
                 digest(execution),
                 settings,
                 request.deadline,
@@ -70,8 +70,8 @@
         self,
         execution: Execution,
         handle: ClaimHandle,
-        dispatch: Callable[[Execution], Awaitable[Answer]],
-    ) -> Answer:
+        dispatch: Callable[[Execution], Awaitable[Response]],
+    ) -> Response:
         if not handle.may_dispatch(self.clock.monotonic()):
             # A node that was stopped between claim and dispatch must not act on a claim that may
             # have ended meanwhile; it has sent nothing, so the key is given back.
@@ -100,7 +100,7 @@
         remaining = execution.deadline - self.clock.monotonic()
         await self.claims.release(handle, timeout=max(0.0, remaining))
 
-    def answer_without_running(self, result: ClaimResult) -> Answer:
+    def answer_without_running(self, result: ClaimResult) -> Response:
         """Return the recorded answer, or raise what keeps the request from running."""
         if result.outcome is ClaimOutcome.RECORDED and result.record is not None:
             return recorded_answer(result.record)
@@ -132,15 +132,15 @@
         await self.claims.settle(2.0)
 
 
-def recorded_answer(record: ClaimRecord) -> Answer:
+def recorded_answer(record: ClaimRecord) -> Response:
     """Return the answer of the request that ran with this key."""
     if record.state is not ClaimState.COMPLETED:
         raise duplicate(None)
     if record.body is None:
         text = f"completed earlier with status {record.status}; its answer was not kept\n".encode()
-        return Answer(409, (REPLAYED, ("Content-Type", "text/plain")), text, length=len(text))
+        return Response(409, (REPLAYED, ("Content-Type", "text/plain")), text, length=len(text))
     headers = (*record.headers, REPLAYED)
-    return Answer(record.status, headers, record.body, length=len(record.body))
+    return Response(record.status, headers, record.body, length=len(record.body))
 
 
 def duplicate(retry_after_ms: int | None) -> UnknownOutcomeError:
--- a/src/marjoramtide/serving/_http_transport.py
+++ b/src/marjoramtide/serving/_http_transport.py
@@ -8,11 +8,11 @@
 from marjoramtide.clock import Clock, SystemClock
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import (
-    INLINE_BYTES,
-    Answer,
+    MAX_INLINE_BYTES,
     NotRunError,
     Request,
     RequestBody,
+    Response,
     UnknownOutcomeError,
     end_to_end,
     inline_body,
@@ -75,7 +75,7 @@
         body: RequestBody,
         remaining_ms: float,
         begun: Callable[[], None],
-    ) -> Answer:
+    ) -> Response:
         added = self.protocol.request_headers(request, remaining_ms, self.instance)
         head = encode_head(request, body, added, self.address)
         connection = await self.take()
@@ -88,7 +88,7 @@
                 head_only=request.method == "HEAD",
                 belongs=lambda reply: self.protocol.belongs(request.request_id, reply),
             )
-            first = await reply.first(INLINE_BYTES)
+            first = await reply.first(MAX_INLINE_BYTES)
         except UnknownOutcomeError as error:
             connection.abort()
             # A body that its caller broke off is no fault of the backend server.
@@ -111,7 +111,7 @@
                 peer=self.address,
             )
         headers = end_to_end(reply.headers, self.protocol.own_answer_headers)
-        answer = Answer(reply.status, headers, length=reply.length)
+        answer = Response(reply.status, headers, length=reply.length)
         if reply.complete:
             self.give_back(connection)
             if not reply.head_only:
@@ -145,7 +145,7 @@
             step="serving.read",
             peer=self.address,
             retry_after_ms=reading.retry_after_ms,
-            reached=True,
+            reached_backend=True,
         )
 
     async def read(self, path: str, timeout_s: float) -> EndpointAnswer:
@@ -154,7 +154,7 @@
             connection = await self.take()
             try:
                 reply = connection.send(head, inline_body())
-                body = await reply.first(INLINE_BYTES)
+                body = await reply.first(MAX_INLINE_BYTES)
                 return EndpointAnswer(reply.status, tuple(reply.headers), body)
             finally:
                 self.give_back(connection)
--- a/src/marjoramtide/serving/_own_backend.py
+++ b/src/marjoramtide/serving/_own_backend.py
@@ -3,7 +3,7 @@
 import json
 from collections.abc import Iterator
 
-from marjoramtide.exchange import OWN_ANSWER, Outcome, Request, ServerStatement
+from marjoramtide.exchange import REWRITTEN_RESPONSE_HEADERS, Outcome, Request, ServerStatement
 from marjoramtide.serving._backend_protocol import BackendProtocol
 from marjoramtide.serving._backend_reply import BackendReply
 from marjoramtide.serving._backend_state import BackendState
@@ -30,7 +30,7 @@
     that the server makes for it need no key where they bring the latter back.
     """
 
-    own_answer_headers = OWN_ANSWER | {RATE_LIMIT, LEAVING}
+    own_answer_headers = REWRITTEN_RESPONSE_HEADERS | {RATE_LIMIT, LEAVING}
 
     def __init__(self, tokens: RunTokens | None = None) -> None:
         """Without ``tokens`` requests come without ``Marjoramtide-Run``."""
--- a/src/marjoramtide/serving/_run_tokens.py
+++ b/src/marjoramtide/serving/_run_tokens.py
@@ -5,7 +5,7 @@
 import attrs
 
 from marjoramtide.clock import Clock
-from marjoramtide.exchange import Request, Runs
+from marjoramtide.exchange import Request, RunRegistry
 from marjoramtide.serving._running_requests import LONGEST_RUN_S
 
 TOKEN_BYTES = 16
@@ -14,7 +14,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class RunTokens(Runs):
+class RunTokens(RunRegistry):
     """Gives each run a token of its own, good until the run's deadline.
 
     Callers choose the identities of their requests, so that one may know another's; a token is only
@@ -23,7 +23,7 @@
     """
 
     clock: Clock
-    listener: Runs | None = None
+    listener: RunRegistry | None = None
     requests: dict[str, Request] = attrs.Factory(dict)
     began_at: float = attrs.field()
 
@@ -46,10 +46,10 @@
             return None
         return request
 
-    def note_call_refused(self, run: str) -> None:
+    def record_refused_call(self, run: str) -> None:
         request = self.find(run)
         if request is not None and self.listener is not None:
-            self.listener.note_call_refused(request.request_id)
+            self.listener.record_refused_call(request.request_id)
 
     def may_have_run(self, run: str) -> bool:
         return run in self.requests or self.clock.monotonic() - self.began_at < LONGEST_RUN_S
--- a/src/marjoramtide/serving/_running_requests.py
+++ b/src/marjoramtide/serving/_running_requests.py
@@ -5,7 +5,7 @@
 import attrs
 
 from marjoramtide.clock import Clock
-from marjoramtide.exchange import Request, Runs
+from marjoramtide.exchange import Request, RunRegistry
 
 # A run that ended so lately may still be named by calls that were on their way, in seconds.
 JUST_ENDED_S = 5.0
@@ -15,7 +15,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class RunningRequests(Runs):
+class RunningRequests(RunRegistry):
     """Knows them from their admission to the end of their answers; ``began_at`` is the node's."""
 
     clock: Clock
@@ -38,7 +38,7 @@
         if len(self.order) > MOST_ENDED:
             self.ended.pop(self.order.popleft(), None)
 
-    def note_call_refused(self, run: str) -> None:
+    def record_refused_call(self, run: str) -> None:
         if run in self.running:
             self.lacking.add(run)
 
--- a/src/marjoramtide/serving/_service.py
+++ b/src/marjoramtide/serving/_service.py
@@ -10,13 +10,13 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import (
-    Answer,
     LoadReport,
     NotRunError,
     Request,
     RequestBody,
     RequestFailedError,
     RequestHandler,
+    Response,
     ServerStatement,
     UnknownOutcomeError,
 )
@@ -96,7 +96,7 @@
         self.tickets = itertools.count(1)
         self.in_progress: dict[int, Execution] = {}
         self.running = RunningRequests(clock, clock.monotonic() if began_at is None else began_at)
-        self.background: set[asyncio.Task[Answer]] = set()
+        self.background: set[asyncio.Task[Response]] = set()
         self.idle = asyncio.Event()
         self.idle.set()
 
@@ -181,7 +181,7 @@
         """Return when a look at the backend server's load is worth most, ``None`` while unknown."""
         return self.interference.next_look_at(now) if self.interference.is_told else None
 
-    async def handle(self, request: Request, body: RequestBody) -> Answer:
+    async def handle(self, request: Request, body: RequestBody) -> Response:
         if request.service != self.service:
             raise NotRunError(
                 ErrorCode.UNKNOWN_SERVICE,
@@ -234,7 +234,7 @@
             await self.queue.wait(ticket)
         execution.started = self.clock.monotonic()
 
-    async def execute_to_the_end(self, execution: Execution) -> Answer:
+    async def execute_to_the_end(self, execution: Execution) -> Response:
         """Execute a non-idempotent request whether or not its caller still waits.
 
         Closing the connection would not undo a booking that has begun; it would only lose its
@@ -252,14 +252,14 @@
                 task.cancel()
             raise
 
-    def close_unread(self, task: "asyncio.Task[Answer]") -> None:
+    def close_unread(self, task: "asyncio.Task[Response]") -> None:
         """Close the stream of an answer that nobody will read."""
         if not task.cancelled() and task.exception() is None:
             closing = asyncio.ensure_future(task.result().close())
             self.background.add(closing)  # type: ignore[arg-type]
             closing.add_done_callback(self.background.discard)  # type: ignore[arg-type]
 
-    async def execute(self, execution: Execution) -> Answer:
+    async def execute(self, execution: Execution) -> Response:
         """Send an admitted request and return its answer with the load at this moment."""
         request = execution.request
         succeeded = False
@@ -333,7 +333,7 @@
             self.ends.run_ended(execution, cancelled=False)
             await self.transport.look()
 
-    async def send(self, execution: Execution) -> Answer:
+    async def send(self, execution: Execution) -> Response:
         request = execution.request
         remaining = execution.deadline - self.clock.monotonic()
         if remaining <= 0:
@@ -343,7 +343,7 @@
             async with asyncio.timeout(remaining):
                 if not request.relayed:
                     await self.reporter.began(execution.ticket, execution.fingerprint)
-                if request.key and not request.idempotent:
+                if request.idempotency_key and not request.idempotent:
                     return await self.claim_gate.send(execution, self.dispatch)
                 return await self.dispatch(execution)
         except TimeoutError as error:
@@ -355,7 +355,7 @@
                 ErrorCode.DEADLINE, "the deadline passed in the backend server", step=STEP
             ) from error
 
-    async def dispatch(self, execution: Execution) -> Answer:
+    async def dispatch(self, execution: Execution) -> Response:
         """Hand the request to the backend server."""
         body = await self.collect(execution)
         execution.dispatched = True
@@ -370,7 +370,7 @@
         A part of it at the backend server would leave open whether the request has run.
         """
         try:
-            return await execution.body.collected()
+            return await execution.body.buffered()
         except UnknownOutcomeError as error:
             raise NotRunError(error.code, error.message, step=STEP) from error
 
@@ -404,7 +404,7 @@
         finally:
             self.finish(execution, succeeded and whole)
 
-    def finish_on_cancel(self, execution: Execution, answer: Answer):  # type: ignore[no-untyped-def]
+    def finish_on_cancel(self, execution: Execution, answer: Response):  # type: ignore[no-untyped-def]
         close = answer.cancel
 
         async def cancel() -> None:
--- a/src/marjoramtide/witness/_run_witness.py
+++ b/src/marjoramtide/witness/_run_witness.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Sequence
 
-from marjoramtide.ingress import PeerEnds
+from marjoramtide.ingress import PeerCrashDetector
 from marjoramtide.membership import Directory
 from marjoramtide.peers import RunListener, ToldRun
 from marjoramtide.serving import Run
@@ -16,11 +16,13 @@
     after node: 7 to 34 of six within 12 s.
     """
 
-    def __init__(self, directory: Directory, ends: PeerEnds) -> None:
+    def __init__(self, directory: Directory, ends: PeerCrashDetector) -> None:
         self.directory = directory
         self.ends = ends
 
     def lost(self, node: str, runs: Sequence[ToldRun]) -> None:
         member = self.directory.find(node)
         if member is not None:
-            self.ends.note(member, [Run(run.fingerprint, "", "", run.heard_at) for run in runs])
+            self.ends.report_lost_runs(
+                member, [Run(run.fingerprint, "", "", run.heard_at) for run in runs]
+            )
