--- a/features/peer_places.py
+++ b/features/peer_nodes.py
@@ -1,4 +1,4 @@
-"""Peer ports of nodes that find out about each other's ends, without processes."""
+"""Peer ports of nodes that detect each other's crashes, without processes."""
 
 import asyncio
 import socket
@@ -10,7 +10,7 @@
 from bench.model._model_directory import ModelDirectory
 from features.steps.peer_links_steps import SilentHandler
 from marjoramtide.clock import FreezeDetector, SystemClock
-from marjoramtide.ingress import PeerEnds
+from marjoramtide.ingress import PeerCrashDetector
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.peers import PeerClient, PeerServer
 from marjoramtide.serving import Run
@@ -19,20 +19,20 @@
 KEY = "a key for peer ports on loopback only"
 HOST = "127.0.0.1"
 NOWHERE = "127.0.0.1:9"
-# Until a connection stands.
+# The timeout for connections to be set up.
 SETTLED_S = 3.0
 POLL_S = 0.01
 
 
 @attrs.define(slots=True, eq=False)
-class Place:
-    """A node's peer port, and what it puts down to whom."""
+class PeerNode:
+    """A node's peer port, and the fingerprints of the runs that it blames for crashes."""
 
     member: Member
     directory: ModelDirectory
     server: PeerServer
     client: PeerClient
-    ends: PeerEnds
+    crash_detector: PeerCrashDetector
     blamed: list[int] = attrs.Factory(list)
 
     @property
@@ -40,10 +40,10 @@
         assert self.server.server is not None
         return list(self.server.server.connections)
 
-    def end(self) -> None:
-        """End as a process does that is killed: nobody listens, and all connections break."""
+    def kill(self) -> None:
+        """Stop as a killed process does: the port is closed, and all connections break."""
         assert self.server.server is not None
-        # The library's own close needs a turn of the loop.
+        # The close method of the websockets library takes an iteration of the event loop.
         self.server.server.server.close()
         for session in self.sessions:
             session.transport.abort()
@@ -55,8 +55,8 @@
     )
 
 
-async def open_place(context: Any, name: str, data_centre: str = "nadi-hall") -> Place:
-    """Start the peer port of a node; all know each other once ``meet`` was called."""
+async def open_peer_node(context: Any, name: str, data_centre: str = "nadi-hall") -> PeerNode:
+    """Start the peer port of a node; the nodes know each other once ``meet`` was called."""
     clock = SystemClock()
     server = PeerServer(KEY, clock, FreezeDetector(clock))
     server.handler = SilentHandler()
@@ -67,21 +67,21 @@
     client = PeerClient(KEY, clock)
 
     def report(lost: Member, runs: Sequence[Run]) -> None:
-        place.blamed += [run.fingerprint for run in runs]
+        peer_node.blamed += [run.fingerprint for run in runs]
 
-    ends = PeerEnds(client, clock, Metrics(), lambda request, body: 0, report)
+    crash_detector = PeerCrashDetector(client, clock, Metrics(), lambda request, body: 0, report)
     directory = ModelDirectory(member, lambda node: None)
-    place = Place(member, directory, server, client, ends)
-    context.places.append(place)
+    peer_node = PeerNode(member, directory, server, client, crash_detector)
+    context.peer_nodes.append(peer_node)
     context.closing += [client.close, server.close]
-    return place
+    return peer_node
 
 
 def meet(context: Any) -> None:
-    members = [place.member for place in context.places]
-    for place in context.places:
+    members = [peer_node.member for peer_node in context.peer_nodes]
+    for peer_node in context.peer_nodes:
         for member in members:
-            place.directory.take(member)
+            peer_node.directory.take(member)
 
 
 async def until(condition: Any) -> None:
@@ -91,14 +91,14 @@
 
 
 def listen_silently(context: Any) -> str:
-    """Return an address where connections are taken by the system alone."""
+    """Return an address where connections are accepted by the operating system only."""
     silent = context.cleanup.enter_context(socket.create_server((HOST, 0)))
     return "{}:{}".format(*silent.getsockname())
 
 
-def end_slowly(place: Place, seconds: float) -> None:
-    """End as a process does whose listening socket is closed last, some time after the others."""
-    host, _, port = place.member.peer_address.rpartition(":")
-    place.end()
+def stop_slowly(peer_node: PeerNode, seconds: float) -> None:
+    """Stop as a process does whose listening socket is closed ``seconds`` after the others."""
+    host, _, port = peer_node.member.peer_address.rpartition(":")
+    peer_node.kill()
     silent = socket.create_server((host, int(port)))
     asyncio.get_running_loop().call_later(seconds, silent.close)
