--- a/bench/model/_model_node.py
+++ b/bench/model/_model_node.py
@@ -22,7 +22,13 @@
 from marjoramtide.ingress import Calls, Dispatcher, StartUp
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.policy import StartStatements
-from marjoramtide.serving import BackendState, HealthReading, Measurer, ServerLoad, ServingService
+from marjoramtide.serving import (
+    BackendState,
+    HealthChecker,
+    HealthCheckResult,
+    ServerLoad,
+    ServingService,
+)
 from marjoramtide.settings import Place, RouteSettings
 from marjoramtide.telemetry import Metrics, Tracer
 
@@ -55,7 +61,7 @@
         self.serving = ServingService(
             member.service, self.transport, None, self.view, self.clock, self.metrics, tracer
         )
-        self.measurer = Measurer(
+        self.measurer = HealthChecker(
             self.transport,
             self.clock,
             self.metrics,
@@ -63,9 +69,9 @@
             ModelProtocol(),
             self.note_health,
         )
-        self.measurer.next_look_at = self.serving.next_look_at
-        self.serving.measurer = self.measurer
-        self.serving.pace_listener = lambda report: publish(self, report)
+        self.measurer.preferred_check_at = self.serving.preferred_check_at
+        self.serving.health_checker = self.measurer
+        self.serving.load_listener = lambda report: publish(self, report)
         start_up = StartUp(self.clock)
         start_up.begin()
         self.directory.on_change(lambda member: start_up.note_news())
@@ -106,7 +112,7 @@
         if self.statements.statement != before:
             self.serving.note_statement(self.statements.statement, self.statements.since)
 
-    def note_health(self, reading: HealthReading, asked_at: float) -> None:
+    def note_health(self, reading: HealthCheckResult, asked_at: float) -> None:
         if reading.load is not None:
             self.serving.note_load(reading.load)
 
@@ -119,7 +125,7 @@
         """Take no new work for the own server, as once it has said that it leaves."""
         self.is_leaving = True
         self.serving.set_accepting(False)
-        self.serving.hand_back()
+        self.serving.reject_queued()
         self.directory.set_state(MemberState.DRAINING)
 
     async def dispatch(self, request: Request, settings: RouteSettings) -> Answer:
--- a/bench/model/_model_transport.py
+++ b/bench/model/_model_transport.py
@@ -16,13 +16,13 @@
 )
 from marjoramtide.serving import (
     BackendProtocol,
-    BackendReply,
+    BackendResponse,
     BackendState,
     BackendTransport,
-    EndpointAnswer,
-    HealthReading,
-    ReplyReading,
-    ReplyVerdict,
+    EndpointResponse,
+    HealthCheckResult,
+    ResponseMetadata,
+    ResponseVerdict,
     ServerLoad,
 )
 
@@ -57,9 +57,9 @@
         request: Request,
         body: RequestBody,
         remaining_ms: float,
-        begun: Callable[[], None],
+        on_dispatch: Callable[[], None],
     ) -> Answer:
-        begun()
+        on_dispatch()
         sent_at = asyncio.get_running_loop().time()
         await asyncio.sleep(BESIDE_S)
         try:
@@ -77,13 +77,13 @@
         self.note_statement(self.server.statement(), sent_at)
         return Answer(200 if succeeded else 500, ())
 
-    async def read(self, path: str, timeout_s: float) -> EndpointAnswer:
+    async def read(self, path: str, timeout_s: float) -> EndpointResponse:
         await asyncio.sleep(LOOK_S)
         if not self.server.is_up:
             raise NotRunError(ErrorCode.CONNECT_FAILED, "nobody listens", step=STEP)
         load = self.server.load()
         text = f"{load.running},{load.waiting},{load.slots},{load.slowdown}"
-        return EndpointAnswer(200, (), text.encode())
+        return EndpointResponse(200, (), text.encode())
 
     def server_replaced(self) -> None:
         return None
@@ -100,13 +100,13 @@
     def request_headers(self, request: Request, remaining_ms: float, instance: str):  # type: ignore[no-untyped-def]
         return ()
 
-    def belongs(self, request_id: str, reply: BackendReply) -> bool:
+    def belongs(self, request_id: str, reply: BackendResponse) -> bool:
         return True
 
-    def read_reply(self, reply: BackendReply) -> ReplyReading:
-        return ReplyReading(ReplyVerdict.ANSWERED)
+    def read_response(self, reply: BackendResponse) -> ResponseMetadata:
+        return ResponseMetadata(ResponseVerdict.ANSWERED)
 
-    def read_health(self, answer: EndpointAnswer) -> HealthReading:
+    def read_health(self, answer: EndpointResponse) -> HealthCheckResult:
         running, waiting, slots, slowdown = answer.body.split(b",")
         load = ServerLoad(int(running), int(waiting), int(slots), float(slowdown))
-        return HealthReading(BackendState.READY, load=load)
+        return HealthCheckResult(BackendState.READY, load=load)
--- a/bench/quarantine/_play.py
+++ b/bench/quarantine/_play.py
@@ -10,8 +10,8 @@
 from bench.quarantine._news_network import SERVICE, NewsNetwork
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import NotRunError, Request, RequestBody, inline_body
-from marjoramtide.serving._end_watch import EndWatch
-from marjoramtide.serving._run import Run
+from marjoramtide.serving._crash_detector import CrashDetector
+from marjoramtide.serving._in_flight_request import InFlightRequest
 from marjoramtide.settings import RouteSettings
 
 GUILTY = "/guilty"
@@ -70,8 +70,8 @@
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
         self.up = True
-        self.runs: dict[int, tuple[Run, asyncio.Future[bool]]] = {}
-        self.watch = EndWatch()
+        self.runs: dict[int, tuple[InFlightRequest, asyncio.Future[bool]]] = {}
+        self.watch = CrashDetector()
 
 
 class PlayedFleet:
@@ -176,10 +176,10 @@
         node.begin(request, fingerprint)
         self.tickets += 1
         ticket = self.tickets
-        run = Run(fingerprint, str(ticket), request.label, self.loop.time())
+        run = InFlightRequest(fingerprint, str(ticket), request.label, self.loop.time())
         ended: asyncio.Future[bool] = self.loop.create_future()
         server.runs[ticket] = (run, ended)
-        server.watch.began(ticket, run)
+        server.watch.request_started(ticket, run)
         if path == GUILTY:
             timer = self.loop.call_later(self.plan.deadly_s, self.end, number, ticket)
         else:
@@ -195,7 +195,7 @@
     def answer(self, number: int, ticket: int) -> None:
         server = self.servers[number]
         if ticket in server.runs:
-            server.watch.answered(ticket, self.loop.time())
+            server.watch.request_completed(ticket, self.loop.time())
             server.runs.pop(ticket)[1].set_result(True)
 
     def end(self, number: int, by: int | None = None) -> None:
@@ -207,21 +207,21 @@
         self.tally.ends += 1
         self.tally.guilty_ends += by is not None
         for ticket, (_, ended) in server.runs.items():
-            server.watch.unanswered(ticket, broken=True, now=now)
+            server.watch.request_lost(ticket, by_server=True, now=now)
             ended.set_result(False)
         server.runs.clear()
         self.loop.call_later(NOTICED_S / 2, self.noticed, number)
         self.loop.call_later(self.plan.back_s, self.back, number)
 
     def noticed(self, number: int) -> None:
-        suspects = self.servers[number].watch.refused(self.loop.time())
+        suspects = self.servers[number].watch.connection_refused(self.loop.time())
         if suspects:
             self.network.nodes[number].server_ended(suspects)
 
     def back(self, number: int) -> None:
         server = self.servers[number]
         server.up = True
-        server.watch.alive(self.loop.time(), self.loop.time())
+        server.watch.note_response(self.loop.time(), self.loop.time())
 
 
 def play(plan: PlayPlan) -> Tally:
--- a/bench/quarantine/_spread.py
+++ b/bench/quarantine/_spread.py
@@ -6,7 +6,7 @@
 
 from bench.model._virtual_loop import VirtualLoop
 from bench.quarantine._news_network import NewsNetwork
-from marjoramtide.serving import Run
+from marjoramtide.serving import InFlightRequest
 
 GUILTY = 0xBAD
 GIVEN_UP_S = 30.0
@@ -51,8 +51,8 @@
     return Spread(took, network.sent / 2, network.sent_bytes / 2)
 
 
-def make_runs(network: NewsNetwork, running: int) -> list[Run]:
+def make_runs(network: NewsNetwork, running: int) -> list[InFlightRequest]:
     """Return the guilty request amid others, each of which runs once in its life."""
     others = [network.rng.getrandbits(64) for _ in range(running - 1)]
     now = network.loop.time()
-    return [Run(each, f"{each:x}", f"GET /{each:x}", now) for each in (GUILTY, *others)]
+    return [InFlightRequest(each, f"{each:x}", f"GET /{each:x}", now) for each in (GUILTY, *others)]
--- a/bench/witness.py
+++ b/bench/witness.py
@@ -56,8 +56,8 @@
     rng = random.Random(1)
     began = time.process_time()
     for ticket in range(runs):
-        await teller.began(ticket, rng.getrandbits(64))
-        teller.over(ticket)
+        await teller.request_started(ticket, rng.getrandbits(64))
+        teller.request_finished(ticket)
         if not ticket % AT_ONCE:
             await asyncio.sleep(0)
     took = time.process_time() - began
--- a/features/peer_places.py
+++ b/features/peer_places.py
@@ -13,7 +13,7 @@
 from marjoramtide.ingress import PeerEnds
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.peers import PeerClient, PeerServer
-from marjoramtide.serving import Run
+from marjoramtide.serving import InFlightRequest
 from marjoramtide.telemetry import Metrics
 
 KEY = "a key for peer ports on loopback only"
@@ -66,7 +66,7 @@
     member = make_member(name, address, data_centre)
     client = PeerClient(KEY, clock)
 
-    def report(lost: Member, runs: Sequence[Run]) -> None:
+    def report(lost: Member, runs: Sequence[InFlightRequest]) -> None:
         place.blamed += [run.fingerprint for run in runs]
 
     ends = PeerEnds(client, clock, Metrics(), lambda request, body: 0, report)
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -15,7 +15,7 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.platform import platform_interface
 from marjoramtide.platform._backends import PlatformBackend
-from marjoramtide.serving import EndpointAnswer
+from marjoramtide.serving import EndpointResponse
 from marjoramtide.settings import (
     Envelope,
     Freshness,
@@ -163,7 +163,7 @@
 def when_answers(context: Any, headers: str) -> None:
     pairs = () if headers == "nothing" else headers.split(", ")
     fields = [each.partition(":")[::2] for each in pairs]
-    answer = EndpointAnswer(200, tuple((name, value.strip(" ")) for name, value in fields))
+    answer = EndpointResponse(200, tuple((name, value.strip(" ")) for name, value in fields))
     context.reading = PlatformBackend().read_health(answer)
 
 
--- a/features/steps/foreign_writers_steps.py
+++ b/features/steps/foreign_writers_steps.py
@@ -76,7 +76,7 @@
 def then_refused(context: Any, status: int) -> None:
     assert context.status == status, context.status
     registrar = seat(context, 1).node.server.registrar
-    assert registrar is not None and registrar.refused == 1
+    assert registrar is not None and registrar.rejected_count == 1
 
 
 @then("node 1 refuses these heartbeats, and no server is registered")
--- a/features/steps/node_tasks_steps.py
+++ b/features/steps/node_tasks_steps.py
@@ -12,7 +12,7 @@
 from marjoramtide.membership import Member
 from marjoramtide.membership._announcement import ANNOUNCEMENTS, announcement_of
 from marjoramtide.membership._announcer import Announcer
-from marjoramtide.serving import EndpointAnswer, Measurer
+from marjoramtide.serving import EndpointResponse, HealthChecker
 from marjoramtide.settings import RouteSettings
 from marjoramtide.store import StoredObject
 from marjoramtide.telemetry import Metrics
@@ -29,9 +29,9 @@
         self.bodies = bodies
         self.reads = 0
 
-    async def read(self, path: str, timeout_s: float) -> EndpointAnswer:
+    async def read(self, path: str, timeout_s: float) -> EndpointResponse:
         self.reads += 1
-        return EndpointAnswer(200, body=self.bodies[min(self.reads, len(self.bodies)) - 1])
+        return EndpointResponse(200, body=self.bodies[min(self.reads, len(self.bodies)) - 1])
 
 
 async def pass_time(clock: ManualClock, seconds: float, step_s: float = 0.1) -> None:
@@ -46,7 +46,9 @@
     context.health = ScriptedHealth([b"[" * count, b'{"state": "draining"}'])
     context.states = []
     context.clock = ManualClock()
-    context.measurer = Measurer(context.health, context.clock, Metrics(), context.states.append)
+    context.measurer = HealthChecker(
+        context.health, context.clock, Metrics(), context.states.append
+    )
     context.measurer.configure(RouteSettings(service="s"))
 
 
--- a/features/steps/platform_crashes_steps.py
+++ b/features/steps/platform_crashes_steps.py
@@ -139,7 +139,9 @@
         first.server.faults.slow_factor = SLOW
         await set_drained(others, True)
         call = asyncio.create_task(context.fleet.call(first, path))
-        await context.fleet.wait_for(lambda: bool(first.node.serving.ends.watch.open))
+        await context.fleet.wait_for(
+            lambda: bool(first.node.serving.crash_monitor.detector.in_flight)
+        )
         await set_drained(others, False)
         await first.registrant.leave(first.server.instance)
         first.server.end()
--- a/features/steps/platform_machines_steps.py
+++ b/features/steps/platform_machines_steps.py
@@ -100,5 +100,5 @@
 
 @then("node {number:d} notices silence on its connections to its backend server")
 def notices_backend(context: Any, number: int) -> None:
-    connections = list(seat(context, number).node.transport.open)
+    connections = list(seat(context, number).node.transport.connections)
     assert connections and all(notices(each.transport) for each in connections), connections
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -440,7 +440,7 @@
         # A look at the health uses the connection that the bookings use.
         await asyncio.Event().wait()
 
-    first.node.server.measurer.read = unread
+    first.node.server.measurer.check = unread
     run(context, asyncio.sleep(1.5))
 
 
--- a/features/steps/platform_workspaces_steps.py
+++ b/features/steps/platform_workspaces_steps.py
@@ -75,7 +75,7 @@
 @step("the nodes have been up for long")
 def up_for_long(context: Any) -> None:
     for each in context.fleet.seats:
-        each.node.serving.running.began_at -= 3600
+        each.node.serving.running.process_started_at -= 3600
 
 
 def ran(context: Any) -> list[dict[str, str]]:
--- a/features/steps/server_ends_steps.py
+++ b/features/steps/server_ends_steps.py
@@ -8,9 +8,9 @@
 
 from features.steps.platform_node_steps import run, seat
 from marjoramtide.exchange import Fingerprinter, Request, RequestBody, inline_body, stream_body
-from marjoramtide.serving import BackendState, HealthReading, HttpTransport
-from marjoramtide.serving._end_watch import EndWatch
-from marjoramtide.serving._run import Run
+from marjoramtide.serving import BackendState, HealthCheckResult, HttpTransport
+from marjoramtide.serving._crash_detector import CrashDetector
+from marjoramtide.serving._in_flight_request import InFlightRequest
 
 use_step_matcher("parse")
 
@@ -19,49 +19,49 @@
 KEY = "a key for tests on loopback only"
 
 
-def make_run(name: str, now: float) -> Run:
-    return Run(ord(name), f"id-{name}", f"GET /{name}", now)
+def make_run(name: str, now: float) -> InFlightRequest:
+    return InFlightRequest(ord(name), f"id-{name}", f"GET /{name}", now)
 
 
 @given("a backend server that runs {names}")
 def given_watch(context: Any, names: str) -> None:
-    context.watch = EndWatch()
+    context.watch = CrashDetector()
     context.now = 1.0
     context.suspects = []
     for name in names.split(" and "):
-        context.watch.began(ord(name), make_run(name, context.now))
+        context.watch.request_started(ord(name), make_run(name, context.now))
 
 
-def happens(context: Any, event: str) -> list[Run]:
+def happens(context: Any, event: str) -> list[InFlightRequest]:
     """Play one event; return whom it makes a suspect."""
     watch, now = context.watch, context.now
     what, _, name = event.rpartition(" ")
     match what, name:
         case "lost", _:
-            return list(watch.unanswered(ord(name), broken=True, now=now))
+            return list(watch.request_lost(ord(name), by_server=True, now=now))
         case "given up", _:
-            return list(watch.unanswered(ord(name), broken=False, now=now))
+            return list(watch.request_lost(ord(name), by_server=False, now=now))
         case "answered", _:
-            watch.answered(ord(name), now)
+            watch.request_completed(ord(name), now)
         case _, "alive":
-            watch.alive(now, now)
+            watch.note_response(now, now)
         case _, "refused":
-            return list(watch.refused(now))
+            return list(watch.connection_refused(now))
         case _, "unread":
-            watch.unread(now)
-            return list(watch.silent(now))
+            watch.health_check_failed(now)
+            return list(watch.check_silence(now))
         case _, "still":
-            return list(watch.silent(now))
+            return list(watch.check_silence(now))
         case _, "replaced":
-            return list(watch.replaced())
+            return list(watch.server_replaced())
         case _, "leaves":
-            watch.leaves()
+            watch.server_leaving()
         case _, "later":
             context.now += LATER_S
         case _, "silent":
             pass
         case _:
-            watch.began(ord(name), make_run(name, now))
+            watch.request_started(ord(name), make_run(name, now))
     return []
 
 
@@ -125,7 +125,7 @@
         listener = await asyncio.start_server(taken, "127.0.0.1", 0)
         host, port = listener.sockets[0].getsockname()
         context.transport = HttpTransport(f"{host}:{port}", 10)
-        context.transport.on_refused = lambda: note_refusal(context)
+        context.transport.on_connection_refused = lambda: note_refusal(context)
 
     context.runner.run(start())
 
@@ -136,7 +136,7 @@
 
 @when("a node that has lost a lookup looks whether it has ended")
 def looks(context: Any) -> None:
-    context.runner.run(context.transport.look())
+    context.runner.run(context.transport.probe())
 
 
 @then("it knows that nobody listens")
@@ -148,11 +148,11 @@
 @given("the server of node 1 has run a lookup for {seconds:g} s without a word")
 def given_silent(context: Any, seconds: float) -> None:
     node = seat(context, 1).node
-    watch = node.serving.ends.watch
-    node.server.measurer.read_listener = None
+    watch = node.serving.crash_monitor.detector
+    node.server.measurer.result_listener = None
     began = node.clock.monotonic() - seconds
-    watch.heard_at = began - 1
-    watch.began(1, make_run("a", began))
+    watch.last_response_at = began - 1
+    watch.request_started(1, make_run("a", began))
 
 
 @when("a look at it goes unanswered, {when}")
@@ -163,7 +163,7 @@
         node.freeze.thawed_at = now
 
     async def note() -> None:
-        node.server.note_health(HealthReading(BackendState.DOWN, answered=False), now - 1)
+        node.server.note_health(HealthCheckResult(BackendState.DOWN, is_reachable=False), now - 1)
 
     run(context, note())
 
--- a/features/steps/server_starts_steps.py
+++ b/features/steps/server_starts_steps.py
@@ -124,7 +124,7 @@
 
 @then("the server of node {number:d} is registered as born at {born:d}")
 def is_born(context: Any, number: int, born: int) -> None:
-    assert registered(context, number).born == born
+    assert registered(context, number).start_time_ms == born
 
 
 @then("the server of node {number:d} is registered with heartbeat {sequence:d}")
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -17,8 +17,8 @@
 from marjoramtide.serving import (
     BackendState,
     BackendTransport,
-    EndpointAnswer,
-    Measurer,
+    EndpointResponse,
+    HealthChecker,
     ServingService,
 )
 from marjoramtide.settings import NodeSettings, RouteSettings, SettingsView
@@ -37,17 +37,21 @@
         self.begun = asyncio.Event()
 
     async def send(
-        self, request: Request, body: RequestBody, remaining_ms: float, begun: Callable[[], None]
+        self,
+        request: Request,
+        body: RequestBody,
+        remaining_ms: float,
+        on_dispatch: Callable[[], None],
     ) -> Answer:
-        begun()
+        on_dispatch()
         self.begun.set()
         await asyncio.get_running_loop().create_future()
         raise AssertionError("a silent server answered")
 
-    async def read(self, path: str, timeout_s: float) -> EndpointAnswer:
+    async def read(self, path: str, timeout_s: float) -> EndpointResponse:
         if not path:
             raise NotRunError(ErrorCode.CONNECT_FAILED, "no path", step="test")
-        return EndpointAnswer(200, body=b"{}")
+        return EndpointResponse(200, body=b"{}")
 
     def server_replaced(self) -> None:
         pass
@@ -66,18 +70,18 @@
 class RefusedClaims:
     """Refuses every claim, as while the store is down."""
 
-    async def send(self, execution: Any, dispatch: Any) -> Answer:
+    async def dispatch(self, execution: Any, dispatch: Any) -> Answer:
         raise NotRunError(ErrorCode.STORE_UNAVAILABLE, "no claim", step="test")
 
 
-def start_serving(context: Any, claim_gate: Any) -> None:
+def start_serving(context: Any, key_dispatcher: Any) -> None:
     context.runner = context.cleanup.enter_context(asyncio.Runner())
     context.clock = SystemClock()
     context.transport = SilentTransport()
     view = cast(SettingsView, OneRoute())
     tracer = Tracer("n", context.clock, random.Random(1))
     context.serving = ServingService(
-        "s", context.transport, claim_gate, view, context.clock, Metrics(), tracer
+        "s", context.transport, key_dispatcher, view, context.clock, Metrics(), tracer
     )
     context.serving.open(RouteSettings(service="s"))
     context.serving.set_accepting(True)
@@ -137,7 +141,7 @@
 
 @given("its service is no longer in the settings")
 def given_no_service(context: Any) -> None:
-    context.serving.kinds.view = TreeSettingsView(Place("r", "d"), cast(Freshness, None))
+    context.serving.classifier.view = TreeSettingsView(Place("r", "d"), cast(Freshness, None))
 
 
 @then("a booking that reaches it is refused as not run")
@@ -199,14 +203,14 @@
 
 @then("it opens at most {count:d} connections to its backend server")
 def then_limit_of_connections(context: Any, count: int) -> None:
-    assert context.node.transport.limit == count, context.node.transport.limit
+    assert context.node.transport.max_connections == count, context.node.transport.max_connections
 
 
 @when("its health is read with no path in the settings")
 def when_no_path(context: Any) -> None:
-    measurer = Measurer(context.transport, context.clock, Metrics(), lambda state: None)
-    measurer.configure(RouteSettings(service="s", health_path=""))
-    context.state = context.runner.run(measurer.read())
+    checker = HealthChecker(context.transport, context.clock, Metrics(), lambda state: None)
+    checker.configure(RouteSettings(service="s", health_path=""))
+    context.state = context.runner.run(checker.check())
 
 
 @then("the backend server counts as ready")
--- a/features/steps/witness_steps.py
+++ b/features/steps/witness_steps.py
@@ -104,8 +104,8 @@
 
 async def begin_runs(context: Any) -> None:
     for name in "abc":
-        await context.teller.began(ord(name), ord(name))
-    context.teller.over(ord("c"))
+        await context.teller.request_started(ord(name), ord(name))
+    context.teller.request_finished(ord("c"))
     # What is over is told a little later.
     await asyncio.sleep(0.2)
 
@@ -182,7 +182,7 @@
         context.took_s = []
         for number in range(count):
             began = loop.time()
-            await context.teller.began(number, number << 40)
+            await context.teller.request_started(number, number << 40)
             context.took_s.append(loop.time() - began)
 
     context.runner.run(work())
--- a/src/marjoramtide/daemon/_gauges.py
+++ b/src/marjoramtide/daemon/_gauges.py
@@ -27,7 +27,7 @@
         "serving.slowdown": report.slowdown,
         "serving.named_rate": -1.0 if said.rate_per_s is None else said.rate_per_s,
         "serving.leaving": said.leaving,
-        "serving.connections": len(node.transport.open),
+        "serving.connections": len(node.transport.connections),
         "serving.registrations_refused": node.server.refused_registrations,
         "quarantine.held": len(node.quarantine.policy.held(now)),
         "quarantine.suspects": len(node.quarantine.policy),
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -34,8 +34,8 @@
 from marjoramtide.quarantine import make_quarantine
 from marjoramtide.quota import make_quota_service
 from marjoramtide.serving import (
-    ClaimGate,
     HttpTransport,
+    IdempotencyKeyDispatcher,
     ServingService,
 )
 from marjoramtide.settings import NodeSettings, parse_address
@@ -109,7 +109,7 @@
             interface.tree.is_ours,
             self.evacuations_changed,
         )
-        self.claim_gate = ClaimGate(self.claims, self.view, self.clock)
+        self.claim_gate = IdempotencyKeyDispatcher(self.claims, self.view, self.clock)
         self.quarantine = make_quarantine(
             settings.key, self.membership, self.membership.publish, self.clock, rng, self.metrics
         )
@@ -146,7 +146,7 @@
             self.update_state,
             lambda: self.settings_changed(self.view.revision),
         )
-        self.quarantine.held_listener = self.serving.refuse_held
+        self.quarantine.held_listener = self.serving.reject_quarantined
         self.start_up = StartUp(self.clock, self.freeze, is_informed=self.is_informed)
         self.quarantine.spreader.informed_listener = self.start_up.note_news
         self.peer_ends = PeerEnds(
@@ -205,7 +205,7 @@
         )
         self.membership.on_bulletin(self.news.take)
         self.membership.passed_on_to = self.news.passed_on_to
-        self.serving.pace_listener = self.news.tell_load
+        self.serving.load_listener = self.news.tell_load
         self.claims.witnesses = self.news.tell_claim
         self.drained_by_operator = False
         self.app_servers = self.make_app_servers()
@@ -347,7 +347,7 @@
         )
         # A member in an evacuated data centre stays ready: all know the evacuation, and its end
         # brings all these servers back at one moment, without news of each.
-        self.serving.set_accepting(is_able and not self.serving.evacuated)
+        self.serving.set_accepting(is_able and not self.serving.is_evacuated)
         if self.serving_ended:
             state = MemberState.LEAVING
         elif is_able:
@@ -409,7 +409,7 @@
         self.serving_ended = True
         self.update_state()
         if self.has_substitutes():
-            self.serving.hand_back()
+            self.serving.reject_queued()
 
     async def stop(self) -> None:
         """Refuse what is new, finish what is in progress, then leave."""
--- a/src/marjoramtide/daemon/_own_server.py
+++ b/src/marjoramtide/daemon/_own_server.py
@@ -10,13 +10,13 @@
 from marjoramtide.interface import Interface
 from marjoramtide.serving import (
     BackendState,
-    HealthReading,
+    HealthChecker,
+    HealthCheckResult,
     HttpTransport,
-    Measurer,
     Registrar,
     Registration,
-    ReplyReading,
-    ReplyVerdict,
+    ResponseMetadata,
+    ResponseVerdict,
     ServingService,
 )
 from marjoramtide.settings import RouteSettings
@@ -53,13 +53,13 @@
         self.freeze = freeze
         self.changed = changed
         self.resized = resized
-        self.measurer = Measurer(
+        self.measurer = HealthChecker(
             transport, clock, metrics, self.state_changed, interface.backend, self.note_health
         )
-        self.measurer.next_look_at = serving.next_look_at
-        serving.measurer = self.measurer
-        transport.on_reading = self.note_reply
-        transport.on_refused = serving.ends.refused
+        self.measurer.preferred_check_at = serving.preferred_check_at
+        serving.health_checker = self.measurer
+        transport.on_response = self.note_reply
+        transport.on_connection_refused = serving.crash_monitor.connection_refused
         self.registrar: Registrar | None = None
         if interface.registration_app is not None:
             self.registrar = Registrar(
@@ -89,11 +89,11 @@
     @property
     def refused_registrations(self) -> int:
         """Return how many heartbeats and departures could not be read."""
-        return self.registrar.refused if self.registrar is not None else 0
+        return self.registrar.rejected_count if self.registrar is not None else 0
 
     def configure(self, settings: RouteSettings) -> None:
         """Go on by these settings of the server's service."""
-        self.transport.limit = settings.connections
+        self.transport.max_connections = settings.connections
         self.cold_start_s = settings.cold_start_s
         self.measurer.configure(settings)
 
@@ -110,32 +110,34 @@
             return ""
         return self.protocol.read_health(answer).instance
 
-    def note_health(self, reading: HealthReading, asked_at: float) -> None:
+    def note_health(self, reading: HealthCheckResult, asked_at: float) -> None:
         """Take in what the server's health says, or that it says nothing."""
         # Given up because this process stood still, a look says nothing of the server.
-        is_late = not reading.answered and self.freeze.was_frozen(self.clock.monotonic())
+        is_late = not reading.is_reachable and self.freeze.was_frozen(self.clock.monotonic())
         if self._is_of(reading.instance) and not is_late:
-            self.serving.ends.read(answered=reading.answered, asked_at=asked_at)
+            self.serving.crash_monitor.note_health_check(
+                is_reachable=reading.is_reachable, asked_at=asked_at
+            )
         if reading.load is not None:
             self.serving.note_load(reading.load)
             if self.registrar is not None and reading.state is BackendState.READY:
-                self.registrar.found(reading.instance, reading.load.slots)
+                self.registrar.note_discovered(reading.instance, reading.load.slots)
         # After the server was found, since this may be the first word of its start.
-        if reading.cold_left_s is not None and self._is_of(reading.instance):
+        if reading.cold_remaining_s is not None and self._is_of(reading.instance):
             self.cold_is_told = True
-            self.serving.note_cold(reading.cold_left_s)
-        if reading.answered and self._is_of(reading.instance):
+            self.serving.note_cold_start(reading.cold_remaining_s)
+        if reading.is_reachable and self._is_of(reading.instance):
             self.statements.health(reading.statement, reading.malformed, asked_at)
 
     def _is_of(self, instance: str) -> bool:
         return instance in ("", self.transport.instance)
 
-    def note_reply(self, reading: ReplyReading, asked_at: float) -> None:
+    def note_reply(self, reading: ResponseMetadata, asked_at: float) -> None:
         """Take in what the answer to a request says besides, which was sent at ``asked_at``."""
         if reading.load is not None:
             self.serving.note_load(reading.load)
-        if reading.verdict is ReplyVerdict.MISDIRECTED and self.registrar is not None:
-            self.registrar.misdirected(reading.instance)
+        if reading.verdict is ResponseVerdict.MISDIRECTED and self.registrar is not None:
+            self.registrar.note_misdirected(reading.instance)
         elif self._is_of(reading.instance):
             self.statements.answer(reading.statement, reading.malformed, asked_at)
 
@@ -149,7 +151,7 @@
         self.serving.note_statement(said.statement, said.since)
         self.changed()
         if said.leaving:
-            self.serving.hand_back()
+            self.serving.reject_queued()
 
     def registration_changed(self) -> None:
         """Go on by what the server has told of itself."""
@@ -158,18 +160,18 @@
         self.transport.instance = current.instance if current is not None else ""
         if current is not None:
             self._serve(current)
-        elif self.registrar.departed:
-            self.serving.ends.watch.leaves()
+        elif self.registrar.has_departed:
+            self.serving.crash_monitor.detector.server_leaving()
         slots = current.slots if current is not None else None
         if slots != self.slots:
             self.slots = slots
             self.resized()
         self.changed()
         if not self.registrar.is_ready:
-            self.serving.hand_back()
+            self.serving.reject_queued()
 
     def _serve(self, current: Registration) -> None:
-        is_same = self.served is not None and current.is_same_start(self.served)
+        is_same = self.served is not None and current.is_same_incarnation(self.served)
         if self.served is not None and not is_same:
             self.serving.server_replaced()
         if not is_same:
@@ -178,6 +180,6 @@
         self.served = current
         # The health's word is newer than a heartbeat's, but for another start.
         if not (self.cold_is_told and is_same):
-            left_s = current.cold_left_s
+            left_s = current.cold_remaining_s
             # Of a start that has told nothing yet the worst is taken: that it has just begun.
-            self.serving.note_cold(self.cold_start_s if left_s is None else left_s)
+            self.serving.note_cold_start(self.cold_start_s if left_s is None else left_s)
--- a/src/marjoramtide/daemon/_planned_stop.py
+++ b/src/marjoramtide/daemon/_planned_stop.py
@@ -51,7 +51,7 @@
             await node.ingress.drained()
             await node.serving.idle.wait()
             await node.peer_server.drained()
-            await node.claim_gate.finish()
+            await node.claim_gate.drain()
     except TimeoutError:
         log.warning("daemon.stop_cut", code=ErrorCode.DEADLINE, after_s=node.stop_grace_s)
         await answer_the_rest(node)
--- a/src/marjoramtide/ingress/_peer_ends.py
+++ b/src/marjoramtide/ingress/_peer_ends.py
@@ -10,7 +10,7 @@
 from marjoramtide.exchange import Request, RequestBody
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.peers import PeerClient, PeerSign
-from marjoramtide.serving import Run
+from marjoramtide.serving import InFlightRequest
 from marjoramtide.telemetry import Metrics
 
 log = structlog.get_logger()
@@ -25,7 +25,7 @@
 LOOKS_AGAIN_S = (0.05, 0.1, 0.2)
 
 Fingerprint = Callable[[Request, RequestBody], int]
-Report = Callable[[Member, Sequence[Run]], None]
+Report = Callable[[Member, Sequence[InFlightRequest]], None]
 
 
 class PeerEnds:
@@ -52,7 +52,7 @@
         self.metrics = metrics
         self.fingerprint = fingerprint
         self.report = report
-        self.lost: dict[str, list[Run]] = {}
+        self.lost: dict[str, list[InFlightRequest]] = {}
         self.looking: dict[str, asyncio.Task[None]] = {}
         self.later: set[asyncio.Task[None]] = set()
 
@@ -65,13 +65,13 @@
         node neither answers nor refuses, this returns before.
         """
         fingerprint = self.fingerprint(request, body)
-        run = Run(fingerprint, request.request_id, request.label, started)
+        run = InFlightRequest(fingerprint, request.request_id, request.label, started)
         self.note(member, [run])
         task = self.looking.get(member.node)
         if task is not None:
             await asyncio.shield(task)
 
-    def note(self, member: Member, runs: Sequence[Run]) -> None:
+    def note(self, member: Member, runs: Sequence[InFlightRequest]) -> None:
         """Take what ran at a node whose connection broke, and look whether that node has ended."""
         if member.state in (MemberState.LEAVING, MemberState.DEAD):
             return
@@ -90,7 +90,7 @@
             task.add_done_callback(self.later.discard)
         self.conclude(member, runs, sign)
 
-    async def look_again(self, member: Member, runs: Sequence[Run]) -> None:
+    async def look_again(self, member: Member, runs: Sequence[InFlightRequest]) -> None:
         """Look at a node until it answers or refuses, for some tenths of a second."""
         for pause_s in LOOKS_AGAIN_S:
             await self.clock.sleep(pause_s)
@@ -99,7 +99,7 @@
                 self.conclude(member, runs, sign)
                 return
 
-    def conclude(self, member: Member, runs: Sequence[Run], sign: PeerSign) -> None:
+    def conclude(self, member: Member, runs: Sequence[InFlightRequest], sign: PeerSign) -> None:
         """Report what was lost with a node, where that has ended."""
         if sign is not PeerSign.GONE:
             return
@@ -110,6 +110,6 @@
             step="ingress.ends",
             peer=member.node,
             service=member.service,
-            runs=[run.told(self.clock.monotonic()) for run in runs],
+            runs=[run.log_fields(self.clock.monotonic()) for run in runs],
         )
         self.report(member, runs)
--- a/src/marjoramtide/interface/_interface.py
+++ b/src/marjoramtide/interface/_interface.py
@@ -6,7 +6,7 @@
 from aiohttp import web
 
 from marjoramtide.ingress import CallerProtocol
-from marjoramtide.serving import BackendProtocol, Registrar, RunTokens
+from marjoramtide.serving import BackendProtocol, Registrar, RequestTokens
 from marjoramtide.settings.sync import TreeSource
 from marjoramtide.store import StoreProtocol
 
@@ -35,4 +35,4 @@
     stop_linger_s: float = 0.0
     takes_keys: bool = True
     evacuations: str = "evacuations/"
-    runs: RunTokens | None = None
+    runs: RequestTokens | None = None
--- a/src/marjoramtide/interface/_own.py
+++ b/src/marjoramtide/interface/_own.py
@@ -3,14 +3,18 @@
 from marjoramtide.clock import SystemClock
 from marjoramtide.ingress import OwnCallers
 from marjoramtide.interface._interface import Interface
-from marjoramtide.serving import OwnBackend, RunTokens
+from marjoramtide.serving import DefaultBackendProtocol, RequestTokens
 from marjoramtide.settings.sync import OwnTreeSource
 from marjoramtide.store import OwnStoreProtocol
 
 
 def own_interface() -> Interface:
     """Return the project's own protocols for all parties."""
-    tokens = RunTokens(SystemClock())
+    tokens = RequestTokens(SystemClock())
     return Interface(
-        OwnStoreProtocol(), OwnTreeSource(), OwnCallers(), OwnBackend(tokens), runs=tokens
+        OwnStoreProtocol(),
+        OwnTreeSource(),
+        OwnCallers(),
+        DefaultBackendProtocol(tokens),
+        runs=tokens,
     )
--- a/src/marjoramtide/platform/_apps.py
+++ b/src/marjoramtide/platform/_apps.py
@@ -38,7 +38,7 @@
             heard = read_registration(instance, read_json(await http.read()))
             await registrar.register(heard)
         except MalformedError as error:
-            registrar.refuse(instance, str(error))
+            registrar.reject_malformed(instance, str(error))
             return refused(400, f"not a heartbeat: {error}")
         except MarjoramtideError as error:
             return refused(400 if error.code is ErrorCode.BAD_REQUEST else 503, error.message)
@@ -49,9 +49,9 @@
         try:
             body = await http.read()
             born = read_departure(read_json(body)) if body else None
-            registrar.depart(read_identity(instance), born)
+            registrar.deregister(read_identity(instance), born)
         except MalformedError as error:
-            registrar.refuse(instance, str(error))
+            registrar.reject_malformed(instance, str(error))
             return refused(400, f"not a departure: {error}")
         return web.json_response({})
 
--- a/src/marjoramtide/platform/_backends.py
+++ b/src/marjoramtide/platform/_backends.py
@@ -19,14 +19,14 @@
 )
 from marjoramtide.serving import (
     BackendProtocol,
-    BackendReply,
+    BackendResponse,
     BackendState,
-    EndpointAnswer,
-    HealthReading,
-    ReplyReading,
-    ReplyVerdict,
+    EndpointResponse,
+    HealthCheckResult,
+    ResponseMetadata,
+    ResponseVerdict,
     ServerLoad,
-    StatementReader,
+    StatementParser,
 )
 
 MISDIRECTED = 421
@@ -40,7 +40,7 @@
 # No caller's deadline is as long as a day, and no server is cold for one.
 MOST_RETRY_AFTER_S = 86_400.0
 MOST_COLD_MS = 86_400_000.0
-STATEMENTS = StatementReader(SERVER_RATE, SERVER_LEAVING)
+STATEMENTS = StatementParser(SERVER_RATE, SERVER_LEAVING)
 
 
 class PlatformBackend(BackendProtocol):
@@ -59,26 +59,28 @@
         if request.workspace and not request.is_call:
             yield WORKSPACE, request.workspace
 
-    def belongs(self, request_id: str, reply: BackendReply) -> bool:
+    def belongs(self, request_id: str, reply: BackendResponse) -> bool:
         echoed = reply.header(REQUEST_ID.lower())
         return not echoed or not request_id or echoed == request_id
 
-    def read_reply(self, reply: BackendReply) -> ReplyReading:
+    def read_response(self, reply: BackendResponse) -> ResponseMetadata:
         leaving = "close" in reply.header("connection").lower()
         load = read_load(reply.header(LOAD.lower()))
         instance = reply.header(INSTANCE.lower())
         retry_after_ms = read_retry_after(reply.header(RETRY_AFTER.lower()))
-        verdict = ReplyVerdict.ANSWERED
+        verdict = ResponseVerdict.ANSWERED
         if reply.status == MISDIRECTED:
-            verdict = ReplyVerdict.MISDIRECTED
+            verdict = ResponseVerdict.MISDIRECTED
         elif reply.header(NOT_RUN.lower()):
-            verdict = ReplyVerdict.REFUSED
+            verdict = ResponseVerdict.REFUSED
         elif reply.status < 300 and not reply.header(SEAL.lower()):
-            verdict = ReplyVerdict.SPOILED
+            verdict = ResponseVerdict.INVALID
         statement, malformed = read_statement(reply)
-        return ReplyReading(verdict, leaving, retry_after_ms, load, instance, statement, malformed)
+        return ResponseMetadata(
+            verdict, leaving, retry_after_ms, load, instance, statement, malformed
+        )
 
-    def read_health(self, answer: EndpointAnswer) -> HealthReading:
+    def read_health(self, answer: EndpointResponse) -> HealthCheckResult:
         state = BackendState.READY if answer.status == HEALTHY else BackendState.DOWN
         if answer.status == 503:
             state = BackendState.DRAINING
@@ -86,21 +88,21 @@
         cold_left_s = read_cold(answer.header(COLD.lower()))
         instance = answer.header(INSTANCE.lower())
         statement, malformed = read_statement(answer)
-        return HealthReading(
+        return HealthCheckResult(
             state,
             instance,
             load,
-            cold_left_s=cold_left_s,
+            cold_remaining_s=cold_left_s,
             statement=statement,
             malformed=malformed,
         )
 
 
 def read_statement(
-    answer: BackendReply | EndpointAnswer,
+    answer: BackendResponse | EndpointResponse,
 ) -> tuple[ServerStatement, tuple[str, ...]]:
     """Read what a server says that it takes, and what of it can't be read."""
-    return STATEMENTS.read(
+    return STATEMENTS.parse(
         answer.header_values(SERVER_RATE.lower()),
         answer.header_values(SERVER_LEAVING.lower()),
     )
--- a/src/marjoramtide/platform/_heartbeat.py
+++ b/src/marjoramtide/platform/_heartbeat.py
@@ -93,10 +93,10 @@
         data_centre=heard.info.data_centre,
         software=heard.info.software,
         slots=heard.info.slots,
-        draining=heard.status.state is ServerState.DRAINING,
+        is_draining=heard.status.state is ServerState.DRAINING,
         sequence=heard.status.sequence,
-        cold_left_s=heard.status.cold_left_ms / 1000,
-        born=heard.born,
+        cold_remaining_s=heard.status.cold_left_ms / 1000,
+        start_time_ms=heard.born,
     )
 
 
--- a/src/marjoramtide/quarantine/_quarantine_service.py
+++ b/src/marjoramtide/quarantine/_quarantine_service.py
@@ -23,7 +23,7 @@
 )
 from marjoramtide.quarantine._news_codec import unpack_news
 from marjoramtide.quarantine._news_spreader import NewsSpreader, Publish
-from marjoramtide.serving import Run, RunGuard
+from marjoramtide.serving import InFlightRequest, RequestGuard
 from marjoramtide.settings import RouteSettings
 from marjoramtide.telemetry import Metrics
 
@@ -32,7 +32,7 @@
 STEP = "quarantine"
 
 
-class QuarantineService(RunGuard):
+class QuarantineService(RequestGuard):
     """Refuses requests that end backend servers, at all nodes of a service alike.
 
     The node beside a server knows what ran there when it ended, and tells the other nodes of its
@@ -106,7 +106,7 @@
         if self.policy.find(fingerprint) is not None:
             self.clear(fingerprint, "completed")
 
-    def server_ended(self, suspects: Sequence[Run]) -> None:
+    def server_ended(self, suspects: Sequence[InFlightRequest]) -> None:
         """Suspect what ran there, but for what the server has completed before."""
         now = self.clock.monotonic()
         self._count_servers()
@@ -122,7 +122,7 @@
         self.end = self.rng.getrandbits(64)
         self.has_ended = False
 
-    def _blame(self, run: Run, end: int, now: float) -> Suspect:
+    def _blame(self, run: InFlightRequest, end: int, now: float) -> Suspect:
         return self._take(blamed_for(run, end, now), now, run.label)
 
     def _refuse(self, request: Request, suspect: Suspect, wait_s: float) -> None:
@@ -138,7 +138,7 @@
 
     # What nodes find out and tell each other
 
-    def node_ended(self, member: Member, suspects: Sequence[Run]) -> None:
+    def node_ended(self, member: Member, suspects: Sequence[InFlightRequest]) -> None:
         """Suspect what was lost with a node that has ended; those of its service are told.
 
         Its runs are known to the nodes that had sent them there, and to its witness. Each tells its
@@ -244,9 +244,9 @@
             )
 
 
-def blamed_for(run: Run, end: int, now: float) -> Suspicion:
+def blamed_for(run: InFlightRequest, end: int, now: float) -> Suspicion:
     """Return the suspicion that a server has ended just now by one of its runs."""
-    return Suspicion(run.fingerprint, (ServerEnd(end, ran_s=now - run.started),))
+    return Suspicion(run.fingerprint, (ServerEnd(end, ran_s=now - run.started_at),))
 
 
 def describe(suspect: Suspect) -> dict[str, Any]:
--- a/src/marjoramtide/serving/_backend_connection.py
+++ b/src/marjoramtide/serving/_backend_connection.py
@@ -6,7 +6,7 @@
 
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import RequestBody
-from marjoramtide.serving._backend_reply import BackendReply
+from marjoramtide.serving._backend_response import BackendResponse
 from marjoramtide.sockets import notice_silence
 
 
@@ -22,7 +22,7 @@
         self.peer = peer
         self.lost = lost
         self.transport: asyncio.Transport | None = None
-        self.reply: BackendReply | None = None
+        self.reply: BackendResponse | None = None
         self.sender: asyncio.Task[None] | None = None
         self.writable = asyncio.Event()
         self.writable.set()
@@ -63,11 +63,11 @@
         body: RequestBody,
         *,
         head_only: bool = False,
-        belongs: Callable[[BackendReply], bool] | None = None,
-    ) -> BackendReply:
+        belongs: Callable[[BackendResponse], bool] | None = None,
+    ) -> BackendResponse:
         """Send a request and return its reply to be."""
         assert self.transport is not None
-        self.reply = reply = BackendReply(
+        self.reply = reply = BackendResponse(
             self.transport, self.peer, head_only=head_only, belongs=belongs
         )
         if body.inline is not None:
@@ -77,7 +77,7 @@
             self.sender = asyncio.create_task(self.send_body(body, reply))
         return reply
 
-    async def send_body(self, body: RequestBody, reply: BackendReply) -> None:
+    async def send_body(self, body: RequestBody, reply: BackendResponse) -> None:
         """Send a streamed body as its head announced it; anything else ends the connection."""
         try:
             sent = 0
--- a/src/marjoramtide/serving/_backend_protocol.py
+++ b/src/marjoramtide/serving/_backend_protocol.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterable
 
 from marjoramtide.exchange import Request
-from marjoramtide.serving._backend_reply import BackendReply
-from marjoramtide.serving._endpoint_answer import EndpointAnswer
-from marjoramtide.serving._health_reading import HealthReading
-from marjoramtide.serving._reply_reading import ReplyReading
+from marjoramtide.serving._backend_response import BackendResponse
+from marjoramtide.serving._endpoint_response import EndpointResponse
+from marjoramtide.serving._health_check_result import HealthCheckResult
+from marjoramtide.serving._response_metadata import ResponseMetadata
 
 
 class BackendProtocol(ABC):
@@ -23,13 +23,13 @@
         """Return the headers that this node adds; ``instance`` is whom the request is for."""
 
     @abstractmethod
-    def belongs(self, request_id: str, reply: BackendReply) -> bool:
+    def belongs(self, request_id: str, reply: BackendResponse) -> bool:
         """Tell whether an answer, whose head is there, is the one to this request."""
 
     @abstractmethod
-    def read_reply(self, reply: BackendReply) -> ReplyReading:
+    def read_response(self, reply: BackendResponse) -> ResponseMetadata:
         """Read the head of an answer to a request."""
 
     @abstractmethod
-    def read_health(self, answer: EndpointAnswer) -> HealthReading:
+    def read_health(self, answer: EndpointResponse) -> HealthCheckResult:
         """Read the answer of the health endpoint."""
--- a/src/marjoramtide/serving/_backend_reply.py
+++ b/src/marjoramtide/serving/_backend_response.py
@@ -15,7 +15,7 @@
 IDLE_TIMEOUT = re.compile(r"\btimeout=([0-9]{1,6})\b", re.IGNORECASE)
 
 
-class BackendReply:
+class BackendResponse:
     """Parses the answer to one request, strictly, and holds a bounded part of its body.
 
     The parser is llhttp without leniencies: two lengths, a length beside a transfer coding, bare
@@ -34,7 +34,7 @@
         peer: str,
         *,
         head_only: bool,
-        belongs: "Callable[[BackendReply], bool] | None" = None,
+        belongs: "Callable[[BackendResponse], bool] | None" = None,
     ) -> None:
         self.belongs = belongs
         self.is_stray = False
--- a/src/marjoramtide/serving/_backend_transport.py
+++ b/src/marjoramtide/serving/_backend_transport.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from marjoramtide.exchange import Answer, Request, RequestBody
-from marjoramtide.serving._endpoint_answer import EndpointAnswer
+from marjoramtide.serving._endpoint_response import EndpointResponse
 
 
 class BackendTransport(ABC):
@@ -16,7 +16,7 @@
         request: Request,
         body: RequestBody,
         remaining_ms: float,
-        begun: Callable[[], None],
+        on_dispatch: Callable[[], None],
     ) -> Answer:
         """Send the request and return its answer.
 
@@ -27,13 +27,13 @@
         """
 
     @abstractmethod
-    async def read(self, path: str, timeout_s: float) -> EndpointAnswer:
+    async def read(self, path: str, timeout_s: float) -> EndpointResponse:
         """Read one of the backend server's own endpoints.
 
         Raises ``NotRunError``, ``UnknownOutcomeError`` or ``TimeoutError`` where it can't.
         """
 
-    async def look(self) -> None:
+    async def probe(self) -> None:
         """Find out soon whether anybody listens at the server's address, and tell if nobody does.
 
         Does nothing where that can't be found out without a request.
--- a/src/marjoramtide/serving/_end_watch.py
+++ b/src/marjoramtide/serving/_crash_detector.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from marjoramtide.serving._run import LostRun, Run
+from marjoramtide.serving._in_flight_request import InFlightRequest, LostRequest
 
 # Lost runs of which it isn't known yet whether their server has ended. More than a server runs at
 # once; a health endpoint that answers empties the list many times a second.
@@ -16,7 +16,7 @@
 SILENT_S = 2.0
 
 
-class EndWatch:
+class CrashDetector:
     """Follows the runs of one backend server, and tells whom its end may be put down to.
 
     A lost connection says little: a sound server may reset it, and so may the way there. A server
@@ -27,104 +27,104 @@
 
     Times are in seconds of the monotonic clock. For example::
 
-        watch.began(7, run)
-        watch.unanswered(7, broken=True, now=12.0)
-        suspects = watch.refused(12.1)
+        detector.request_started(7, run)
+        detector.request_lost(7, by_server=True, now=12.0)
+        suspects = detector.connection_refused(12.1)
     """
 
     def __init__(self) -> None:
-        self.open: dict[int, Run] = {}
-        self.lost: deque[LostRun] = deque(maxlen=MAX_LOST)
-        self.gone_at: float | None = None
-        self.heard_at = float("-inf")
-        self.unread_at = float("-inf")
-        self.leaving = False
-
-    def began(self, ticket: int, run: Run) -> None:
+        self.in_flight: dict[int, InFlightRequest] = {}
+        self.lost: deque[LostRequest] = deque(maxlen=MAX_LOST)
+        self.unreachable_since: float | None = None
+        self.last_response_at = float("-inf")
+        self.last_failed_check_at = float("-inf")
+        self.is_leaving = False
+
+    def request_started(self, ticket: int, run: InFlightRequest) -> None:
         """Note that a byte of a request may have reached the backend server."""
-        self.open[ticket] = run
+        self.in_flight[ticket] = run
 
-    def answered(self, ticket: int, now: float) -> None:
+    def request_completed(self, ticket: int, now: float) -> None:
         """Note a whole answer, which is a sign of life as well."""
-        run = self.open.pop(ticket, None)
+        run = self.in_flight.pop(ticket, None)
         if run is not None:
-            self.alive(run.started, now)
+            self.note_response(run.started_at, now)
 
-    def unanswered(self, ticket: int, *, broken: bool, now: float) -> list[Run]:
+    def request_lost(self, ticket: int, *, by_server: bool, now: float) -> list[InFlightRequest]:
         """Note the end of a run without an answer; return it where its server is known to be gone.
 
         The connections to a server that ends break one after another, and the first of the requests
         that follow may find that nobody listens before the last of them has.
         """
-        run = self.open.pop(ticket, None)
+        run = self.in_flight.pop(ticket, None)
         if run is None:
             return []
-        self.lost.append(LostRun(run, now, broken))
-        return self._take_lost() if broken and self.gone_at is not None else []
+        self.lost.append(LostRequest(run, now, by_server))
+        return self._pop_lost() if by_server and self.unreachable_since is not None else []
 
-    def alive(self, asked_at: float, now: float) -> None:
+    def note_response(self, asked_at: float, now: float) -> None:
         """Note that the backend server has answered now what it was asked at ``asked_at``."""
-        self.heard_at = now
-        if self.gone_at is not None and asked_at > self.gone_at:
-            self.gone_at = None
+        self.last_response_at = now
+        if self.unreachable_since is not None and asked_at > self.unreachable_since:
+            self.unreachable_since = None
         kept = [
             lost
             for lost in self.lost
-            if asked_at <= lost.lost_at + (0.0 if lost.broken else WORKS_ON_S)
+            if asked_at <= lost.lost_at + (0.0 if lost.by_server else WORKS_ON_S)
         ]
         if len(kept) < len(self.lost):
             self.lost = deque(kept, maxlen=MAX_LOST)
 
-    def refused(self, now: float) -> list[Run]:
+    def connection_refused(self, now: float) -> list[InFlightRequest]:
         """Note that nobody listens at the server's address; return the runs that it has lost."""
-        if self.gone_at is None:
-            self.gone_at = now
-        return self._take_lost()
+        if self.unreachable_since is None:
+            self.unreachable_since = now
+        return self._pop_lost()
 
-    def unread(self, now: float) -> None:
+    def health_check_failed(self, now: float) -> None:
         """Note that the server's endpoint has not answered in time."""
-        self.unread_at = now
+        self.last_failed_check_at = now
 
-    def silent_at(self) -> float | None:
+    def silence_deadline(self) -> float | None:
         """Return when a server whose endpoint does not answer has been silent for long enough.
 
         ``None`` where it runs nothing, or has been heard of since.
         """
-        begun = [run.started for run in self.open.values()]
-        begun += [lost.run.started for lost in self.lost]
-        if not begun or self.unread_at <= self.heard_at:
+        begun = [run.started_at for run in self.in_flight.values()]
+        begun += [lost.run.started_at for lost in self.lost]
+        if not begun or self.last_failed_check_at <= self.last_response_at:
             return None
-        return max(self.heard_at, min(begun)) + SILENT_S
+        return max(self.last_response_at, min(begun)) + SILENT_S
 
-    def silent(self, now: float) -> list[Run]:
+    def check_silence(self, now: float) -> list[InFlightRequest]:
         """Return what the server runs, or has lost, where it is silent.
 
         Failure: a request freezes the server that runs it. Nobody tells of an end, and the request
         goes on to the next server: eight were silent after 16 s.
         """
-        silent_at = self.silent_at()
-        return self._take_all() if silent_at is not None and now >= silent_at else []
+        deadline = self.silence_deadline()
+        return self._pop_all() if deadline is not None and now >= deadline else []
 
-    def replaced(self) -> list[Run]:
+    def server_replaced(self) -> list[InFlightRequest]:
         """Note that another start has taken the server's place; return what the former one ran.
 
         That may be long after its end, where its connections have fallen silent.
         """
-        suspects = self._take_all()
-        self.gone_at = None
-        self.leaving = False
+        suspects = self._pop_all()
+        self.unreachable_since = None
+        self.is_leaving = False
         return suspects
 
-    def leaves(self) -> None:
+    def server_leaving(self) -> None:
         """Note that this start has said that it leaves, so that its end is nobody's doing."""
-        self.leaving = True
+        self.is_leaving = True
 
-    def _take_all(self) -> list[Run]:
-        self.lost.extend(LostRun(run, 0.0, True) for run in self.open.values())
-        self.open.clear()
-        return self._take_lost()
+    def _pop_all(self) -> list[InFlightRequest]:
+        self.lost.extend(LostRequest(run, 0.0, True) for run in self.in_flight.values())
+        self.in_flight.clear()
+        return self._pop_lost()
 
-    def _take_lost(self) -> list[Run]:
-        suspects = [] if self.leaving else [lost.run for lost in self.lost]
+    def _pop_lost(self) -> list[InFlightRequest]:
+        suspects = [] if self.is_leaving else [lost.run for lost in self.lost]
         self.lost.clear()
         return suspects
--- a/src/marjoramtide/serving/_server_ends.py
+++ b/src/marjoramtide/serving/_crash_monitor.py
@@ -5,82 +5,82 @@
 import structlog
 
 from marjoramtide.clock import Clock
-from marjoramtide.serving._end_watch import EndWatch
+from marjoramtide.serving._crash_detector import CrashDetector
 from marjoramtide.serving._execution import Execution
-from marjoramtide.serving._run import Run
-from marjoramtide.serving._run_guard import RunGuard
+from marjoramtide.serving._in_flight_request import InFlightRequest
+from marjoramtide.serving._request_guard import RequestGuard
 from marjoramtide.telemetry import Metrics
 
 log = structlog.get_logger()
 
 # Suspects that the log names one by one at the end of a backend server; the rest are counted.
-NAMED_SUSPECTS = 24
+MAX_LOGGED_SUSPECTS = 24
 
 
-class ServerEnds:
+class CrashMonitor:
     """Follows the runs of the backend server, and tells the log and the guard of its ends."""
 
-    def __init__(self, service: str, guard: RunGuard, clock: Clock, metrics: Metrics) -> None:
+    def __init__(self, service: str, guard: RequestGuard, clock: Clock, metrics: Metrics) -> None:
         self.service = service
         self.guard = guard
         self.clock = clock
         self.metrics = metrics
-        self.watch = EndWatch()
+        self.detector = CrashDetector()
         self.timer: asyncio.TimerHandle | None = None
 
-    def began(self, execution: Execution) -> None:
+    def request_started(self, execution: Execution) -> None:
         """Note that from here on the backend server may have begun a request."""
         request = execution.request
         now = self.clock.monotonic()
-        run = Run(execution.fingerprint, request.request_id, request.label, now)
-        self.watch.began(execution.ticket, run)
+        run = InFlightRequest(execution.fingerprint, request.request_id, request.label, now)
+        self.detector.request_started(execution.ticket, run)
 
-    def run_ended(self, execution: Execution, *, cancelled: bool) -> None:
+    def request_ended(self, execution: Execution, *, cancelled: bool) -> None:
         """Note how a run ended; more than once for the same one does nothing."""
-        if execution.answered:
-            self.watch.answered(execution.ticket, self.clock.monotonic())
+        if execution.is_answered:
+            self.detector.request_completed(execution.ticket, self.clock.monotonic())
             return
         now = self.clock.monotonic()
-        broken = not cancelled and now < execution.deadline
-        lost = self.watch.unanswered(execution.ticket, broken=broken, now=now)
-        self._put_down(lost, "refused")
-        self._look_for_silence()
+        by_server = not cancelled and now < execution.deadline
+        lost = self.detector.request_lost(execution.ticket, by_server=by_server, now=now)
+        self._report_crash(lost, "refused")
+        self._check_silence()
 
-    def refused(self) -> None:
+    def connection_refused(self) -> None:
         """Note that nobody listens at the backend server's address."""
-        self._put_down(self.watch.refused(self.clock.monotonic()), "refused")
+        self._report_crash(self.detector.connection_refused(self.clock.monotonic()), "refused")
 
-    def read(self, *, answered: bool, asked_at: float) -> None:
+    def note_health_check(self, *, is_reachable: bool, asked_at: float) -> None:
         """Note whether the backend server's endpoint answered what it was asked at ``asked_at``."""
         now = self.clock.monotonic()
-        if answered:
-            self.watch.alive(asked_at, now)
+        if is_reachable:
+            self.detector.note_response(asked_at, now)
         else:
-            self.watch.unread(now)
-            self._look_for_silence()
+            self.detector.health_check_failed(now)
+            self._check_silence()
 
-    def replaced(self) -> None:
+    def server_replaced(self) -> None:
         """Note that another start has taken the backend server's place."""
-        self._put_down(self.watch.replaced(), "replaced")
+        self._report_crash(self.detector.server_replaced(), "replaced")
         self.guard.server_replaced()
 
-    def _look_for_silence(self) -> None:
+    def _check_silence(self) -> None:
         """Put down what the backend server runs where it is silent, or look again when it is."""
         now = self.clock.monotonic()
-        self._put_down(self.watch.silent(now), "silent")
+        self._report_crash(self.detector.check_silence(now), "silent")
         if self.timer is not None:
             self.timer.cancel()
-        silent_at = self.watch.silent_at()
-        if silent_at is not None:
+        deadline = self.detector.silence_deadline()
+        if deadline is not None:
             loop = asyncio.get_running_loop()
-            self.timer = loop.call_later(silent_at - now, self._look_for_silence)
+            self.timer = loop.call_later(deadline - now, self._check_silence)
 
     def close(self) -> None:
         """Look no more."""
         if self.timer is not None:
             self.timer.cancel()
 
-    def _put_down(self, suspects: list[Run], sign: str) -> None:
+    def _report_crash(self, suspects: list[InFlightRequest], sign: str) -> None:
         if not suspects:
             return
         now = self.clock.monotonic()
@@ -91,6 +91,6 @@
             sign=sign,
             service=self.service,
             suspects=len(suspects),
-            runs=[run.told(now) for run in suspects[:NAMED_SUSPECTS]],
+            runs=[run.log_fields(now) for run in suspects[:MAX_LOGGED_SUSPECTS]],
         )
         self.guard.server_ended(suspects)
--- a/src/marjoramtide/serving/_own_backend.py
+++ b/src/marjoramtide/serving/_default_backend_protocol.py
@@ -5,21 +5,21 @@
 
 from marjoramtide.exchange import OWN_ANSWER, Outcome, Request, ServerStatement
 from marjoramtide.serving._backend_protocol import BackendProtocol
-from marjoramtide.serving._backend_reply import BackendReply
+from marjoramtide.serving._backend_response import BackendResponse
 from marjoramtide.serving._backend_state import BackendState
-from marjoramtide.serving._endpoint_answer import EndpointAnswer
-from marjoramtide.serving._health_reading import HealthReading
-from marjoramtide.serving._reply_reading import ReplyReading, ReplyVerdict
-from marjoramtide.serving._run_tokens import RunTokens
-from marjoramtide.serving._statement_reader import StatementReader
+from marjoramtide.serving._endpoint_response import EndpointResponse
+from marjoramtide.serving._health_check_result import HealthCheckResult
+from marjoramtide.serving._request_tokens import RequestTokens
+from marjoramtide.serving._response_metadata import ResponseMetadata, ResponseVerdict
+from marjoramtide.serving._statement_parser import StatementParser
 
 MAX_DIGITS = 7
 RATE_LIMIT = "backend-rate-limit"
 LEAVING = "backend-leaving"
-STATEMENTS = StatementReader(RATE_LIMIT, LEAVING)
+STATEMENTS = StatementParser(RATE_LIMIT, LEAVING)
 
 
-class OwnBackend(BackendProtocol):
+class DefaultBackendProtocol(BackendProtocol):
     """``Request-Outcome: not-run`` for refusals, and a JSON health endpoint.
 
     In any answer, of its health too, a server may name ``Backend-Rate-Limit``, the requests a
@@ -32,7 +32,7 @@
 
     own_answer_headers = OWN_ANSWER | {RATE_LIMIT, LEAVING}
 
-    def __init__(self, tokens: RunTokens | None = None) -> None:
+    def __init__(self, tokens: RequestTokens | None = None) -> None:
         """Without ``tokens`` requests come without ``Marjoramtide-Run``."""
         self.tokens = tokens
 
@@ -47,33 +47,35 @@
             if self.tokens is not None:
                 yield "Marjoramtide-Run", self.tokens.issue(request)
 
-    def belongs(self, request_id: str, reply: BackendReply) -> bool:
+    def belongs(self, request_id: str, reply: BackendResponse) -> bool:
         return True
 
-    def read_reply(self, reply: BackendReply) -> ReplyReading:
+    def read_response(self, reply: BackendResponse) -> ResponseMetadata:
         statement, malformed = read_statement(reply)
         if reply.header("request-outcome") != Outcome.NOT_RUN:
-            return ReplyReading(ReplyVerdict.ANSWERED, statement=statement, malformed=malformed)
+            return ResponseMetadata(
+                ResponseVerdict.ANSWERED, statement=statement, malformed=malformed
+            )
         leaving = reply.header("connection").lower() == "close"
-        return ReplyReading(
-            ReplyVerdict.REFUSED,
+        return ResponseMetadata(
+            ResponseVerdict.REFUSED,
             leaving,
             come_back_ms(reply),
             statement=statement,
             malformed=malformed,
         )
 
-    def read_health(self, answer: EndpointAnswer) -> HealthReading:
+    def read_health(self, answer: EndpointResponse) -> HealthCheckResult:
         statement, malformed = read_statement(answer)
         state = parse_state(answer.status, answer.body)
-        return HealthReading(state, statement=statement, malformed=malformed)
+        return HealthCheckResult(state, statement=statement, malformed=malformed)
 
 
 def read_statement(
-    answer: BackendReply | EndpointAnswer,
+    answer: BackendResponse | EndpointResponse,
 ) -> tuple[ServerStatement, tuple[str, ...]]:
     """Read what a server says that it takes, and what of it can't be read."""
-    return STATEMENTS.read(answer.header_values(RATE_LIMIT), answer.header_values(LEAVING))
+    return STATEMENTS.parse(answer.header_values(RATE_LIMIT), answer.header_values(LEAVING))
 
 
 def parse_state(status: int, body: bytes) -> BackendState:
@@ -87,7 +89,7 @@
     return BackendState.READY if status < 400 else BackendState.DOWN
 
 
-def come_back_ms(reply: BackendReply) -> int | None:
+def come_back_ms(reply: BackendResponse) -> int | None:
     """Return when the backend server wants a refused request back, in milliseconds, if it says so.
 
     What is no small whole number counts as not said: digits of other scripts, or thousands of them,
--- a/src/marjoramtide/serving/_endpoint_answer.py
+++ b/src/marjoramtide/serving/_endpoint_response.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen(slots=True)
-class EndpointAnswer:
+class EndpointResponse:
     """Status, headers in their order, and body."""
 
     status: int
--- a/src/marjoramtide/serving/_execution.py
+++ b/src/marjoramtide/serving/_execution.py
@@ -24,17 +24,17 @@
     ticket: int
     request: Request
     body: RequestBody
-    arrived: float
+    arrived_at: float
     deadline: float
-    started: float = 0.0
-    dispatched: bool = False
-    begun: bool = False
-    answered: bool = False
+    started_at: float = 0.0
+    is_dispatched: bool = False
+    may_have_run: bool = False
+    is_answered: bool = False
     fingerprint: int = 0
 
-    def begin(self) -> None:
+    def mark_sent(self) -> None:
         """Note that from here on nobody can say that the request did not run."""
-        self.begun = True
+        self.may_have_run = True
 
 
 def make_execution(
--- a/src/marjoramtide/serving/_health_reading.py
+++ b/src/marjoramtide/serving/_health_check_result.py
@@ -4,12 +4,12 @@
 
 from marjoramtide.exchange import ServerStatement
 from marjoramtide.serving._backend_state import BackendState
-from marjoramtide.serving._reply_reading import NOTHING_STATED
+from marjoramtide.serving._response_metadata import NOTHING_STATED
 from marjoramtide.serving._server_load import ServerLoad
 
 
 @attrs.frozen(slots=True)
-class HealthReading:
+class HealthCheckResult:
     """Its state, the identity it states (or empty), and its load where it tells it.
 
     ``answered`` is false where the endpoint could not be read. ``cold_left_s`` is for how much
@@ -20,7 +20,7 @@
     state: BackendState
     instance: str = ""
     load: ServerLoad | None = None
-    answered: bool = True
-    cold_left_s: float | None = None
+    is_reachable: bool = True
+    cold_remaining_s: float | None = None
     statement: ServerStatement = NOTHING_STATED
     malformed: tuple[str, ...] = ()
--- a/src/marjoramtide/serving/_measurer.py
+++ b/src/marjoramtide/serving/_health_checker.py
@@ -11,19 +11,19 @@
 from marjoramtide.serving._backend_protocol import BackendProtocol
 from marjoramtide.serving._backend_state import BackendState
 from marjoramtide.serving._backend_transport import BackendTransport
-from marjoramtide.serving._health_reading import HealthReading
-from marjoramtide.serving._own_backend import OwnBackend
+from marjoramtide.serving._default_backend_protocol import DefaultBackendProtocol
+from marjoramtide.serving._health_check_result import HealthCheckResult
 from marjoramtide.settings import RouteSettings
 from marjoramtide.telemetry import Metrics
 
 log = structlog.get_logger()
 
-READ_TIMEOUT_S = 1.0
-FAILED_READS = 2
-MAX_WAIT_S = 0.1
+CHECK_TIMEOUT_S = 1.0
+FAILED_CHECKS_TO_DOWN = 2
+MAX_SLEEP_S = 0.1
 
 
-class Measurer:
+class HealthChecker:
     """Tells ``listener`` the backend server's state as its own endpoint states it.
 
     Only draining and being down are taken from there. Load is known exactly on this side, from the
@@ -35,20 +35,20 @@
         transport: BackendTransport,
         clock: Clock,
         metrics: Metrics,
-        listener: Callable[[BackendState], None],
+        state_listener: Callable[[BackendState], None],
         protocol: BackendProtocol | None = None,
-        read_listener: Callable[[HealthReading, float], None] | None = None,
+        result_listener: Callable[[HealthCheckResult, float], None] | None = None,
     ) -> None:
-        """``read_listener`` is told each reading, and when it was asked for."""
-        self.protocol = protocol or OwnBackend()
-        self.read_listener = read_listener
-        self.next_look_at: Callable[[float], float | None] | None = None
+        """``result_listener`` is told each reading, and when it was asked for."""
+        self.protocol = protocol or DefaultBackendProtocol()
+        self.result_listener = result_listener
+        self.preferred_check_at: Callable[[float], float | None] | None = None
         self.transport = transport
         self.clock = clock
         self.metrics = metrics
-        self.listener = listener
+        self.state_listener = state_listener
         self.state: BackendState | None = None
-        self.failed_reads = 0
+        self.failed_checks = 0
         self.path = "/health"
         self.budget: MeasuringBudget | None = None
         self.configured = asyncio.Event()
@@ -67,11 +67,11 @@
 
     def server_replaced(self) -> None:
         """Forget how long reads and executions took on a start that has ended; read at once."""
-        self.failed_reads = 0
+        self.failed_checks = 0
         if self.budget is not None:
             self.budget = self.budget.restarted()
 
-    def traffic(self, succeeded: bool, took_ms: float) -> None:
+    def note_request(self, succeeded: bool, took_ms: float) -> None:
         """Note the end of a request: reads may be rarer where it went well, and come sooner where
         it failed. ``took_ms`` tells what share of the capacity a read costs."""
         if self.budget is not None:
@@ -85,32 +85,32 @@
         await self.configured.wait()
         while True:
             now = self.clock.monotonic()
-            due = self.next_read_at(now)
+            due = self.next_check_at(now)
             if due > now:
                 # In short steps, since a failing request may bring the next read forward.
-                await self.clock.sleep(min(due - now, MAX_WAIT_S))
+                await self.clock.sleep(min(due - now, MAX_SLEEP_S))
                 continue
-            state = await self.read()
+            state = await self.check()
             if state is not None and state is not self.state:
                 log.info("serving.backend_state", state=state, before=self.state)
                 self.state = state
-                self.listener(state)
+                self.state_listener(state)
 
-    def next_read_at(self, now: float) -> float:
+    def next_check_at(self, now: float) -> float:
         """Return when to read next, in seconds: when the budget lets, sooner reads being worth it.
 
-        ``next_look_at`` is told by whoever follows the load that each read brings.
+        ``preferred_check_at`` is told by whoever follows the load that each read brings.
         """
         assert self.budget is not None
         usual = self.budget.next_read_at(now)
-        if self.next_look_at is None or self.budget.last_read_at is None:
+        if self.preferred_check_at is None or self.budget.last_read_at is None:
             return usual
-        wanted = self.next_look_at(now)
+        wanted = self.preferred_check_at(now)
         if wanted is None:
             return usual
         return max(wanted, self.budget.last_read_at + self.budget.min_interval_s)
 
-    async def read(self) -> BackendState | None:
+    async def check(self) -> BackendState | None:
         """Read once; ``None`` where one failure alone says too little."""
         assert self.budget is not None
         started = self.clock.monotonic()
@@ -119,18 +119,18 @@
             self.budget.read(started)
             return BackendState.READY
         try:
-            answer = await self.transport.read(self.path, READ_TIMEOUT_S)
+            answer = await self.transport.read(self.path, CHECK_TIMEOUT_S)
             reading = self.protocol.read_health(answer)
         except (MarjoramtideError, TimeoutError):
-            reading = HealthReading(BackendState.DOWN, answered=False)
+            reading = HealthCheckResult(BackendState.DOWN, is_reachable=False)
         now = self.clock.monotonic()
         self.budget.read(now, (now - started) * 1000)
         self.metrics.count("serving.measuring_reads")
         state = reading.state
-        if self.read_listener is not None:
-            self.read_listener(reading, started)
+        if self.result_listener is not None:
+            self.result_listener(reading, started)
         if state is not BackendState.DOWN:
-            self.failed_reads = 0
+            self.failed_checks = 0
             return state
-        self.failed_reads += 1
-        return state if self.failed_reads >= FAILED_READS or self.state is None else None
+        self.failed_checks += 1
+        return state if self.failed_checks >= FAILED_CHECKS_TO_DOWN or self.state is None else None
--- a/src/marjoramtide/serving/_http_transport.py
+++ b/src/marjoramtide/serving/_http_transport.py
@@ -19,13 +19,13 @@
 )
 from marjoramtide.serving._backend_connection import BackendConnection
 from marjoramtide.serving._backend_protocol import BackendProtocol
-from marjoramtide.serving._backend_reply import BackendReply
+from marjoramtide.serving._backend_response import BackendResponse
 from marjoramtide.serving._backend_transport import BackendTransport
-from marjoramtide.serving._endpoint_answer import EndpointAnswer
-from marjoramtide.serving._idle_connections import IdleConnections
-from marjoramtide.serving._own_backend import OwnBackend
-from marjoramtide.serving._reply_reading import ReplyReading, ReplyVerdict
+from marjoramtide.serving._default_backend_protocol import DefaultBackendProtocol
+from marjoramtide.serving._endpoint_response import EndpointResponse
+from marjoramtide.serving._idle_connection_pool import IdleConnectionPool
 from marjoramtide.serving._request_head import encode_head
+from marjoramtide.serving._response_metadata import ResponseMetadata, ResponseVerdict
 
 log = structlog.get_logger()
 
@@ -48,25 +48,25 @@
     def __init__(
         self,
         address: str,
-        limit: int,
+        max_connections: int,
         protocol: BackendProtocol | None = None,
         clock: Clock | None = None,
     ) -> None:
         self.clock = clock or SystemClock()
-        self.protocol = protocol or OwnBackend()
+        self.protocol = protocol or DefaultBackendProtocol()
         # Whom requests are for, where the backend server has told its identity.
         self.instance = ""
         # Told what an answer says, and when the request was sent.
-        self.on_reading: Callable[[ReplyReading, float], None] | None = None
+        self.on_response: Callable[[ResponseMetadata, float], None] | None = None
         # Called where nobody listens at the address.
-        self.on_refused: Callable[[], None] | None = None
+        self.on_connection_refused: Callable[[], None] | None = None
         self.address = address
         self.host, _, port = address.rpartition(":")
         self.port = int(port)
-        self.limit = limit
-        self.open: set[BackendConnection] = set()
+        self.max_connections = max_connections
+        self.connections: set[BackendConnection] = set()
         self.opening = 0
-        self.idle = IdleConnections(self.clock)
+        self.idle = IdleConnectionPool(self.clock)
         self.looking: asyncio.Task[None] | None = None
 
     async def send(
@@ -74,12 +74,12 @@
         request: Request,
         body: RequestBody,
         remaining_ms: float,
-        begun: Callable[[], None],
+        on_dispatch: Callable[[], None],
     ) -> Answer:
         added = self.protocol.request_headers(request, remaining_ms, self.instance)
         head = encode_head(request, body, added, self.address)
         connection = await self.take()
-        begun()
+        on_dispatch()
         sent_at = self.clock.monotonic()
         try:
             reply = connection.send(
@@ -96,13 +96,13 @@
         except BaseException:
             connection.abort()
             raise
-        reading = self.protocol.read_reply(reply)
-        if self.on_reading is not None:
-            self.on_reading(reading, sent_at)
-        if reading.verdict in (ReplyVerdict.REFUSED, ReplyVerdict.MISDIRECTED):
+        reading = self.protocol.read_response(reply)
+        if self.on_response is not None:
+            self.on_response(reading, sent_at)
+        if reading.verdict in (ResponseVerdict.REFUSED, ResponseVerdict.MISDIRECTED):
             self.give_back(connection)
             raise self.refused(reading)
-        if reading.verdict is ReplyVerdict.SPOILED:
+        if reading.verdict is ResponseVerdict.INVALID:
             connection.abort()
             raise UnknownOutcomeError(
                 ErrorCode.BACKEND_FAILED,
@@ -126,7 +126,7 @@
         return answer
 
     async def chunks(
-        self, first: bytes, reply: BackendReply, connection: BackendConnection
+        self, first: bytes, reply: BackendResponse, connection: BackendConnection
     ) -> AsyncIterator[bytes]:
         """Yield the body; raises where it breaks off, so that a part is never taken for all."""
         try:
@@ -138,9 +138,9 @@
             # With an unread rest the connection is closed: the rest would be the next one's answer.
             self.give_back(connection)
 
-    def refused(self, reading: ReplyReading) -> NotRunError:
+    def refused(self, reading: ResponseMetadata) -> NotRunError:
         return NotRunError(
-            ErrorCode.DRAINING if reading.leaving else ErrorCode.OVERLOADED,
+            ErrorCode.DRAINING if reading.is_leaving else ErrorCode.OVERLOADED,
             "the backend server refused the request",
             step="serving.read",
             peer=self.address,
@@ -148,14 +148,14 @@
             reached=True,
         )
 
-    async def read(self, path: str, timeout_s: float) -> EndpointAnswer:
+    async def read(self, path: str, timeout_s: float) -> EndpointResponse:
         head = f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode()
         async with asyncio.timeout(timeout_s):
             connection = await self.take()
             try:
                 reply = connection.send(head, inline_body())
                 body = await reply.first(INLINE_BYTES)
-                return EndpointAnswer(reply.status, tuple(reply.headers), body)
+                return EndpointResponse(reply.status, tuple(reply.headers), body)
             finally:
                 self.give_back(connection)
 
@@ -163,7 +163,7 @@
         """Return a free connection, or a new one; raises ``NotRunError`` where there is none."""
         return self.idle.take() or await self.connect(CONNECT_TIMEOUT_S)
 
-    async def look(self) -> None:
+    async def probe(self) -> None:
         """Open one connection, which is kept for the next request, for however many lost ones."""
         if self.looking is None:
             self.looking = asyncio.create_task(self.connect_ahead())
@@ -203,8 +203,10 @@
 
     async def connect(self, timeout_s: float) -> BackendConnection:
         """Return a new connection; raises ``NotRunError`` where there can't be one."""
-        if len(self.open) + self.opening >= self.limit:
-            raise self.unconnected(ErrorCode.OVERLOADED, f"all {self.limit} connections are in use")
+        if len(self.connections) + self.opening >= self.max_connections:
+            raise self.unconnected(
+                ErrorCode.OVERLOADED, f"all {self.max_connections} connections are in use"
+            )
         self.opening += 1
         try:
             async with asyncio.timeout(timeout_s):
@@ -212,15 +214,15 @@
                     lambda: BackendConnection(self.address, self.lost), self.host, self.port
                 )
         except (OSError, TimeoutError) as error:
-            if isinstance(error, ConnectionRefusedError) and self.on_refused is not None:
-                self.on_refused()
+            if isinstance(error, ConnectionRefusedError) and self.on_connection_refused is not None:
+                self.on_connection_refused()
             text = f"{type(error).__name__}: {error}"
             raise self.unconnected(ErrorCode.CONNECT_FAILED, text) from error
         finally:
             self.opening -= 1
         if not connection.usable:
             raise self.unconnected(ErrorCode.CONNECT_FAILED, "closed as soon as it was open")
-        self.open.add(connection)
+        self.connections.add(connection)
         return connection
 
     def unconnected(self, code: ErrorCode, message: str) -> NotRunError:
@@ -232,11 +234,11 @@
             self.idle.keep(connection)
 
     def lost(self, connection: BackendConnection) -> None:
-        self.open.discard(connection)
+        self.connections.discard(connection)
         self.idle.drop(connection)
 
     def server_replaced(self) -> None:
-        for connection in list(self.open):
+        for connection in list(self.connections):
             connection.abort()
 
     async def close(self) -> None:
--- a/src/marjoramtide/serving/_claim_gate.py
+++ b/src/marjoramtide/serving/_idempotency_key_dispatcher.py
@@ -29,7 +29,7 @@
 REPLAYED = ("Idempotency-Replayed", "true")
 
 
-class ClaimGate:
+class IdempotencyKeyDispatcher:
     """Sends a request only under a claim, and records how it ended.
 
     A booking that is sent again with its key, through whatever node, then runs at most once within
@@ -42,7 +42,7 @@
         self.clock = clock
         self.background: set[asyncio.Task[Any]] = set()
 
-    async def send(
+    async def dispatch(
         self, execution: Execution, dispatch: Callable[[Execution], Awaitable[Answer]]
     ) -> Answer:
         """Claim, dispatch and record; raises as ``RequestHandler.handle``."""
@@ -60,13 +60,13 @@
         except MarjoramtideError as error:
             raise NotRunError(error.code, error.message, step=STEP) from error
         if not result.may_run:
-            return self.answer_without_running(result)
+            return self.replay_or_reject(result)
         if result.handle is None:
             log.warning("serving.unclaimed", reason=result.detail, service=request.service)
             return await dispatch(execution)
-        return await self.send_claimed(execution, result.handle, dispatch)
+        return await self.dispatch_claimed(execution, result.handle, dispatch)
 
-    async def send_claimed(
+    async def dispatch_claimed(
         self,
         execution: Execution,
         handle: ClaimHandle,
@@ -84,7 +84,7 @@
             await self.release(execution, handle)
             raise
         except BaseException:
-            if execution.begun:
+            if execution.may_have_run:
                 self.spawn(self.claims.record(handle, ClaimState.UNKNOWN))
             else:
                 self.spawn(self.claims.release(handle))
@@ -100,7 +100,7 @@
         remaining = execution.deadline - self.clock.monotonic()
         await self.claims.release(handle, timeout=max(0.0, remaining))
 
-    def answer_without_running(self, result: ClaimResult) -> Answer:
+    def replay_or_reject(self, result: ClaimResult) -> Answer:
         """Return the recorded answer, or raise what keeps the request from running."""
         if result.outcome is ClaimOutcome.RECORDED and result.record is not None:
             return recorded_answer(result.record)
@@ -126,7 +126,7 @@
         self.background.add(task)
         task.add_done_callback(self.background.discard)
 
-    async def finish(self) -> None:
+    async def drain(self) -> None:
         """Wait for the records on their way, for a planned stop."""
         await asyncio.gather(*self.background, return_exceptions=True)
         await self.claims.settle(2.0)
--- a/src/marjoramtide/serving/_idle_connections.py
+++ b/src/marjoramtide/serving/_idle_connection_pool.py
@@ -11,7 +11,7 @@
 AHEAD_S = 0.5
 
 
-class IdleConnections:
+class IdleConnectionPool:
     """Keeps each for as long as the server has said that it does, or ``KEEP_ALIVE_S``.
 
     Failure: a server closes idle connections after a second and says so in its answers. A booking
--- a/src/marjoramtide/serving/_registration.py
+++ b/src/marjoramtide/serving/_registration.py
@@ -20,16 +20,16 @@
     data_centre: str
     software: str
     slots: int
-    draining: bool
+    is_draining: bool
     sequence: int
-    cold_left_s: float | None
-    born: int | None = None
+    cold_remaining_s: float | None
+    start_time_ms: int | None = None
 
     def precedes(self, other: "Registration") -> bool:
         """Tell whether this is known to be of an earlier start than ``other``."""
-        return is_earlier(self.born, other.born)
+        return is_earlier(self.start_time_ms, other.start_time_ms)
 
-    def is_same_start(self, other: "Registration") -> bool:
+    def is_same_incarnation(self, other: "Registration") -> bool:
         """Tell whether both are of one start, as far as is known."""
         differs = self.precedes(other) or other.precedes(self)
         return self.instance == other.instance and not differs
--- a/src/marjoramtide/serving/_request_kinds.py
+++ b/src/marjoramtide/serving/_request_classifier.py
@@ -8,7 +8,7 @@
 MAX_KINDS = 64
 
 
-class RequestKinds:
+class RequestClassifier:
     """Names requests by route, method, class and the first segment of the path.
 
     A lookup and a booking that share a route would otherwise share one estimate, and the first
@@ -19,7 +19,7 @@
         self.view = view
         self.known: set[str] = set()
 
-    def name(self, request: Request) -> str:
+    def classify(self, request: Request) -> str:
         """Return the kind of a request; raises ``NotRunError`` where its service is not known."""
         try:
             route = self.view.route(request.service, request.target).route
--- a/src/marjoramtide/serving/_run_guard.py
+++ b/src/marjoramtide/serving/_request_guard.py
@@ -4,10 +4,10 @@
 from collections.abc import Sequence
 
 from marjoramtide.exchange import Request, RequestBody
-from marjoramtide.serving._run import Run
+from marjoramtide.serving._in_flight_request import InFlightRequest
 
 
-class RunGuard(ABC):
+class RequestGuard(ABC):
     """Told what becomes of the backend server's runs; asked before each."""
 
     @abstractmethod
@@ -27,7 +27,7 @@
         """Note that the backend server has answered a request, and lives."""
 
     @abstractmethod
-    def server_ended(self, suspects: Sequence[Run]) -> None:
+    def server_ended(self, suspects: Sequence[InFlightRequest]) -> None:
         """Note what the backend server was running when it ended."""
 
     @abstractmethod
@@ -35,7 +35,7 @@
         """Note that another start has taken the backend server's place."""
 
 
-class NoGuard(RunGuard):
+class AllowAllGuard(RequestGuard):
     """Lets everything run."""
 
     def fingerprint(self, request: Request, body: RequestBody) -> int:
@@ -50,7 +50,7 @@
     def completed(self, fingerprint: int) -> None:
         pass
 
-    def server_ended(self, suspects: Sequence[Run]) -> None:
+    def server_ended(self, suspects: Sequence[InFlightRequest]) -> None:
         pass
 
     def server_replaced(self) -> None:
--- a/src/marjoramtide/serving/_run_tokens.py
+++ b/src/marjoramtide/serving/_request_tokens.py
@@ -6,15 +6,15 @@
 
 from marjoramtide.clock import Clock
 from marjoramtide.exchange import Request, Runs
-from marjoramtide.serving._running_requests import LONGEST_RUN_S
+from marjoramtide.serving._running_requests import MAX_RUN_S
 
 TOKEN_BYTES = 16
 # Far above what the backend server beside one node runs at once.
-MOST_TOKENS = 8192
+MAX_TOKENS = 8192
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class RunTokens(Runs):
+class RequestTokens(Runs):
     """Gives each run a token of its own, good until the run's deadline.
 
     Callers choose the identities of their requests, so that one may know another's; a token is only
@@ -25,19 +25,19 @@
     clock: Clock
     listener: Runs | None = None
     requests: dict[str, Request] = attrs.Factory(dict)
-    began_at: float = attrs.field()
+    process_started_at: float = attrs.field()
 
-    @began_at.default
+    @process_started_at.default
     def _now(self) -> float:
         return self.clock.monotonic()
 
     def issue(self, request: Request) -> str:
         """Return a new token for a run of a request."""
-        if len(self.requests) >= MOST_TOKENS:
+        if len(self.requests) >= MAX_TOKENS:
             del self.requests[next(iter(self.requests))]
         token = secrets.token_hex(TOKEN_BYTES)
         self.requests[token] = request
-        self._forget_old()
+        self._discard_expired()
         return token
 
     def find(self, run: str) -> Request | None:
@@ -52,9 +52,9 @@
             self.listener.note_call_refused(request.request_id)
 
     def may_have_run(self, run: str) -> bool:
-        return run in self.requests or self.clock.monotonic() - self.began_at < LONGEST_RUN_S
+        return run in self.requests or self.clock.monotonic() - self.process_started_at < MAX_RUN_S
 
-    def _forget_old(self) -> None:
+    def _discard_expired(self) -> None:
         now = self.clock.monotonic()
         while self.requests:
             oldest = next(iter(self.requests))
--- a/src/marjoramtide/serving/_reply_reading.py
+++ b/src/marjoramtide/serving/_response_metadata.py
@@ -10,17 +10,17 @@
 NOTHING_STATED = ServerStatement()
 
 
-class ReplyVerdict(Enum):
+class ResponseVerdict(Enum):
     """What the head of an answer says of the request."""
 
     ANSWERED = "answered"
     REFUSED = "refused"  # it did not run, and never will
     MISDIRECTED = "misdirected"  # as refused: another backend server has this address now
-    SPOILED = "spoiled"  # it may have run, but this is no answer that a caller may be given
+    INVALID = "spoiled"  # it may have run, but this is no answer that a caller may be given
 
 
 @attrs.frozen(slots=True)
-class ReplyReading:
+class ResponseMetadata:
     """The head of an answer, decoded.
 
     ``leaving`` tells that the backend server takes no new work; ``retry_after_ms`` when it wants a
@@ -29,8 +29,8 @@
     ``malformed`` the statements that can't be read.
     """
 
-    verdict: ReplyVerdict
-    leaving: bool = False
+    verdict: ResponseVerdict
+    is_leaving: bool = False
     retry_after_ms: int | None = None
     load: ServerLoad | None = None
     instance: str = ""
--- a/src/marjoramtide/serving/_running_requests.py
+++ b/src/marjoramtide/serving/_running_requests.py
@@ -8,50 +8,50 @@
 from marjoramtide.exchange import Request, Runs
 
 # A run that ended so lately may still be named by calls that were on their way, in seconds.
-JUST_ENDED_S = 5.0
-MOST_ENDED = 4096
+ENDED_RETENTION_S = 5.0
+MAX_ENDED = 4096
 # A node that has been up for less may have missed the beginning of a run, in seconds.
-LONGEST_RUN_S = 30.0
+MAX_RUN_S = 30.0
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class RunningRequests(Runs):
-    """Knows them from their admission to the end of their answers; ``began_at`` is the node's."""
+    """Knows them from their admission to the end of their answers."""
 
     clock: Clock
-    began_at: float
+    process_started_at: float
     running: dict[str, Request] = attrs.Factory(dict)
-    ended: dict[str, float] = attrs.Factory(dict)
-    order: deque[str] = attrs.Factory(deque)
-    lacking: set[str] = attrs.Factory(set)
+    ended_at: dict[str, float] = attrs.Factory(dict)
+    ended_order: deque[str] = attrs.Factory(deque)
+    with_refused_calls: set[str] = attrs.Factory(set)
 
     def begin(self, request: Request) -> None:
         if request.request_id:
             self.running[request.request_id] = request
 
     def end(self, request: Request) -> None:
-        self.lacking.discard(request.request_id)
+        self.with_refused_calls.discard(request.request_id)
         if self.running.pop(request.request_id, None) is None:
             return
-        self.ended[request.request_id] = self.clock.monotonic()
-        self.order.append(request.request_id)
-        if len(self.order) > MOST_ENDED:
-            self.ended.pop(self.order.popleft(), None)
+        self.ended_at[request.request_id] = self.clock.monotonic()
+        self.ended_order.append(request.request_id)
+        if len(self.ended_order) > MAX_ENDED:
+            self.ended_at.pop(self.ended_order.popleft(), None)
 
     def note_call_refused(self, run: str) -> None:
         if run in self.running:
-            self.lacking.add(run)
+            self.with_refused_calls.add(run)
 
-    def lacks_calls(self, request: Request) -> bool:
+    def has_refused_calls(self, request: Request) -> bool:
         """Tell whether a call of a run was refused."""
-        return request.request_id in self.lacking
+        return request.request_id in self.with_refused_calls
 
     def find(self, run: str) -> Request | None:
         return self.running.get(run)
 
     def may_have_run(self, run: str) -> bool:
         now = self.clock.monotonic()
-        ended_at = self.ended.get(run)
-        if ended_at is not None and now - ended_at < JUST_ENDED_S:
+        ended_at = self.ended_at.get(run)
+        if ended_at is not None and now - ended_at < ENDED_RETENTION_S:
             return True
-        return now - self.began_at < LONGEST_RUN_S
+        return now - self.process_started_at < MAX_RUN_S
--- a/src/marjoramtide/serving/_service.py
+++ b/src/marjoramtide/serving/_service.py
@@ -28,14 +28,14 @@
     make_call_profile,
 )
 from marjoramtide.serving._backend_transport import BackendTransport
-from marjoramtide.serving._claim_gate import ClaimGate
+from marjoramtide.serving._crash_monitor import CrashMonitor
 from marjoramtide.serving._execution import Execution, make_execution
-from marjoramtide.serving._measurer import Measurer
-from marjoramtide.serving._request_kinds import RequestKinds
-from marjoramtide.serving._run_guard import NoGuard, RunGuard
-from marjoramtide.serving._run_reporter import NoReporter, RunReporter
+from marjoramtide.serving._health_checker import HealthChecker
+from marjoramtide.serving._idempotency_key_dispatcher import IdempotencyKeyDispatcher
+from marjoramtide.serving._in_flight_reporter import InFlightReporter, NullInFlightReporter
+from marjoramtide.serving._request_classifier import RequestClassifier
+from marjoramtide.serving._request_guard import AllowAllGuard, RequestGuard
 from marjoramtide.serving._running_requests import RunningRequests
-from marjoramtide.serving._server_ends import ServerEnds
 from marjoramtide.serving._server_load import ServerLoad
 from marjoramtide.serving._slot_queue import SlotQueue
 from marjoramtide.settings import RouteSettings, SettingsView
@@ -56,46 +56,50 @@
         self,
         service: str,
         transport: BackendTransport,
-        claim_gate: ClaimGate,
+        key_dispatcher: IdempotencyKeyDispatcher,
         view: SettingsView,
         clock: Clock,
         metrics: Metrics,
         tracer: Tracer,
-        guard: RunGuard | None = None,
-        began_at: float | None = None,
-        reporter: RunReporter | None = None,
+        guard: RequestGuard | None = None,
+        process_started_at: float | None = None,
+        reporter: InFlightReporter | None = None,
     ) -> None:
         """Without a ``guard`` the backend server may begin every request.
 
         Without a ``reporter`` no other node knows what this one runs for its own callers.
-        ``began_at`` is when this process began, in seconds of the monotonic clock; now by default.
+        ``process_started_at`` is when this process started, in seconds of the monotonic clock; by
+        default, now.
         """
-        self.guard = guard or NoGuard()
-        self.reporter = reporter or NoReporter()
-        self.ends = ServerEnds(service, self.guard, clock, metrics)
+        self.guard = guard or AllowAllGuard()
+        self.reporter = reporter or NullInFlightReporter()
+        self.crash_monitor = CrashMonitor(service, self.guard, clock, metrics)
         self.service = service
         self.is_open = False
-        self.evacuated = False
+        self.is_evacuated = False
         self.admission: Admission = make_admission(
-            RouteSettings(service=service), clock.monotonic() if began_at is None else began_at
+            RouteSettings(service=service),
+            clock.monotonic() if process_started_at is None else process_started_at,
         )
         self.admission.set_accepting(False)
         self.queue = SlotQueue(self.admission, clock, self.report)
         self.transport = transport
-        self.claim_gate = claim_gate
+        self.key_dispatcher = key_dispatcher
         self.clock = clock
         self.metrics = metrics
         self.tracer = tracer
-        self.measurer: Measurer | None = None
+        self.health_checker: HealthChecker | None = None
         self.interference = Interference()
         # What the backend server says that it takes, and who hears what other nodes know of that.
         self.statement: ServerStatement | None = None
         self.statement_listener: Callable[[ServerStatement], None] | None = None
-        self.pace_listener: Callable[[LoadReport], None] | None = None
-        self.kinds = RequestKinds(view)
+        self.load_listener: Callable[[LoadReport], None] | None = None
+        self.classifier = RequestClassifier(view)
         self.tickets = itertools.count(1)
         self.in_progress: dict[int, Execution] = {}
-        self.running = RunningRequests(clock, clock.monotonic() if began_at is None else began_at)
+        self.running = RunningRequests(
+            clock, clock.monotonic() if process_started_at is None else process_started_at
+        )
         self.background: set[asyncio.Task[Answer]] = set()
         self.idle = asyncio.Event()
         self.idle.set()
@@ -115,12 +119,12 @@
         """
         log.info("serving.server_replaced", lost=len(self.in_progress) - len(self.queue.waiting))
         self.interference = Interference()
-        if self.measurer is not None:
-            self.measurer.server_replaced()
+        if self.health_checker is not None:
+            self.health_checker.server_replaced()
         started = self.admission.server_replaced(self.clock.monotonic())
-        self.ends.replaced()
+        self.crash_monitor.server_replaced()
         self.transport.server_replaced()
-        self.queue.start(started)
+        self.queue.wake(started)
         self.queue.schedule_expiry()
 
     def set_accepting(self, accepting: bool) -> None:
@@ -132,9 +136,9 @@
 
         What it runs ends as it would. The last check, since others may not have heard yet.
         """
-        self.evacuated = evacuated
+        self.is_evacuated = evacuated
         if evacuated:
-            self.queue.hand_back(ErrorCode.EVACUATED)
+            self.queue.reject_all(ErrorCode.EVACUATED)
 
     def note_load(self, load: ServerLoad) -> None:
         """Take in what the backend server says of itself, with an answer or its health."""
@@ -147,10 +151,10 @@
             log.info("serving.interference_grid", period_ms=period_ms)
         self.admission.set_pace(self.interference.pace(now))
         self.queue.resume(now)
-        if changed and self.pace_listener is not None:
-            self.pace_listener(self.report(now))
+        if changed and self.load_listener is not None:
+            self.load_listener(self.report(now))
 
-    def note_cold(self, left_s: float) -> None:
+    def note_cold_start(self, left_s: float) -> None:
         """Take in for how much longer the backend server is cold, in seconds."""
         now = self.clock.monotonic()
         self.admission.note_cold(left_s, now)
@@ -177,7 +181,7 @@
             return report
         return attrs.evolve(report, statement=self.statement)
 
-    def next_look_at(self, now: float) -> float | None:
+    def preferred_check_at(self, now: float) -> float | None:
         """Return when a look at the backend server's load is worth most, ``None`` while unknown."""
         return self.interference.next_look_at(now) if self.interference.is_told else None
 
@@ -191,7 +195,7 @@
         if request.statement is not None and self.statement_listener is not None:
             # Before it is admitted: this node may have started anew, and know nothing of it.
             self.statement_listener(request.statement)
-        if self.evacuated:
+        if self.is_evacuated:
             raise NotRunError(
                 ErrorCode.EVACUATED,
                 "the data centre is evacuated",
@@ -212,12 +216,12 @@
         self.running.begin(request)
         if request.idempotent:
             return await self.execute(execution)
-        return await self.execute_to_the_end(execution)
+        return await self.execute_uncancelled(execution)
 
     async def admit(self, execution: Execution) -> None:
         """Return when the request may start; raise ``NotRunError`` where it may not."""
         request, ticket = execution.request, execution.ticket
-        kind = self.kinds.name(request)
+        kind = self.classifier.classify(request)
         profile = make_call_profile(request, execution.deadline, request.attempt, kind)
         now = self.clock.monotonic()
         decision = self.admission.offer(ticket, profile, now)
@@ -232,9 +236,9 @@
             )
         if decision.verdict is Verdict.QUEUE:
             await self.queue.wait(ticket)
-        execution.started = self.clock.monotonic()
+        execution.started_at = self.clock.monotonic()
 
-    async def execute_to_the_end(self, execution: Execution) -> Answer:
+    async def execute_uncancelled(self, execution: Execution) -> Answer:
         """Execute a non-idempotent request whether or not its caller still waits.
 
         Closing the connection would not undo a booking that has begun; it would only lose its
@@ -246,7 +250,7 @@
         try:
             return await asyncio.shield(task)
         except asyncio.CancelledError:
-            if execution.begun:
+            if execution.may_have_run:
                 task.add_done_callback(self.close_unread)
             else:
                 task.cancel()
@@ -282,10 +286,10 @@
                 answer.cancel = self.finish_on_cancel(execution, answer)
         except RequestFailedError as error:
             # A refusal is an answer, too: the backend server lives, and has not begun.
-            execution.answered = isinstance(error, NotRunError)
+            execution.is_answered = isinstance(error, NotRunError)
             if error.report is None and self.statement is not None:
                 error.report = self.report(self.clock.monotonic())
-            await self.look_for_end(execution, error)
+            await self.probe_after_loss(execution, error)
             self.metrics.count(f"serving.failed.{error.code}")
             log.info(
                 "serving.failed",
@@ -297,8 +301,8 @@
                 service=request.service,
                 what=request.label,
                 fingerprint=f"{execution.fingerprint:016x}",
-                began=execution.begun,
-                ran_ms=round((self.clock.monotonic() - execution.started) * 1000, 1),
+                began=execution.may_have_run,
+                ran_ms=round((self.clock.monotonic() - execution.started_at) * 1000, 1),
                 slowdown=self.interference.slowdown,
                 in_use=len(self.in_progress),
             )
@@ -311,17 +315,17 @@
                 self.finish(execution, succeeded, cancelled)
         now = self.clock.monotonic()
         answer.report = self.report(now)
-        answer.served_ms = (now - execution.arrived) * 1000
+        answer.served_ms = (now - execution.arrived_at) * 1000
         if self.interference.is_told:
-            answer.work_ms = self.interference.work_ms(execution.started, now)
+            answer.work_ms = self.interference.work_ms(execution.started_at, now)
         return answer
 
     def note_answer(self, execution: Execution) -> None:
         """Note that the backend server has completed a request."""
-        execution.answered = True
+        execution.is_answered = True
         self.guard.completed(execution.fingerprint)
 
-    async def look_for_end(self, execution: Execution, error: RequestFailedError) -> None:
+    async def probe_after_loss(self, execution: Execution, error: RequestFailedError) -> None:
         """Find out whether the backend server has ended, before a failed run is told of.
 
         Failure: a request ends its server, and before any node knows of that end its ingress node
@@ -329,9 +333,9 @@
         servers within 0.14 s. Looked for first, the news of the end is on its way to all nodes
         before the failure is; they need one way for it, a second try needs two.
         """
-        if isinstance(error, UnknownOutcomeError) and execution.begun:
-            self.ends.run_ended(execution, cancelled=False)
-            await self.transport.look()
+        if isinstance(error, UnknownOutcomeError) and execution.may_have_run:
+            self.crash_monitor.request_ended(execution, cancelled=False)
+            await self.transport.probe()
 
     async def send(self, execution: Execution) -> Answer:
         request = execution.request
@@ -342,12 +346,12 @@
         try:
             async with asyncio.timeout(remaining):
                 if not request.relayed:
-                    await self.reporter.began(execution.ticket, execution.fingerprint)
+                    await self.reporter.request_started(execution.ticket, execution.fingerprint)
                 if request.key and not request.idempotent:
-                    return await self.claim_gate.send(execution, self.dispatch)
+                    return await self.key_dispatcher.dispatch(execution, self.dispatch)
                 return await self.dispatch(execution)
         except TimeoutError as error:
-            if not execution.begun:
+            if not execution.may_have_run:
                 raise NotRunError(
                     ErrorCode.DEADLINE, "the deadline passed before it was sent", step=STEP
                 ) from error
@@ -358,7 +362,7 @@
     async def dispatch(self, execution: Execution) -> Answer:
         """Hand the request to the backend server."""
         body = await self.collect(execution)
-        execution.dispatched = True
+        execution.is_dispatched = True
         remaining = execution.deadline - self.clock.monotonic()
         return await self.transport.send(
             execution.request, body, remaining * 1000, lambda: self.begin(execution)
@@ -376,9 +380,9 @@
 
     def begin(self, execution: Execution) -> None:
         """Note that from here on the backend server may have begun a request."""
-        execution.begin()
+        execution.mark_sent()
         self.metrics.count("serving.begun")
-        self.ends.began(execution)
+        self.crash_monitor.request_started(execution)
 
     async def watch_stream(
         self, execution: Execution, stream: AsyncIterator[bytes], succeeded: bool
@@ -425,20 +429,20 @@
         if execution.ticket not in self.in_progress:
             return
         now = self.clock.monotonic()
-        duration_ms = (now - execution.started) * 1000
+        duration_ms = (now - execution.started_at) * 1000
         self.metrics.timing("serving.execution", duration_ms)
-        self.ends.run_ended(execution, cancelled=cancelled)
-        if cancelled or not execution.dispatched:
-            self.queue.start(self.admission.withdraw(execution.ticket, now))
+        self.crash_monitor.request_ended(execution, cancelled=cancelled)
+        if cancelled or not execution.is_dispatched:
+            self.queue.wake(self.admission.withdraw(execution.ticket, now))
         else:
-            if self.measurer is not None:
-                self.measurer.traffic(succeeded, duration_ms)
-            work_ms = self.interference.work_ms(execution.started, now)
-            lacked_calls = not succeeded and self.running.lacks_calls(execution.request)
+            if self.health_checker is not None:
+                self.health_checker.note_request(succeeded, duration_ms)
+            work_ms = self.interference.work_ms(execution.started_at, now)
+            had_refused_calls = not succeeded and self.running.has_refused_calls(execution.request)
             started = self.admission.finished(
-                execution.ticket, now, work_ms, succeeded, lacked_calls
+                execution.ticket, now, work_ms, succeeded, had_refused_calls
             )
-            self.queue.start(started)
+            self.queue.wake(started)
         self.done(execution)
         if self.queue.waiting:
             # What ended may have changed how long the others will take, or the limit.
@@ -446,28 +450,28 @@
 
     def done(self, execution: Execution) -> None:
         self.in_progress.pop(execution.ticket, None)
-        self.reporter.over(execution.ticket)
+        self.reporter.request_finished(execution.ticket)
         self.running.end(execution.request)
         if not self.in_progress:
             self.idle.set()
 
-    def hand_back(self) -> None:
+    def reject_queued(self) -> None:
         """Refuse what is queued as not run, so that other nodes may take it."""
-        self.queue.hand_back()
+        self.queue.reject_all()
 
-    def refuse_held(self, fingerprint: int) -> None:
+    def reject_quarantined(self, fingerprint: int) -> None:
         """Refuse at once what waits for a slot and is held back from now on."""
         same = [each for each in self.in_progress.values() if each.fingerprint == fingerprint]
         for execution in same:
             try:
                 self.guard.check(execution.request, fingerprint)
             except NotRunError as error:
-                self.queue.refuse(execution.ticket, error)
+                self.queue.reject(execution.ticket, error)
 
     async def close(self) -> None:
         """Close the connections to the backend server."""
         self.queue.close()
-        self.ends.close()
+        self.crash_monitor.close()
         for task in list(self.background):
             task.cancel()
         await self.transport.close()
--- a/src/marjoramtide/serving/_slot_queue.py
+++ b/src/marjoramtide/serving/_slot_queue.py
@@ -32,12 +32,12 @@
         try:
             await waiter
         except asyncio.CancelledError:
-            self.start(self.admission.withdraw(ticket, self.clock.monotonic()))
+            self.wake(self.admission.withdraw(ticket, self.clock.monotonic()))
             raise
         finally:
             self.waiting.pop(ticket, None)
 
-    def start(self, tickets: Iterable[int]) -> None:
+    def wake(self, tickets: Iterable[int]) -> None:
         """Wake the tickets that were given a slot."""
         for ticket in tickets:
             waiter = self.waiting.get(ticket)
@@ -45,13 +45,13 @@
                 waiter.set_result(None)
             elif waiter is None or waiter.cancelled():
                 # Cancelled in the same turn of the loop: without this the slot is never freed.
-                self.start(self.admission.withdraw(ticket, self.clock.monotonic()))
+                self.wake(self.admission.withdraw(ticket, self.clock.monotonic()))
 
     def resume(self, now: float) -> None:
         """Start what waited for the backend server's pace."""
         started = self.admission.resume(now) if self.waiting else []
         if started:
-            self.start(started)
+            self.wake(started)
             self.schedule_expiry()
 
     def schedule_expiry(self) -> None:
@@ -62,28 +62,28 @@
             self.timer = None
         if due is not None:
             delay = max(0.0, due - self.clock.monotonic())
-            self.timer = asyncio.get_running_loop().call_later(delay, self.expire)
+            self.timer = asyncio.get_running_loop().call_later(delay, self.reject_expired)
 
-    def expire(self) -> None:
+    def reject_expired(self) -> None:
         """Refuse at once what can no longer finish in time."""
         now = self.clock.monotonic()
         expired = self.admission.expire(now)
-        come_back_ms = self.admission.come_back_ms(now) if expired else 0
+        retry_after_ms = self.admission.come_back_ms(now) if expired else 0
         reason = "it could no longer finish in time"
-        self.give_up(expired, ErrorCode.DEADLINE, reason, come_back_ms)
-        self.start(self.admission.resume(now))
+        self.reject_tickets(expired, ErrorCode.DEADLINE, reason, retry_after_ms)
+        self.wake(self.admission.resume(now))
         self.schedule_expiry()
 
-    def hand_back(self, code: ErrorCode = ErrorCode.DRAINING) -> None:
+    def reject_all(self, code: ErrorCode = ErrorCode.DRAINING) -> None:
         """Refuse all that waits, so that other nodes may take it.
 
         For a backend server that leaves: what waits for it would reach it seconds after it was told
         that nothing new would.
         """
-        self.give_up(self.admission.release(), code, "the backend server takes nothing more")
+        self.reject_tickets(self.admission.release(), code, "the backend server takes nothing more")
         self.schedule_expiry()
 
-    def give_up(
+    def reject_tickets(
         self, tickets: list[int], code: ErrorCode, reason: str, retry_after_ms: int = 0
     ) -> None:
         """Refuse tickets that the admission has dropped."""
@@ -101,12 +101,12 @@
                     )
                 )
 
-    def refuse(self, ticket: int, error: NotRunError) -> None:
+    def reject(self, ticket: int, error: NotRunError) -> None:
         """Refuse one ticket, where it still waits."""
         waiter = self.waiting.get(ticket)
         if waiter is not None and not waiter.done():
             waiter.set_exception(error)
-            self.start(self.admission.withdraw(ticket, self.clock.monotonic()))
+            self.wake(self.admission.withdraw(ticket, self.clock.monotonic()))
 
     def close(self) -> None:
         """Look no more."""
--- a/src/marjoramtide/serving/_statement_reader.py
+++ b/src/marjoramtide/serving/_statement_parser.py
@@ -6,7 +6,7 @@
 import attrs
 
 from marjoramtide.exchange import ServerStatement
-from marjoramtide.serving._reply_reading import NOTHING_STATED
+from marjoramtide.serving._response_metadata import NOTHING_STATED
 
 # No backend server takes a million requests a second; more is no rate.
 MOST_PER_S = 1_000_000.0
@@ -17,7 +17,7 @@
 
 
 @attrs.frozen(slots=True)
-class StatementReader:
+class StatementParser:
     """The names of the two statements in the headers of answers.
 
     What is no plain decimal number, is beyond any rate or stands there twice counts as not said,
@@ -28,7 +28,7 @@
     rate_name: str
     leaving_name: str
 
-    def read(
+    def parse(
         self, rates: Sequence[str], leavings: Sequence[str]
     ) -> tuple[ServerStatement, tuple[str, ...]]:
         """Return what the values of both headers say, and what of them can't be read."""
--- a/src/marjoramtide/witness/_run_teller.py
+++ b/src/marjoramtide/witness/_run_teller.py
@@ -10,7 +10,7 @@
 from marjoramtide.errors import MarjoramtideError
 from marjoramtide.membership import Directory, Member, MemberState
 from marjoramtide.peers import PeerClient, RunLink
-from marjoramtide.serving import RunReporter
+from marjoramtide.serving import InFlightReporter
 from marjoramtide.telemetry import Metrics
 
 log = structlog.get_logger()
@@ -23,7 +23,7 @@
 LONGEST_PAUSE_S = 5.0
 
 
-class RunTeller(RunReporter):
+class RunTeller(InFlightReporter):
     """Has one other node, the witness, know what this one runs for its own callers.
 
     Runs that were sent here by another node are known to that one. Of the others only those are
@@ -54,7 +54,7 @@
         self.last = ""
         self.timer: asyncio.TimerHandle | None = None
 
-    async def began(self, ticket: int, fingerprint: int) -> None:
+    async def request_started(self, ticket: int, fingerprint: int) -> None:
         if self.is_sound(fingerprint):
             return
         self.open[ticket] = fingerprint
@@ -64,7 +64,7 @@
         self.metrics.count("witness.told")
         await self.link.tell({ticket: fingerprint}, self._take_ended())
 
-    def over(self, ticket: int) -> None:
+    def request_finished(self, ticket: int) -> None:
         if self.open.pop(ticket, None) is None or self.link is None:
             return
         self.ended.append(ticket)
--- a/src/marjoramtide/witness/_run_witness.py
+++ b/src/marjoramtide/witness/_run_witness.py
@@ -5,7 +5,7 @@
 from marjoramtide.ingress import PeerEnds
 from marjoramtide.membership import Directory
 from marjoramtide.peers import RunListener, ToldRun
-from marjoramtide.serving import Run
+from marjoramtide.serving import InFlightRequest
 
 
 class RunWitness(RunListener):
@@ -23,4 +23,6 @@
     def lost(self, node: str, runs: Sequence[ToldRun]) -> None:
         member = self.directory.find(node)
         if member is not None:
-            self.ends.note(member, [Run(run.fingerprint, "", "", run.heard_at) for run in runs])
+            self.ends.note(
+                member, [InFlightRequest(run.fingerprint, "", "", run.heard_at) for run in runs]
+            )
