--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -303,7 +303,7 @@
 def read_statements(data: bytes) -> None:
     """Read what a server says that it takes; what can't be read counts as refused."""
     texts = data.decode("latin-1").split(";")
-    statement, malformed = STATEMENTS.read(texts[:1], texts[1:2])
+    statement, malformed = STATEMENTS.parse(texts[:1], texts[1:2])
     if malformed and not statement.is_empty and len(malformed) > 1:
         raise RuntimeError("taken and refused")
 
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -70,7 +70,7 @@
 class RefusedClaims:
     """Refuses every claim, as while the store is down."""
 
-    async def dispatch(self, execution: Any, dispatch: Any) -> Answer:
+    async def dispatch(self, execution: Any, forward: Any) -> Answer:
         raise NotRunError(ErrorCode.STORE_UNAVAILABLE, "no claim", step="test")
 
 
--- a/src/marjoramtide/serving/_idempotency_key_dispatcher.py
+++ b/src/marjoramtide/serving/_idempotency_key_dispatcher.py
@@ -43,7 +43,7 @@
         self.background: set[asyncio.Task[Any]] = set()
 
     async def dispatch(
-        self, execution: Execution, dispatch: Callable[[Execution], Awaitable[Answer]]
+        self, execution: Execution, forward: Callable[[Execution], Awaitable[Answer]]
     ) -> Answer:
         """Claim, dispatch and record; raises as ``RequestHandler.handle``."""
         request = execution.request
@@ -63,14 +63,14 @@
             return self.replay_or_reject(result)
         if result.handle is None:
             log.warning("serving.unclaimed", reason=result.detail, service=request.service)
-            return await dispatch(execution)
-        return await self.dispatch_claimed(execution, result.handle, dispatch)
+            return await forward(execution)
+        return await self.dispatch_claimed(execution, result.handle, forward)
 
     async def dispatch_claimed(
         self,
         execution: Execution,
         handle: ClaimHandle,
-        dispatch: Callable[[Execution], Awaitable[Answer]],
+        forward: Callable[[Execution], Awaitable[Answer]],
     ) -> Answer:
         if not handle.may_dispatch(self.clock.monotonic()):
             # A node that was stopped between claim and dispatch must not act on a claim that may
@@ -78,7 +78,7 @@
             await self.release(execution, handle)
             raise NotRunError(ErrorCode.DEADLINE, "the claim is too old to act on", step=STEP)
         try:
-            answer = await dispatch(execution)
+            answer = await forward(execution)
         except NotRunError:
             # Awaited: the next node's claim would otherwise meet this one and call it a duplicate.
             await self.release(execution, handle)
--- a/src/marjoramtide/serving/_registrar.py
+++ b/src/marjoramtide/serving/_registrar.py
@@ -112,7 +112,7 @@
             and held.instance == instance
             and is_earlier(start_time_ms, held.start_time_ms)
         )
-        log.info("serving.departed", instance=instance, born=start_time_ms, late=is_late)
+        log.info("serving.departed", instance=instance, start_time_ms=start_time_ms, late=is_late)
         # Of the start that it tells, which may be a later one than the one that is registered: its
         # first heartbeat may come after it, and must not bring it back.
         self.ended.add(instance, start_time_ms)
@@ -150,7 +150,9 @@
 
     def _ignore(self, heard: Registration) -> bool:
         """Leave aside a heartbeat of a start that has ended; never the one that is registered."""
-        log.info("serving.registration_late", instance=heard.instance, born=heard.start_time_ms)
+        log.info(
+            "serving.registration_late", instance=heard.instance, start_time_ms=heard.start_time_ms
+        )
         self.ended.add(heard.instance, heard.start_time_ms)
         return False
 
@@ -161,7 +163,7 @@
             slots=heard.slots,
             draining=heard.is_draining,
             sequence=heard.sequence,
-            born=heard.start_time_ms,
+            start_time_ms=heard.start_time_ms,
         )
         self.has_departed = False
         self.current = heard
