--- a/src/marjoramtide/serving/__init__.py
+++ b/src/marjoramtide/serving/__init__.py
@@ -1,4 +1,4 @@
-"""The serving side of a node: the only door to its own backend server."""
+"""Access to the backend server beside this node: admission, execution, health, registration."""
 
 from marjoramtide.serving._backend_protocol import BackendProtocol
 from marjoramtide.serving._backend_response import BackendResponse
--- a/src/marjoramtide/serving/_crash_detector.py
+++ b/src/marjoramtide/serving/_crash_detector.py
@@ -1,33 +1,35 @@
-"""Which requests a backend server was running when it ended."""
+"""Detects crashes of a backend server and the requests that were in flight."""
 
 from collections import deque
 
 from marjoramtide.serving._in_flight_request import InFlightRequest, LostRequest
 
-# Lost runs of which it isn't known yet whether their server has ended. More than a server runs at
-# once; a health endpoint that answers empties the list many times a second.
+# Lost requests that are kept until it is known whether their server has crashed. This is more than
+# a server executes at once; successful health checks empty the list many times a second.
 MAX_LOST = 256
-# For how long after this node has closed a run's connection the backend server may still be at work
-# on it, in seconds. Servers drop such work, or end it at the deadline, which is seldom further off.
-WORKS_ON_S = 1.0
-# For how long a server that runs something must not be heard of until it is taken for ended, though
-# it takes connections, in seconds. Longer than garbage collectors and busy hosts pause a server,
-# and two looks at a health endpoint that wait for their answer a second each.
-SILENT_S = 2.0
+# How long the backend server may continue to process a request after this node has closed its
+# connection, in seconds. Servers abort such requests, or end them at the deadline, which is rarely
+# further away.
+ABANDONED_WORK_S = 1.0
+# How long a server with requests in flight must be silent until it counts as crashed, in seconds,
+# even if it accepts connections. Longer than pauses by garbage collection or a busy host, and than
+# two health checks that time out after a second each.
+SILENCE_TIMEOUT_S = 2.0
 
 
 class CrashDetector:
-    """Follows the runs of one backend server, and tells whom its end may be put down to.
+    """Tracks the requests of one backend server, and returns the suspects when it crashes.
 
-    A lost connection says little: a sound server may reset it, and so may the way there. A server
-    has ended where nobody listens at its address any more (``refused``), where another start has
-    taken its place (``replaced``), or where it is ``silent``. Until one of
-    these is known, lost runs are kept, and each sign of life that was asked for after a loss
-    clears it. A server that ``leaves`` as planned ends of itself.
+    A lost connection is not sufficient evidence, because a healthy server or the network may reset
+    it. A server has crashed if its address refuses connections (``connection_refused``), if a new
+    process has replaced it (``server_replaced``), or if it stays silent (``check_silence``). Until
+    one of these is observed, lost requests are kept; a response to anything that was sent after the
+    loss clears them. If the server has announced that it is leaving (``server_leaving``), no
+    request is suspected.
 
     Times are in seconds of the monotonic clock. For example::
 
-        detector.request_started(7, run)
+        detector.request_started(7, request)
         detector.request_lost(7, by_server=True, now=12.0)
         suspects = detector.connection_refused(12.1)
     """
@@ -40,75 +42,75 @@
         self.last_failed_check_at = float("-inf")
         self.is_leaving = False
 
-    def request_started(self, ticket: int, run: InFlightRequest) -> None:
-        """Note that a byte of a request may have reached the backend server."""
-        self.in_flight[ticket] = run
+    def request_started(self, ticket: int, request: InFlightRequest) -> None:
+        """Record that a byte of a request may have reached the backend server."""
+        self.in_flight[ticket] = request
 
     def request_completed(self, ticket: int, now: float) -> None:
-        """Note a whole answer, which is a sign of life as well."""
-        run = self.in_flight.pop(ticket, None)
-        if run is not None:
-            self.note_response(run.started_at, now)
+        """Record a complete response, which also shows that the server is alive."""
+        request = self.in_flight.pop(ticket, None)
+        if request is not None:
+            self.note_response(request.started_at, now)
 
     def request_lost(self, ticket: int, *, by_server: bool, now: float) -> list[InFlightRequest]:
-        """Note the end of a run without an answer; return it where its server is known to be gone.
+        """Record a request that ended without a response; returns it if the server has crashed.
 
-        The connections to a server that ends break one after another, and the first of the requests
-        that follow may find that nobody listens before the last of them has.
+        The connections to a crashed server break one after another. A new request may be refused
+        before the last of the old connections breaks.
         """
-        run = self.in_flight.pop(ticket, None)
-        if run is None:
+        request = self.in_flight.pop(ticket, None)
+        if request is None:
             return []
-        self.lost.append(LostRequest(run, now, by_server))
+        self.lost.append(LostRequest(request, now, by_server))
         return self._pop_lost() if by_server and self.unreachable_since is not None else []
 
     def note_response(self, asked_at: float, now: float) -> None:
-        """Note that the backend server has answered now what it was asked at ``asked_at``."""
+        """Record a response of the server to a request or health check sent at ``asked_at``."""
         self.last_response_at = now
         if self.unreachable_since is not None and asked_at > self.unreachable_since:
             self.unreachable_since = None
         kept = [
             lost
             for lost in self.lost
-            if asked_at <= lost.lost_at + (0.0 if lost.by_server else WORKS_ON_S)
+            if asked_at <= lost.lost_at + (0.0 if lost.by_server else ABANDONED_WORK_S)
         ]
         if len(kept) < len(self.lost):
             self.lost = deque(kept, maxlen=MAX_LOST)
 
     def connection_refused(self, now: float) -> list[InFlightRequest]:
-        """Note that nobody listens at the server's address; return the runs that it has lost."""
+        """Record that the server's address refuses connections; returns the lost requests."""
         if self.unreachable_since is None:
             self.unreachable_since = now
         return self._pop_lost()
 
     def health_check_failed(self, now: float) -> None:
-        """Note that the server's endpoint has not answered in time."""
+        """Record that a health check has failed or timed out."""
         self.last_failed_check_at = now
 
     def silence_deadline(self) -> float | None:
-        """Return when a server whose endpoint does not answer has been silent for long enough.
+        """Return when a server that fails health checks counts as crashed.
 
-        ``None`` where it runs nothing, or has been heard of since.
+        ``None`` if no request is in flight, or if the server has responded since.
         """
-        begun = [run.started_at for run in self.in_flight.values()]
-        begun += [lost.run.started_at for lost in self.lost]
-        if not begun or self.last_failed_check_at <= self.last_response_at:
+        start_times = [request.started_at for request in self.in_flight.values()]
+        start_times += [lost.request.started_at for lost in self.lost]
+        if not start_times or self.last_failed_check_at <= self.last_response_at:
             return None
-        return max(self.last_response_at, min(begun)) + SILENT_S
+        return max(self.last_response_at, min(start_times)) + SILENCE_TIMEOUT_S
 
     def check_silence(self, now: float) -> list[InFlightRequest]:
-        """Return what the server runs, or has lost, where it is silent.
+        """Return the requests in flight and lost if the server has been silent for too long.
 
-        Failure: a request freezes the server that runs it. Nobody tells of an end, and the request
-        goes on to the next server: eight were silent after 16 s.
+        A request may freeze its server instead of crashing it. Without this check the request was
+        retried on one server after another, and eight of them were silent after 16 s.
         """
         deadline = self.silence_deadline()
         return self._pop_all() if deadline is not None and now >= deadline else []
 
     def server_replaced(self) -> list[InFlightRequest]:
-        """Note that another start has taken the server's place; return what the former one ran.
+        """Record that a new process has replaced the server; returns the requests of the old one.
 
-        That may be long after its end, where its connections have fallen silent.
+        This may happen long after the crash, if the old connections became silent.
         """
         suspects = self._pop_all()
         self.unreachable_since = None
@@ -116,15 +118,15 @@
         return suspects
 
     def server_leaving(self) -> None:
-        """Note that this start has said that it leaves, so that its end is nobody's doing."""
+        """Record that the server has announced its end, so no request is suspected of it."""
         self.is_leaving = True
 
     def _pop_all(self) -> list[InFlightRequest]:
-        self.lost.extend(LostRequest(run, 0.0, True) for run in self.in_flight.values())
+        self.lost.extend(LostRequest(request, 0.0, True) for request in self.in_flight.values())
         self.in_flight.clear()
         return self._pop_lost()
 
     def _pop_lost(self) -> list[InFlightRequest]:
-        suspects = [] if self.is_leaving else [lost.run for lost in self.lost]
+        suspects = [] if self.is_leaving else [lost.request for lost in self.lost]
         self.lost.clear()
         return suspects
--- a/src/marjoramtide/serving/_crash_monitor.py
+++ b/src/marjoramtide/serving/_crash_monitor.py
@@ -1,4 +1,4 @@
-"""The ends of the backend server beside this node, and what is put down to them."""
+"""Reports crashes of the backend server and the requests suspected of causing them."""
 
 import asyncio
 
@@ -13,12 +13,12 @@
 
 log = structlog.get_logger()
 
-# Suspects that the log names one by one at the end of a backend server; the rest are counted.
+# Suspects that are logged individually; all of them are counted.
 MAX_LOGGED_SUSPECTS = 24
 
 
 class CrashMonitor:
-    """Follows the runs of the backend server, and tells the log and the guard of its ends."""
+    """Feeds events to the crash detector, and reports crashes to the log and the guard."""
 
     def __init__(self, service: str, guard: RequestGuard, clock: Clock, metrics: Metrics) -> None:
         self.service = service
@@ -29,14 +29,14 @@
         self.timer: asyncio.TimerHandle | None = None
 
     def request_started(self, execution: Execution) -> None:
-        """Note that from here on the backend server may have begun a request."""
+        """Record that the backend server may run a request from now on."""
         request = execution.request
         now = self.clock.monotonic()
-        run = InFlightRequest(execution.fingerprint, request.request_id, request.label, now)
-        self.detector.request_started(execution.ticket, run)
+        in_flight = InFlightRequest(execution.fingerprint, request.request_id, request.label, now)
+        self.detector.request_started(execution.ticket, in_flight)
 
     def request_ended(self, execution: Execution, *, cancelled: bool) -> None:
-        """Note how a run ended; more than once for the same one does nothing."""
+        """Record how a request ended; further calls for the same request have no effect."""
         if execution.is_answered:
             self.detector.request_completed(execution.ticket, self.clock.monotonic())
             return
@@ -47,11 +47,11 @@
         self._check_silence()
 
     def connection_refused(self) -> None:
-        """Note that nobody listens at the backend server's address."""
+        """Record that the backend server's address refuses connections."""
         self._report_crash(self.detector.connection_refused(self.clock.monotonic()), "refused")
 
     def note_health_check(self, *, is_reachable: bool, asked_at: float) -> None:
-        """Note whether the backend server's endpoint answered what it was asked at ``asked_at``."""
+        """Record whether the server responded to the health check sent at ``asked_at``."""
         now = self.clock.monotonic()
         if is_reachable:
             self.detector.note_response(asked_at, now)
@@ -60,12 +60,12 @@
             self._check_silence()
 
     def server_replaced(self) -> None:
-        """Note that another start has taken the backend server's place."""
+        """Record that a new process has replaced the backend server."""
         self._report_crash(self.detector.server_replaced(), "replaced")
         self.guard.server_replaced()
 
     def _check_silence(self) -> None:
-        """Put down what the backend server runs where it is silent, or look again when it is."""
+        """Report a crash if the server has been silent for too long, or set the timer for it."""
         now = self.clock.monotonic()
         self._report_crash(self.detector.check_silence(now), "silent")
         if self.timer is not None:
@@ -76,7 +76,7 @@
             self.timer = loop.call_later(deadline - now, self._check_silence)
 
     def close(self) -> None:
-        """Look no more."""
+        """Cancel the timer."""
         if self.timer is not None:
             self.timer.cancel()
 
@@ -91,6 +91,6 @@
             sign=sign,
             service=self.service,
             suspects=len(suspects),
-            runs=[run.log_fields(now) for run in suspects[:MAX_LOGGED_SUSPECTS]],
+            runs=[suspect.log_fields(now) for suspect in suspects[:MAX_LOGGED_SUSPECTS]],
         )
         self.guard.server_ended(suspects)
--- a/src/marjoramtide/serving/_execution.py
+++ b/src/marjoramtide/serving/_execution.py
@@ -1,24 +1,26 @@
-"""A request between its admission and the end of its answer."""
+"""State of a request from its arrival to the end of its response."""
 
 import attrs
 
 from marjoramtide.exchange import Request, RequestBody
 
-ANSWER_MARGIN_S = 0.01
-ANSWER_MARGIN_SHARE = 0.05
+# Time kept for returning the result to the ingress node: the smaller of the two.
+RETURN_MARGIN_S = 0.01
+RETURN_MARGIN_SHARE = 0.05
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Execution:
-    """One request at the backend server; ``begun`` once a byte of it may have left.
+    """One request for the backend server.
 
-    ``dispatched`` once the backend server was to be given it, so that what becomes of it from there
-    on tells something of that server. ``answered`` once its answer, or its refusal, has arrived
-    whole. ``fingerprint`` tells whether the request is the same as another one.
+    ``is_dispatched`` is set when sending starts; from then on the result counts for the statistics
+    of the backend server. ``may_have_run`` is set before the first byte may be sent.
+    ``is_answered`` is set when the response, or a rejection by the server, has arrived completely.
+    Equal requests have equal fingerprints.
 
-    ``arrived``, ``started`` and ``deadline`` are in seconds of the monotonic clock. The deadline is
-    a little before the request's own, so that the word of the serving node, which alone knows
-    whether the request ran, reaches the caller before the ingress node gives up with "unknown".
+    ``arrived_at``, ``started_at`` and ``deadline`` are in seconds of the monotonic clock. The
+    deadline is slightly earlier than that of the request: only the serving node knows whether the
+    request ran, and its result must arrive before the ingress node times out with "unknown".
     """
 
     ticket: int
@@ -33,14 +35,14 @@
     fingerprint: int = 0
 
     def mark_sent(self) -> None:
-        """Note that from here on nobody can say that the request did not run."""
+        """Record that the request may run from now on."""
         self.may_have_run = True
 
 
 def make_execution(
     ticket: int, request: Request, body: RequestBody, now: float, fingerprint: int = 0
 ) -> Execution:
-    """Return the execution of a request that arrived just now."""
-    margin = min(ANSWER_MARGIN_S, ANSWER_MARGIN_SHARE * (request.deadline - now))
-    deadline = request.deadline - max(0.0, margin)
+    """Return the execution of a request that arrives now."""
+    margin_s = min(RETURN_MARGIN_S, RETURN_MARGIN_SHARE * (request.deadline - now))
+    deadline = request.deadline - max(0.0, margin_s)
     return Execution(ticket, request, body, now, deadline, fingerprint=fingerprint)
--- a/src/marjoramtide/serving/_idempotency_key_dispatcher.py
+++ b/src/marjoramtide/serving/_idempotency_key_dispatcher.py
@@ -1,4 +1,4 @@
-"""Dispatch of requests with an idempotency key."""
+"""Dispatch of requests that have an idempotency key."""
 
 import asyncio
 import hashlib
@@ -24,16 +24,16 @@
 
 log = structlog.get_logger()
 
-STEP = "serving.claim"
-# Answers given from the record of an earlier try carry this header.
-REPLAYED = ("Idempotency-Replayed", "true")
+CLAIM_STEP = "serving.claim"
+# Marks responses that are replayed from the record of an earlier attempt.
+REPLAYED_HEADER = ("Idempotency-Replayed", "true")
 
 
 class IdempotencyKeyDispatcher:
-    """Sends a request only under a claim, and records how it ended.
+    """Claims the idempotency key before a request is sent, and records the outcome.
 
-    A booking that is sent again with its key, through whatever node, then runs at most once within
-    the retention: the claim is made before the dispatch, by a conditional write.
+    The claim is a conditional write to the store. A booking that is repeated with the same key
+    through any node therefore runs at most once within the retention time of claims.
     """
 
     def __init__(self, claims: Claims, view: SettingsView, clock: Clock) -> None:
@@ -45,20 +45,23 @@
     async def dispatch(
         self, execution: Execution, forward: Callable[[Execution], Awaitable[Answer]]
     ) -> Answer:
-        """Claim, dispatch and record; raises as ``RequestHandler.handle``."""
+        """Claim the key, dispatch the request and record the outcome.
+
+        Raises the same errors as ``RequestHandler.handle``.
+        """
         request = execution.request
         try:
             settings = self.view.route(request.service, request.target)
             result = await self.claims.acquire(
                 request.service,
                 request.key,
-                digest(execution),
+                request_digest(execution),
                 settings,
                 request.deadline,
                 request.workspace,
             )
         except MarjoramtideError as error:
-            raise NotRunError(error.code, error.message, step=STEP) from error
+            raise NotRunError(error.code, error.message, step=CLAIM_STEP) from error
         if not result.may_run:
             return self.replay_or_reject(result)
         if result.handle is None:
@@ -73,14 +76,17 @@
         forward: Callable[[Execution], Awaitable[Answer]],
     ) -> Answer:
         if not handle.may_dispatch(self.clock.monotonic()):
-            # A node that was stopped between claim and dispatch must not act on a claim that may
-            # have ended meanwhile; it has sent nothing, so the key is given back.
+            # If this process was suspended between claim and dispatch, the claim may have expired.
+            # Nothing was sent, so the key can be released.
             await self.release(execution, handle)
-            raise NotRunError(ErrorCode.DEADLINE, "the claim is too old to act on", step=STEP)
+            raise NotRunError(
+                ErrorCode.DEADLINE, "the claim of the idempotency key is too old", step=CLAIM_STEP
+            )
         try:
             answer = await forward(execution)
         except NotRunError:
-            # Awaited: the next node's claim would otherwise meet this one and call it a duplicate.
+            # Wait for the release; otherwise the retry on another node would find this claim and
+            # be rejected as a duplicate.
             await self.release(execution, handle)
             raise
         except BaseException:
@@ -96,68 +102,73 @@
         return answer
 
     async def release(self, execution: Execution, handle: ClaimHandle) -> None:
-        """Give the key back within the time left; what is left of it goes on behind."""
-        remaining = execution.deadline - self.clock.monotonic()
-        await self.claims.release(handle, timeout=max(0.0, remaining))
+        """Release the key; after the deadline the release continues in the background."""
+        remaining_s = execution.deadline - self.clock.monotonic()
+        await self.claims.release(handle, timeout=max(0.0, remaining_s))
 
     def replay_or_reject(self, result: ClaimResult) -> Answer:
-        """Return the recorded answer, or raise what keeps the request from running."""
+        """Return the recorded response, or raise the reason why the request must not run."""
         if result.outcome is ClaimOutcome.RECORDED and result.record is not None:
-            return recorded_answer(result.record)
+            return replayed_response(result.record)
         if result.outcome is ClaimOutcome.UNAVAILABLE:
             raise NotRunError(
                 ErrorCode.STORE_UNAVAILABLE,
-                "the key could not be claimed",
-                step=STEP,
+                "the idempotency key could not be claimed",
+                step=CLAIM_STEP,
                 retry_after_ms=result.retry_after_ms,
             )
         if result.reason is ConflictReason.OTHER_REQUEST:
             raise NotRunError(
                 ErrorCode.KEY_REUSED,
-                "the key was used with another request",
-                step=STEP,
+                "the idempotency key was used with another request",
+                step=CLAIM_STEP,
                 retry_after_ms=0,
             )
-        raise duplicate(result.retry_after_ms)
+        raise duplicate_error(result.retry_after_ms)
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run beside the request: its answer need not wait for the record."""
-        task = asyncio.create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        """Run in the background, so that the response doesn't wait for the store."""
+        task = asyncio.create_task(coroutine)
         self.background.add(task)
         task.add_done_callback(self.background.discard)
 
     async def drain(self) -> None:
-        """Wait for the records on their way, for a planned stop."""
+        """Wait for pending writes to the store, during a planned stop."""
         await asyncio.gather(*self.background, return_exceptions=True)
         await self.claims.settle(2.0)
 
 
-def recorded_answer(record: ClaimRecord) -> Answer:
-    """Return the answer of the request that ran with this key."""
+def replayed_response(record: ClaimRecord) -> Answer:
+    """Return the response of the request that ran with this key."""
     if record.state is not ClaimState.COMPLETED:
-        raise duplicate(None)
+        raise duplicate_error(None)
     if record.body is None:
         text = f"completed earlier with status {record.status}; its answer was not kept\n".encode()
-        return Answer(409, (REPLAYED, ("Content-Type", "text/plain")), text, length=len(text))
-    headers = (*record.headers, REPLAYED)
+        return Answer(
+            409, (REPLAYED_HEADER, ("Content-Type", "text/plain")), text, length=len(text)
+        )
+    headers = (*record.headers, REPLAYED_HEADER)
     return Answer(record.status, headers, record.body, length=len(record.body))
 
 
-def duplicate(retry_after_ms: int | None) -> UnknownOutcomeError:
-    """Return the error for a key under which another try runs, or ended unknown.
+def duplicate_error(retry_after_ms: int | None) -> UnknownOutcomeError:
+    """Return the error for a key whose other attempt is in progress or has an unknown outcome.
 
-    It is "unknown" to the caller, whose booking may have run by that other try.
+    The outcome is "unknown" for the caller, because the other attempt may have run the booking.
     """
     return UnknownOutcomeError(
         ErrorCode.DUPLICATE_KEY,
-        "a request with this key is in progress or ended unknown",
-        step=STEP,
+        "another request with this key is in progress or has an unknown outcome",
+        step=CLAIM_STEP,
         retry_after_ms=retry_after_ms,
     )
 
 
-def digest(execution: Execution) -> str:
-    """Return what tells apart requests that use one key; a streamed body counts by its length."""
+def request_digest(execution: Execution) -> str:
+    """Return a digest that tells requests with the same key apart.
+
+    Of a streamed body only the length is included.
+    """
     request: Request = execution.request
     body = execution.body.inline
     content = str(execution.body.length).encode() if body is None else body
--- a/src/marjoramtide/serving/_in_flight_reporter.py
+++ b/src/marjoramtide/serving/_in_flight_reporter.py
@@ -1,22 +1,22 @@
-"""Who is told of runs that no other node knows of."""
+"""Interface for reporting in-flight requests that no other node knows of."""
 
 from abc import ABC, abstractmethod
 
 
 class InFlightReporter(ABC):
-    """Told of requests that this node took from its own callers and serves itself."""
+    """Receives the requests that this node accepted from its own callers and executes itself."""
 
     @abstractmethod
     async def request_started(self, ticket: int, fingerprint: int) -> None:
-        """Note a run that is about to begin; the run waits until this returns."""
+        """Report a request; it is sent to the backend server after this returns."""
 
     @abstractmethod
     def request_finished(self, ticket: int) -> None:
-        """Note that a run is over, whether it was told of or not."""
+        """Report that a request has ended, whether its start was reported or not."""
 
 
 class NullInFlightReporter(InFlightReporter):
-    """Tells nobody."""
+    """Discards all reports."""
 
     async def request_started(self, ticket: int, fingerprint: int) -> None:
         pass
--- a/src/marjoramtide/serving/_in_flight_request.py
+++ b/src/marjoramtide/serving/_in_flight_request.py
@@ -1,14 +1,14 @@
-"""A request that a backend server has begun."""
+"""Records of requests that a backend server may be executing."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class InFlightRequest:
-    """What is kept of a request until it is known whether its backend server outlives it.
+    """A request that has been sent; kept until it is known whether it crashed its server.
 
-    ``fingerprint`` tells whether it is the same as another one, ``label`` is its method and target
-    for logs, ``started`` in seconds of the monotonic clock.
+    Equal requests have equal fingerprints. ``label`` is the method and target for logs,
+    ``started_at`` is in seconds of the monotonic clock.
     """
 
     fingerprint: int
@@ -17,7 +17,7 @@
     started_at: float
 
     def log_fields(self, now: float) -> dict[str, str | int]:
-        """Return the fields by which the log names a run."""
+        """Return the fields that describe the request in a log line."""
         return {
             "fingerprint": f"{self.fingerprint:016x}",
             "request": self.request_id,
@@ -28,12 +28,13 @@
 
 @attrs.frozen(slots=True)
 class LostRequest:
-    """A run that ended without an answer.
+    """A request that ended without a response.
 
-    ``broken`` where the backend server's side of the connection ended, rather than this node's
-    patience or its caller's: a server that is heard of afterwards did not end by it.
+    ``by_server`` is true if the connection was closed by the server, and false after a timeout or
+    a cancellation on this side. A request whose connection was closed before the server last
+    responded did not crash it.
     """
 
-    run: InFlightRequest
+    request: InFlightRequest
     lost_at: float
     by_server: bool
--- a/src/marjoramtide/serving/_request_guard.py
+++ b/src/marjoramtide/serving/_request_guard.py
@@ -1,4 +1,4 @@
-"""Who decides which requests the backend server must not begin."""
+"""Interface to the quarantine of requests that crash backend servers."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -8,35 +8,35 @@
 
 
 class RequestGuard(ABC):
-    """Told what becomes of the backend server's runs; asked before each."""
+    """Decides which requests may be sent, and learns from how earlier ones ended."""
 
     @abstractmethod
     def fingerprint(self, request: Request, body: RequestBody) -> int:
-        """Return the number by which a request is known again."""
+        """Return a number that is the same for equal requests."""
 
     @abstractmethod
     def check(self, request: Request, fingerprint: int) -> None:
-        """Raise ``NotRunError`` where it is known that a request must not be begun now."""
+        """Raise ``NotRunError`` if the request is quarantined."""
 
     @abstractmethod
     def begin(self, request: Request, fingerprint: int) -> None:
-        """Note that a request is handed to the backend server; raises as ``check``."""
+        """Record that a request is about to be sent; raises ``NotRunError`` as ``check`` does."""
 
     @abstractmethod
     def completed(self, fingerprint: int) -> None:
-        """Note that the backend server has answered a request, and lives."""
+        """Record that the backend server has completed a request."""
 
     @abstractmethod
     def server_ended(self, suspects: Sequence[InFlightRequest]) -> None:
-        """Note what the backend server was running when it ended."""
+        """Record which requests were in flight when the backend server crashed."""
 
     @abstractmethod
     def server_replaced(self) -> None:
-        """Note that another start has taken the backend server's place."""
+        """Record that the backend server was replaced by a new process."""
 
 
 class AllowAllGuard(RequestGuard):
-    """Lets everything run."""
+    """Allows every request."""
 
     def fingerprint(self, request: Request, body: RequestBody) -> int:
         return 0
--- a/src/marjoramtide/serving/_request_tokens.py
+++ b/src/marjoramtide/serving/_request_tokens.py
@@ -1,4 +1,4 @@
-"""Tokens by which a backend server's calls name the requests that they are made for."""
+"""Tokens that link a backend server's outgoing calls to the request that caused them."""
 
 import secrets
 
@@ -9,17 +9,16 @@
 from marjoramtide.serving._running_requests import MAX_RUN_S
 
 TOKEN_BYTES = 16
-# Far above what the backend server beside one node runs at once.
+# Far more than one backend server executes at once.
 MAX_TOKENS = 8192
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class RequestTokens(Runs):
-    """Gives each run a token of its own, good until the run's deadline.
+    """Issues one token for each execution of a request, valid until its deadline.
 
-    Callers choose the identities of their requests, so that one may know another's; a token is only
-    known to the backend server that was handed the request. ``listener`` knows the runs by the
-    identities of their requests.
+    Request IDs are chosen by callers, so another caller may know or guess one. A token is known
+    only to the backend server that received the request. ``listener`` is notified by request ID.
     """
 
     clock: Clock
@@ -32,7 +31,7 @@
         return self.clock.monotonic()
 
     def issue(self, request: Request) -> str:
-        """Return a new token for a run of a request."""
+        """Return a new token for an execution of a request."""
         if len(self.requests) >= MAX_TOKENS:
             del self.requests[next(iter(self.requests))]
         token = secrets.token_hex(TOKEN_BYTES)
--- a/src/marjoramtide/serving/_running_requests.py
+++ b/src/marjoramtide/serving/_running_requests.py
@@ -1,4 +1,4 @@
-"""The requests that the own backend server runs, by their identities."""
+"""The requests that the backend server is executing, by request ID."""
 
 from collections import deque
 
@@ -7,16 +7,16 @@
 from marjoramtide.clock import Clock
 from marjoramtide.exchange import Request, Runs
 
-# A run that ended so lately may still be named by calls that were on their way, in seconds.
+# How long calls that were already on their way may still refer to an ended request, in seconds.
 ENDED_RETENTION_S = 5.0
 MAX_ENDED = 4096
-# A node that has been up for less may have missed the beginning of a run, in seconds.
+# A node that has been up for less than this may not know a running request, in seconds.
 MAX_RUN_S = 30.0
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class RunningRequests(Runs):
-    """Knows them from their admission to the end of their answers."""
+    """Tracks requests from their admission to the end of their responses."""
 
     clock: Clock
     process_started_at: float
@@ -43,7 +43,7 @@
             self.with_refused_calls.add(run)
 
     def has_refused_calls(self, request: Request) -> bool:
-        """Tell whether a call of a run was refused."""
+        """Return whether a call that was made for this request has been refused."""
         return request.request_id in self.with_refused_calls
 
     def find(self, run: str) -> Request | None:
--- a/src/marjoramtide/serving/_service.py
+++ b/src/marjoramtide/serving/_service.py
@@ -1,4 +1,4 @@
-"""The only door to a node's own backend server."""
+"""Admission, queueing and execution of requests at the node's backend server."""
 
 import asyncio
 import itertools
@@ -43,13 +43,15 @@
 
 log = structlog.get_logger()
 
-STEP = "serving.send"
+SEND_STEP = "serving.send"
 
 
 class ServingService(RequestHandler):
-    """Admits, queues, dispatches and cancels, from exact local knowledge.
+    """Admits, queues, executes and cancels the requests for the node's backend server.
 
-    Only this class says "not run" of a request: it knows whether a byte of it may have left.
+    All requests to the backend server pass through here, so load and in-flight requests are known
+    exactly. Only this class reports a request as "not run", because it knows whether any byte of
+    the request may have been sent.
     """
 
     def __init__(
@@ -65,9 +67,11 @@
         process_started_at: float | None = None,
         reporter: InFlightReporter | None = None,
     ) -> None:
-        """Without a ``guard`` the backend server may begin every request.
+        """Create the service in the closed state.
 
-        Without a ``reporter`` no other node knows what this one runs for its own callers.
+        Without a ``guard``, every request may be sent to the backend server. Without a
+        ``reporter``, no other node is told of the requests that this node executes for its own
+        callers.
         ``process_started_at`` is when this process started, in seconds of the monotonic clock; by
         default, now.
         """
@@ -90,7 +94,8 @@
         self.tracer = tracer
         self.health_checker: HealthChecker | None = None
         self.interference = Interference()
-        # What the backend server says that it takes, and who hears what other nodes know of that.
+        # The limits that the backend server states, and a callback for statements that arrive
+        # with requests from other nodes.
         self.statement: ServerStatement | None = None
         self.statement_listener: Callable[[ServerStatement], None] | None = None
         self.load_listener: Callable[[LoadReport], None] | None = None
@@ -105,43 +110,47 @@
         self.idle.set()
 
     def open(self, settings: RouteSettings) -> None:
-        """Begin to admit by these settings, or go on by changed ones."""
+        """Apply these settings; the first call opens the service."""
         self.is_open = True
         self.admission.reconfigure(settings)
 
     def server_replaced(self) -> None:
-        """Forget a backend server whose place another start of it has taken, and what it ran.
+        """Reset what was learned of the backend server after its process was restarted.
 
-        Failure: the new one is cold and twice as slow for seconds. By the quickest state of the old
-        one it passes for slowed by neighbours, and requests wait for a change that does not come.
-        Runs of the old one hold slots of the new one until their deadlines, since a connection to a
-        server that crashed may stay silent. Closed, they end at once, as of unknown outcome.
+        A restarted server is cold and twice as slow for seconds. Compared with the best
+        performance of the previous process it would look slowed down by noisy neighbours, and
+        requests would wait for a change that never comes.
+
+        The connections to the previous process are closed. A connection to a crashed server may
+        stay silent, and its requests would occupy slots of the new process until their deadlines;
+        this way they fail at once with an unknown outcome.
         """
         log.info("serving.server_replaced", lost=len(self.in_progress) - len(self.queue.waiting))
         self.interference = Interference()
         if self.health_checker is not None:
             self.health_checker.server_replaced()
-        started = self.admission.server_replaced(self.clock.monotonic())
+        admitted = self.admission.server_replaced(self.clock.monotonic())
         self.crash_monitor.server_replaced()
         self.transport.server_replaced()
-        self.queue.wake(started)
+        self.queue.wake(admitted)
         self.queue.schedule_expiry()
 
     def set_accepting(self, accepting: bool) -> None:
-        """Take new requests, or reject them while those in progress go on."""
+        """Accept or reject new requests; requests in progress are not affected."""
         self.admission.set_accepting(accepting)
 
     def set_evacuated(self, evacuated: bool) -> None:
-        """Give the backend server nothing more, what waits for it included, or work again.
+        """Set whether the data centre is evacuated; evacuation also rejects queued requests.
 
-        What it runs ends as it would. The last check, since others may not have heard yet.
+        Running requests are completed. The check here is the final one, because other nodes may
+        not have heard of the evacuation yet.
         """
         self.is_evacuated = evacuated
         if evacuated:
             self.queue.reject_all(ErrorCode.EVACUATED)
 
     def note_load(self, load: ServerLoad) -> None:
-        """Take in what the backend server says of itself, with an answer or its health."""
+        """Record the load that the backend server reports in a response or health check."""
         now = self.clock.monotonic()
         had_grid = self.interference.grid is not None
         changed = self.interference.observe(load.slowdown, now)
@@ -154,16 +163,16 @@
         if changed and self.load_listener is not None:
             self.load_listener(self.report(now))
 
-    def note_cold_start(self, left_s: float) -> None:
-        """Take in for how much longer the backend server is cold, in seconds."""
+    def note_cold_start(self, remaining_s: float) -> None:
+        """Record for how many more seconds the backend server is in its cold start."""
         now = self.clock.monotonic()
-        self.admission.note_cold(left_s, now)
+        self.admission.note_cold(remaining_s, now)
         self.queue.resume(now)
 
     def note_statement(self, statement: ServerStatement | None, since: float) -> None:
-        """Go by what the backend server says that it takes, and tell other nodes of it.
+        """Apply the limits that the backend server states, and include them in load reports.
 
-        ``since`` is when it first named its limit or when that last fell.
+        ``since`` is when the server first stated its rate limit or last lowered it.
         """
         now = self.clock.monotonic()
         self.statement = statement
@@ -171,18 +180,18 @@
         self.admission.name_rate(rate, since, now)
         self.queue.resume(now)
         if self.queue.waiting:
-            # What waited for a lower limit is looked at by the new one.
+            # The expiry of queued requests depends on the rate limit.
             self.queue.schedule_expiry()
 
     def report(self, now: float) -> LoadReport:
-        """Return the load at this moment, as other nodes are told."""
+        """Return the current load as it is reported to other nodes."""
         report = self.interference.annotate(self.admission.report(now), now)
         if self.statement is None:
             return report
         return attrs.evolve(report, statement=self.statement)
 
     def preferred_check_at(self, now: float) -> float | None:
-        """Return when a look at the backend server's load is worth most, ``None`` while unknown."""
+        """Return the best time for the next health check, ``None`` while the load is unknown."""
         return self.interference.next_look_at(now) if self.interference.is_told else None
 
     async def handle(self, request: Request, body: RequestBody) -> Answer:
@@ -193,7 +202,7 @@
                 step="serving.admit",
             )
         if request.statement is not None and self.statement_listener is not None:
-            # Before it is admitted: this node may have started anew, and know nothing of it.
+            # Before admission: after a restart this node may not know the limits yet.
             self.statement_listener(request.statement)
         if self.is_evacuated:
             raise NotRunError(
@@ -211,7 +220,7 @@
         try:
             await self.admit(execution)
         except BaseException:
-            self.done(execution)
+            self.remove(execution)
             raise
         self.running.begin(request)
         if request.idempotent:
@@ -219,7 +228,7 @@
         return await self.execute_uncancelled(execution)
 
     async def admit(self, execution: Execution) -> None:
-        """Return when the request may start; raise ``NotRunError`` where it may not."""
+        """Wait until the request may start; raises ``NotRunError`` if it is rejected."""
         request, ticket = execution.request, execution.ticket
         kind = self.classifier.classify(request)
         profile = make_call_profile(request, execution.deadline, request.attempt, kind)
@@ -229,7 +238,7 @@
             self.metrics.count(f"serving.rejected.{decision.reason}")
             raise NotRunError(
                 ErrorCode(decision.reason),
-                "the backend server has no room",
+                "the backend server has no free capacity",
                 step="serving.admit",
                 retry_after_ms=decision.retry_after_ms,
                 report=self.report(now),
@@ -239,10 +248,11 @@
         execution.started_at = self.clock.monotonic()
 
     async def execute_uncancelled(self, execution: Execution) -> Answer:
-        """Execute a non-idempotent request whether or not its caller still waits.
+        """Execute a non-idempotent request to completion even if its caller disconnects.
 
-        Closing the connection would not undo a booking that has begun; it would only lose its
-        outcome. So a caller that goes away cancels what has not begun, and nothing else.
+        Closing the connection would not undo a booking that the backend server has started; it
+        would only lose the outcome. A disconnect therefore cancels only requests that have not
+        been sent yet.
         """
         task = asyncio.create_task(self.execute(execution))
         self.background.add(task)
@@ -257,14 +267,14 @@
             raise
 
     def close_unread(self, task: "asyncio.Task[Answer]") -> None:
-        """Close the stream of an answer that nobody will read."""
+        """Close the response stream of a request whose caller has disconnected."""
         if not task.cancelled() and task.exception() is None:
             closing = asyncio.ensure_future(task.result().close())
             self.background.add(closing)  # type: ignore[arg-type]
             closing.add_done_callback(self.background.discard)  # type: ignore[arg-type]
 
     async def execute(self, execution: Execution) -> Answer:
-        """Send an admitted request and return its answer with the load at this moment."""
+        """Send an admitted request and return its response with the current load report."""
         request = execution.request
         succeeded = False
         streaming = False
@@ -272,7 +282,7 @@
         try:
             with self.tracer.span("serving", request.trace) as span:
                 if span is not None:
-                    # What the backend server does for this request is this span's child.
+                    # Spans of the backend server for this request become children of this span.
                     execution.request = attrs.evolve(request, trace=span.header())
                 answer = await self.send(execution)
                 if span is not None:
@@ -280,12 +290,12 @@
             succeeded = not answer.is_server_error
             streaming = answer.stream is not None
             if not streaming:
-                self.note_answer(execution)
+                self.note_completed(execution)
             if answer.stream is not None:
-                answer.stream = self.watch_stream(execution, answer.stream, succeeded)
+                answer.stream = self.relay_stream(execution, answer.stream, succeeded)
                 answer.cancel = self.finish_on_cancel(execution, answer)
         except RequestFailedError as error:
-            # A refusal is an answer, too: the backend server lives, and has not begun.
+            # A rejection is a response, too: the server is alive and did not run the request.
             execution.is_answered = isinstance(error, NotRunError)
             if error.report is None and self.statement is not None:
                 error.report = self.report(self.clock.monotonic())
@@ -320,18 +330,18 @@
             answer.work_ms = self.interference.work_ms(execution.started_at, now)
         return answer
 
-    def note_answer(self, execution: Execution) -> None:
-        """Note that the backend server has completed a request."""
+    def note_completed(self, execution: Execution) -> None:
+        """Record that the backend server has completed a request."""
         execution.is_answered = True
         self.guard.completed(execution.fingerprint)
 
     async def probe_after_loss(self, execution: Execution, error: RequestFailedError) -> None:
-        """Find out whether the backend server has ended, before a failed run is told of.
+        """Check whether the backend server has crashed, before a lost request is reported.
 
-        Failure: a request ends its server, and before any node knows of that end its ingress node
-        has sent it to the next one: an attempt of a caller that allows three tries ended three
-        servers within 0.14 s. Looked for first, the news of the end is on its way to all nodes
-        before the failure is; they need one way for it, a second try needs two.
+        A request that crashes its server would otherwise be retried on the next server before any
+        node knows of the crash: one call with three tries crashed three servers within 0.14 s.
+        With the check first, the news of the crash leaves for all nodes before the failure is
+        returned. The news needs one network hop, a retry needs two.
         """
         if isinstance(error, UnknownOutcomeError) and execution.may_have_run:
             self.crash_monitor.request_ended(execution, cancelled=False)
@@ -341,7 +351,7 @@
         request = execution.request
         remaining = execution.deadline - self.clock.monotonic()
         if remaining <= 0:
-            raise NotRunError(ErrorCode.DEADLINE, "no time is left", step=STEP)
+            raise NotRunError(ErrorCode.DEADLINE, "the deadline has already passed", step=SEND_STEP)
         self.guard.begin(request, execution.fingerprint)
         try:
             async with asyncio.timeout(remaining):
@@ -353,60 +363,63 @@
         except TimeoutError as error:
             if not execution.may_have_run:
                 raise NotRunError(
-                    ErrorCode.DEADLINE, "the deadline passed before it was sent", step=STEP
+                    ErrorCode.DEADLINE,
+                    "the deadline passed before the request was sent",
+                    step=SEND_STEP,
                 ) from error
             raise UnknownOutcomeError(
-                ErrorCode.DEADLINE, "the deadline passed in the backend server", step=STEP
+                ErrorCode.DEADLINE, "the backend server missed the deadline", step=SEND_STEP
             ) from error
 
     async def dispatch(self, execution: Execution) -> Answer:
-        """Hand the request to the backend server."""
-        body = await self.collect(execution)
+        """Send the request to the backend server."""
+        body = await self.buffer_body(execution)
         execution.is_dispatched = True
         remaining = execution.deadline - self.clock.monotonic()
         return await self.transport.send(
-            execution.request, body, remaining * 1000, lambda: self.begin(execution)
+            execution.request, body, remaining * 1000, lambda: self.mark_sent(execution)
         )
 
-    async def collect(self, execution: Execution) -> RequestBody:
-        """Return the body, wholly in memory where it isn't long.
+    async def buffer_body(self, execution: Execution) -> RequestBody:
+        """Return the request body, buffered in memory unless it is long.
 
-        A part of it at the backend server would leave open whether the request has run.
+        If the upload broke off after a part of the body was sent, it would be unknown whether the
+        request has run.
         """
         try:
             return await execution.body.collected()
         except UnknownOutcomeError as error:
-            raise NotRunError(error.code, error.message, step=STEP) from error
+            raise NotRunError(error.code, error.message, step=SEND_STEP) from error
 
-    def begin(self, execution: Execution) -> None:
-        """Note that from here on the backend server may have begun a request."""
+    def mark_sent(self, execution: Execution) -> None:
+        """Record that the backend server may run the request from now on."""
         execution.mark_sent()
         self.metrics.count("serving.begun")
         self.crash_monitor.request_started(execution)
 
-    async def watch_stream(
+    async def relay_stream(
         self, execution: Execution, stream: AsyncIterator[bytes], succeeded: bool
     ) -> AsyncIterator[bytes]:
-        """Pass the stream on; the slot is free when it ends, within the deadline."""
-        whole = False
+        """Relay the response stream, enforce the deadline and free the slot at its end."""
+        is_complete = False
         try:
             while True:
-                # Around the read alone: a timeout that spans the yield would cancel whoever takes
-                # the data, amid something else, and nobody would be told of the deadline.
+                # The timeout covers the read only: across the yield, it would cancel the consumer
+                # in the middle of other work, and the deadline would go unreported.
                 remaining = max(0.0, execution.deadline - self.clock.monotonic())
                 async with asyncio.timeout(remaining):
                     data = await anext(stream, None)
                 if data is None:
                     break
                 yield data
-            whole = True
-            self.note_answer(execution)
+            is_complete = True
+            self.note_completed(execution)
         except TimeoutError as error:
             raise UnknownOutcomeError(
-                ErrorCode.DEADLINE, "the deadline passed amid the answer", step="serving.stream"
+                ErrorCode.DEADLINE, "the deadline passed during the response", step="serving.stream"
             ) from error
         finally:
-            self.finish(execution, succeeded and whole)
+            self.finish(execution, succeeded and is_complete)
 
     def finish_on_cancel(self, execution: Execution, answer: Answer):  # type: ignore[no-untyped-def]
         close = answer.cancel
@@ -419,12 +432,12 @@
         return cancel
 
     def finish(self, execution: Execution, succeeded: bool, cancelled: bool = False) -> None:
-        """Free the slot, once, and start whoever waits for it.
+        """Free the slot, once, and start queued requests that can use it.
 
-        A request that its ingress node gave up, or that never got as far as the backend server for
-        want of a claim, says nothing of success: counted as failures, the losers of hedges, and all
-        bookings while the store is down, would lower the limit and the success rate of healthy
-        servers.
+        Requests that the ingress node cancelled and requests that never reached the backend server
+        because no claim was possible are not counted as failures. Otherwise the losers of hedged
+        requests, and all bookings while the store is down, would lower the concurrency limit and
+        the success rate of healthy servers.
         """
         if execution.ticket not in self.in_progress:
             return
@@ -439,16 +452,17 @@
                 self.health_checker.note_request(succeeded, duration_ms)
             work_ms = self.interference.work_ms(execution.started_at, now)
             had_refused_calls = not succeeded and self.running.has_refused_calls(execution.request)
-            started = self.admission.finished(
+            admitted = self.admission.finished(
                 execution.ticket, now, work_ms, succeeded, had_refused_calls
             )
-            self.queue.wake(started)
-        self.done(execution)
+            self.queue.wake(admitted)
+        self.remove(execution)
         if self.queue.waiting:
-            # What ended may have changed how long the others will take, or the limit.
+            # The result may have changed the limit or the estimated execution times.
             self.queue.schedule_expiry()
 
-    def done(self, execution: Execution) -> None:
+    def remove(self, execution: Execution) -> None:
+        """Remove a request that has ended or was rejected."""
         self.in_progress.pop(execution.ticket, None)
         self.reporter.request_finished(execution.ticket)
         self.running.end(execution.request)
@@ -456,20 +470,20 @@
             self.idle.set()
 
     def reject_queued(self) -> None:
-        """Refuse what is queued as not run, so that other nodes may take it."""
+        """Reject all queued requests as "not run", so that other nodes can serve them."""
         self.queue.reject_all()
 
     def reject_quarantined(self, fingerprint: int) -> None:
-        """Refuse at once what waits for a slot and is held back from now on."""
-        same = [each for each in self.in_progress.values() if each.fingerprint == fingerprint]
-        for execution in same:
+        """Reject queued requests with a fingerprint that has just been quarantined."""
+        matching = [each for each in self.in_progress.values() if each.fingerprint == fingerprint]
+        for execution in matching:
             try:
                 self.guard.check(execution.request, fingerprint)
             except NotRunError as error:
                 self.queue.reject(execution.ticket, error)
 
     async def close(self) -> None:
-        """Close the connections to the backend server."""
+        """Cancel background tasks and timers, and close the connections to the server."""
         self.queue.close()
         self.crash_monitor.close()
         for task in list(self.background):
--- a/src/marjoramtide/serving/_slot_queue.py
+++ b/src/marjoramtide/serving/_slot_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a slot of the backend server."""
+"""Queue of requests that wait for a slot of the backend server."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -10,10 +10,10 @@
 
 
 class SlotQueue:
-    """Wakes what waits as the admission gives slots, and refuses it once that is in vain.
+    """Wakes queued requests when they are admitted, and rejects those that expire.
 
-    Requests are known by their tickets. All that leaves the queue without a slot has certainly not
-    run. ``report`` returns the load at a time, which a refusal tells.
+    Requests are identified by tickets. A request that leaves the queue without a slot has certainly
+    not run. ``report`` returns the load report for a given time; rejections carry it.
     """
 
     def __init__(
@@ -26,7 +26,7 @@
         self.timer: asyncio.TimerHandle | None = None
 
     async def wait(self, ticket: int) -> None:
-        """Return when a ticket has a slot; raises ``NotRunError`` where it gets none."""
+        """Wait until a ticket gets a slot; raises ``NotRunError`` if it is rejected."""
         waiter = self.waiting[ticket] = asyncio.get_running_loop().create_future()
         self.schedule_expiry()
         try:
@@ -38,55 +38,58 @@
             self.waiting.pop(ticket, None)
 
     def wake(self, tickets: Iterable[int]) -> None:
-        """Wake the tickets that were given a slot."""
+        """Wake the tickets that were admitted."""
         for ticket in tickets:
             waiter = self.waiting.get(ticket)
             if waiter is not None and not waiter.done():
                 waiter.set_result(None)
             elif waiter is None or waiter.cancelled():
-                # Cancelled in the same turn of the loop: without this the slot is never freed.
+                # The waiter was cancelled in the same iteration of the event loop; without this,
+                # its slot would never be freed.
                 self.wake(self.admission.withdraw(ticket, self.clock.monotonic()))
 
     def resume(self, now: float) -> None:
-        """Start what waited for the backend server's pace."""
-        started = self.admission.resume(now) if self.waiting else []
-        if started:
-            self.wake(started)
+        """Wake requests that can start now that the backend server's speed or limit has changed."""
+        admitted = self.admission.resume(now) if self.waiting else []
+        if admitted:
+            self.wake(admitted)
             self.schedule_expiry()
 
     def schedule_expiry(self) -> None:
-        """Look again when the first ticket can no longer finish in time."""
-        due = self.admission.next_expiry()
+        """Set the timer for the next ticket that can no longer finish before its deadline."""
+        expires_at = self.admission.next_expiry()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if due is not None:
-            delay = max(0.0, due - self.clock.monotonic())
-            self.timer = asyncio.get_running_loop().call_later(delay, self.reject_expired)
+        if expires_at is not None:
+            delay_s = max(0.0, expires_at - self.clock.monotonic())
+            self.timer = asyncio.get_running_loop().call_later(delay_s, self.reject_expired)
 
     def reject_expired(self) -> None:
-        """Refuse at once what can no longer finish in time."""
+        """Reject tickets that can no longer finish before their deadlines."""
         now = self.clock.monotonic()
         expired = self.admission.expire(now)
         retry_after_ms = self.admission.come_back_ms(now) if expired else 0
-        reason = "it could no longer finish in time"
+        reason = "the request could no longer finish before its deadline"
         self.reject_tickets(expired, ErrorCode.DEADLINE, reason, retry_after_ms)
         self.wake(self.admission.resume(now))
         self.schedule_expiry()
 
     def reject_all(self, code: ErrorCode = ErrorCode.DRAINING) -> None:
-        """Refuse all that waits, so that other nodes may take it.
+        """Reject all queued requests, so that other nodes can serve them.
 
-        For a backend server that leaves: what waits for it would reach it seconds after it was told
-        that nothing new would.
+        Used when the backend server leaves or is evacuated: queued requests would otherwise reach
+        it seconds after it was promised no new work.
         """
-        self.reject_tickets(self.admission.release(), code, "the backend server takes nothing more")
+        self.reject_tickets(
+            self.admission.release(), code, "the backend server takes no more requests"
+        )
         self.schedule_expiry()
 
     def reject_tickets(
         self, tickets: list[int], code: ErrorCode, reason: str, retry_after_ms: int = 0
     ) -> None:
-        """Refuse tickets that the admission has dropped."""
+        """Reject tickets that the admission has already removed."""
         report = self.report(self.clock.monotonic()) if tickets else None
         for ticket in tickets:
             waiter = self.waiting.get(ticket)
@@ -102,13 +105,13 @@
                 )
 
     def reject(self, ticket: int, error: NotRunError) -> None:
-        """Refuse one ticket, where it still waits."""
+        """Reject one ticket, if it is still queued."""
         waiter = self.waiting.get(ticket)
         if waiter is not None and not waiter.done():
             waiter.set_exception(error)
             self.wake(self.admission.withdraw(ticket, self.clock.monotonic()))
 
     def close(self) -> None:
-        """Look no more."""
+        """Cancel the expiry timer."""
         if self.timer is not None:
             self.timer.cancel()
