--- a/src/marjoramtide/serving/_backend_connection.py
+++ b/src/marjoramtide/serving/_backend_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the backend server."""
+"""A connection to the backend server."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,22 +11,22 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """Carries one request at a time; used again only after a whole answer with nothing behind it.
+    """Carries one request at a time; reused only after a complete response without extra bytes.
 
-    ``lost`` is called once, when the connection has ended. ``told_idle_s`` is how long the server
-    keeps it while it is idle, in seconds, ``None`` where the last answer did not tell; until
-    ``idle_until``, in seconds of the monotonic clock, it may be used again.
+    ``on_lost`` is called once, when the connection is closed. ``server_idle_timeout_s`` is the
+    server's idle timeout, ``None`` if the last response did not state it. An idle connection may be
+    reused until ``idle_until``, in seconds of the monotonic clock.
     """
 
-    def __init__(self, peer: str, lost: "Callable[[BackendConnection], None]") -> None:
+    def __init__(self, peer: str, on_lost: "Callable[[BackendConnection], None]") -> None:
         self.peer = peer
-        self.lost = lost
+        self.on_lost = on_lost
         self.transport: asyncio.Transport | None = None
-        self.reply: BackendResponse | None = None
-        self.sender: asyncio.Task[None] | None = None
+        self.response: BackendResponse | None = None
+        self.body_task: asyncio.Task[None] | None = None
         self.writable = asyncio.Event()
         self.writable.set()
-        self.told_idle_s: float | None = None
+        self.server_idle_timeout_s: float | None = None
         self.idle_until = 0.0
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -35,9 +35,9 @@
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.writable.set()
-        if self.reply is not None:
-            self.reply.lost(exc)
-        self.lost(self)
+        if self.response is not None:
+            self.response.connection_lost(exc)
+        self.on_lost(self)
 
     def pause_writing(self) -> None:
         self.writable.clear()
@@ -46,15 +46,15 @@
         self.writable.set()
 
     def data_received(self, data: bytes) -> None:
-        if self.reply is None:
-            # Bytes that nobody asked for would be read as the answer to the next request, whose
-            # caller would get another's.
+        if self.response is None:
+            # Unsolicited bytes would be parsed as the response to the next request and delivered
+            # to the wrong caller.
             self.abort()
         else:
-            self.reply.feed(data)
+            self.response.feed(data)
 
     @property
-    def usable(self) -> bool:
+    def is_usable(self) -> bool:
         return self.transport is not None and not self.transport.is_closing()
 
     def send(
@@ -62,59 +62,63 @@
         head: bytes,
         body: RequestBody,
         *,
-        head_only: bool = False,
+        is_head_request: bool = False,
         belongs: Callable[[BackendResponse], bool] | None = None,
     ) -> BackendResponse:
-        """Send a request and return its reply to be."""
+        """Send a request and return its response, which is still to be received."""
         assert self.transport is not None
-        self.reply = reply = BackendResponse(
-            self.transport, self.peer, head_only=head_only, belongs=belongs
+        self.response = response = BackendResponse(
+            self.transport, self.peer, is_head_request=is_head_request, belongs=belongs
         )
         if body.inline is not None:
             self.transport.write(head + body.inline)
         else:
             self.transport.write(head)
-            self.sender = asyncio.create_task(self.send_body(body, reply))
-        return reply
+            self.body_task = asyncio.create_task(self.send_body(body, response))
+        return response
 
-    async def send_body(self, body: RequestBody, reply: BackendResponse) -> None:
-        """Send a streamed body as its head announced it; anything else ends the connection."""
+    async def send_body(self, body: RequestBody, response: BackendResponse) -> None:
+        """Send a streamed body; the connection is closed if its length is not as announced."""
         try:
             sent = 0
             async for data in body.open():
                 sent += len(data)
                 if body.length is not None and sent > body.length:
-                    raise ValueError(f"the body is longer than its {body.length} bytes")
+                    raise ValueError(
+                        f"the request body is longer than the announced {body.length} bytes"
+                    )
                 if data:
-                    await self.write_piece(data, chunked=body.length is None)
+                    await self.write_chunk(data, chunked=body.length is None)
             if body.length is None:
-                await self.write_piece(b"", chunked=True)
+                await self.write_chunk(b"", chunked=True)
             elif sent < body.length:
-                raise ValueError(f"the body ended after {sent} of {body.length} bytes")
+                raise ValueError(f"the request body ended after {sent} of {body.length} bytes")
         except Exception as error:
-            reply.fail(ErrorCode.BACKEND_FAILED, f"{type(error).__name__}: {error}")
+            response.fail(ErrorCode.BACKEND_FAILED, f"{type(error).__name__}: {error}")
             self.abort()
 
-    async def write_piece(self, data: bytes, *, chunked: bool) -> None:
+    async def write_chunk(self, data: bytes, *, chunked: bool) -> None:
         await self.writable.wait()
         if self.transport is None or self.transport.is_closing():
             raise ConnectionResetError("the connection was closed")
         self.transport.write(b"%x\r\n%b\r\n" % (len(data), data) if chunked else data)
 
-    def end(self) -> bool:
-        """End an exchange whose answer was read; tell whether the connection may be used again."""
-        reply, self.reply = self.reply, None
-        body_sent = self.sender is None or self.sender.done()
-        if reply is None or not (reply.complete and reply.reusable and body_sent and self.usable):
+    def finish_exchange(self) -> bool:
+        """End an exchange; returns whether the connection can be reused, and closes it if not."""
+        response, self.response = self.response, None
+        is_body_sent = self.body_task is None or self.body_task.done()
+        if response is None or not (
+            response.is_complete and response.is_reusable and is_body_sent and self.is_usable
+        ):
             self.abort()
             return False
-        self.sender = None
-        self.told_idle_s = reply.told_idle_s()
+        self.body_task = None
+        self.server_idle_timeout_s = response.server_idle_timeout_s()
         return True
 
     def abort(self) -> None:
-        """Close at once."""
-        if self.sender is not None:
-            self.sender.cancel()
+        """Close the connection immediately."""
+        if self.body_task is not None:
+            self.body_task.cancel()
         if self.transport is not None:
             self.transport.abort()
--- a/src/marjoramtide/serving/_backend_protocol.py
+++ b/src/marjoramtide/serving/_backend_protocol.py
@@ -1,4 +1,4 @@
-"""The interface to what backend servers speak beyond plain HTTP."""
+"""Interface for the backend server's conventions on top of HTTP."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
@@ -11,25 +11,25 @@
 
 
 class BackendProtocol(ABC):
-    """Words requests and reads answers; it decides nothing and holds no state."""
+    """Encodes request headers and decodes responses; makes no decisions."""
 
     own_answer_headers: frozenset[str]
-    """Headers of an answer, in lower case, that end at this node."""
+    """Names of response headers, in lower case, that are not forwarded to the caller."""
 
     @abstractmethod
     def request_headers(
         self, request: Request, remaining_ms: float, instance: str
     ) -> Iterable[tuple[str, str]]:
-        """Return the headers that this node adds; ``instance`` is whom the request is for."""
+        """Return the headers to add; ``instance`` is the backend server's identity or empty."""
 
     @abstractmethod
-    def belongs(self, request_id: str, reply: BackendResponse) -> bool:
-        """Tell whether an answer, whose head is there, is the one to this request."""
+    def belongs(self, request_id: str, response: BackendResponse) -> bool:
+        """Return whether a response, of which the head is known, belongs to this request."""
 
     @abstractmethod
-    def read_response(self, reply: BackendResponse) -> ResponseMetadata:
-        """Read the head of an answer to a request."""
+    def read_response(self, response: BackendResponse) -> ResponseMetadata:
+        """Decode the head of a response."""
 
     @abstractmethod
-    def read_health(self, answer: EndpointResponse) -> HealthCheckResult:
-        """Read the answer of the health endpoint."""
+    def read_health(self, response: EndpointResponse) -> HealthCheckResult:
+        """Decode a response of the health endpoint."""
--- a/src/marjoramtide/serving/_backend_state.py
+++ b/src/marjoramtide/serving/_backend_state.py
@@ -1,10 +1,10 @@
-"""What the backend server's own health endpoint says."""
+"""Health state of the backend server."""
 
 from enum import StrEnum
 
 
 class BackendState(StrEnum):
-    """Whether the backend server takes new work."""
+    """Whether the backend server accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
--- a/src/marjoramtide/serving/_backend_transport.py
+++ b/src/marjoramtide/serving/_backend_transport.py
@@ -1,4 +1,4 @@
-"""The interface to the backend server beside a node."""
+"""Interface for sending requests to the backend server."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class BackendTransport(ABC):
-    """Sends requests to the one backend server of this node."""
+    """Sends requests to the backend server beside this node."""
 
     @abstractmethod
     async def send(
@@ -18,33 +18,33 @@
         remaining_ms: float,
         on_dispatch: Callable[[], None],
     ) -> Answer:
-        """Send the request and return its answer.
+        """Send the request and return its response.
 
-        Calls ``begun`` before the first byte of the request may leave. Raises ``NotRunError``
-        where nothing was sent or the backend server says that it did not run the request, and
-        ``UnknownOutcomeError`` where the answer broke off. A connection on which anything was
-        cancelled or broke off is closed and never used again.
+        Calls ``on_dispatch`` before the first byte of the request may be sent. Raises
+        ``NotRunError`` if nothing was sent or the backend server states that it did not run the
+        request, and ``UnknownOutcomeError`` if the response is incomplete. A connection with a
+        cancelled or incomplete exchange is closed and never reused.
         """
 
     @abstractmethod
     async def read(self, path: str, timeout_s: float) -> EndpointResponse:
-        """Read one of the backend server's own endpoints.
+        """Send a GET request to one of the backend server's own endpoints.
 
-        Raises ``NotRunError``, ``UnknownOutcomeError`` or ``TimeoutError`` where it can't.
+        Raises ``NotRunError``, ``UnknownOutcomeError`` or ``TimeoutError`` if that fails.
         """
 
     async def probe(self) -> None:
-        """Find out soon whether anybody listens at the server's address, and tell if nobody does.
+        """Check quickly whether the server still accepts connections, and report if it doesn't.
 
-        Does nothing where that can't be found out without a request.
+        Does nothing by default, for transports that can't check this without a request.
         """
         return None
 
     @abstractmethod
     def server_replaced(self) -> None:
-        """Close the connections to a start of the backend server that has ended.
+        """Close the connections to the previous process of the backend server.
 
-        Requests that wait for an answer on them raise ``UnknownOutcomeError``.
+        Requests that wait for a response on them raise ``UnknownOutcomeError``.
         """
 
     @abstractmethod
--- a/src/marjoramtide/serving/_default_backend_protocol.py
+++ b/src/marjoramtide/serving/_default_backend_protocol.py
@@ -1,4 +1,4 @@
-"""What backend servers speak by our own headers."""
+"""The backend protocol defined by this project."""
 
 import json
 from collections.abc import Iterator
@@ -16,24 +16,25 @@
 MAX_DIGITS = 7
 RATE_LIMIT = "backend-rate-limit"
 LEAVING = "backend-leaving"
-STATEMENTS = StatementParser(RATE_LIMIT, LEAVING)
+STATEMENT_PARSER = StatementParser(RATE_LIMIT, LEAVING)
 
 
 class DefaultBackendProtocol(BackendProtocol):
-    """``Request-Outcome: not-run`` for refusals, and a JSON health endpoint.
+    """``Request-Outcome: not-run`` for rejections, and a JSON health endpoint.
 
-    In any answer, of its health too, a server may name ``Backend-Rate-Limit``, the requests a
-    second that it takes from all callers together for as long as it says so, and say
+    In any response, including health checks, a server may send ``Backend-Rate-Limit``, the requests
+    per second that it accepts from all callers together for as long as the header is present, and
     ``Backend-Leaving: 1``.
 
-    A request for a workspace comes with ``Marjoramtide-Workspace`` and ``Marjoramtide-Run``. Calls
-    that the server makes for it need no key where they bring the latter back.
+    A request for a workspace has the headers ``Marjoramtide-Workspace`` and ``Marjoramtide-Run``.
+    Calls that the server makes on its behalf need no API key if they send ``Marjoramtide-Run``
+    back.
     """
 
     own_answer_headers = OWN_ANSWER | {RATE_LIMIT, LEAVING}
 
     def __init__(self, tokens: RequestTokens | None = None) -> None:
-        """Without ``tokens`` requests come without ``Marjoramtide-Run``."""
+        """Without ``tokens``, requests are sent without ``Marjoramtide-Run``."""
         self.tokens = tokens
 
     def request_headers(
@@ -47,56 +48,58 @@
             if self.tokens is not None:
                 yield "Marjoramtide-Run", self.tokens.issue(request)
 
-    def belongs(self, request_id: str, reply: BackendResponse) -> bool:
+    def belongs(self, request_id: str, response: BackendResponse) -> bool:
         return True
 
-    def read_response(self, reply: BackendResponse) -> ResponseMetadata:
-        statement, malformed = read_statement(reply)
-        if reply.header("request-outcome") != Outcome.NOT_RUN:
+    def read_response(self, response: BackendResponse) -> ResponseMetadata:
+        statement, malformed = read_statement(response)
+        if response.header("request-outcome") != Outcome.NOT_RUN:
             return ResponseMetadata(
                 ResponseVerdict.ANSWERED, statement=statement, malformed=malformed
             )
-        leaving = reply.header("connection").lower() == "close"
+        is_leaving = response.header("connection").lower() == "close"
         return ResponseMetadata(
             ResponseVerdict.REFUSED,
-            leaving,
-            come_back_ms(reply),
+            is_leaving,
+            read_retry_after_ms(response),
             statement=statement,
             malformed=malformed,
         )
 
-    def read_health(self, answer: EndpointResponse) -> HealthCheckResult:
-        statement, malformed = read_statement(answer)
-        state = parse_state(answer.status, answer.body)
+    def read_health(self, response: EndpointResponse) -> HealthCheckResult:
+        statement, malformed = read_statement(response)
+        state = parse_state(response.status, response.body)
         return HealthCheckResult(state, statement=statement, malformed=malformed)
 
 
 def read_statement(
-    answer: BackendResponse | EndpointResponse,
+    response: BackendResponse | EndpointResponse,
 ) -> tuple[ServerStatement, tuple[str, ...]]:
-    """Read what a server says that it takes, and what of it can't be read."""
-    return STATEMENTS.parse(answer.header_values(RATE_LIMIT), answer.header_values(LEAVING))
+    """Return the limits that a server states, and the statements that are invalid."""
+    return STATEMENT_PARSER.parse(
+        response.header_values(RATE_LIMIT), response.header_values(LEAVING)
+    )
 
 
 def parse_state(status: int, body: bytes) -> BackendState:
-    """Return the state in a health answer: its JSON ``state``, or by its status alone."""
+    """Return the state in a health response: its JSON ``state``, or else by its status."""
     try:
         state = json.loads(body).get("state", "")
-    except (ValueError, AttributeError, RecursionError):  # the last one for what is nested deeply
+    except (ValueError, AttributeError, RecursionError):  # RecursionError: deeply nested JSON
         state = ""
     if state == "draining":
         return BackendState.DRAINING
     return BackendState.READY if status < 400 else BackendState.DOWN
 
 
-def come_back_ms(reply: BackendResponse) -> int | None:
-    """Return when the backend server wants a refused request back, in milliseconds, if it says so.
+def read_retry_after_ms(response: BackendResponse) -> int | None:
+    """Return after how many milliseconds a rejected request may be retried, ``None`` if not stated.
 
-    What is no small whole number counts as not said: digits of other scripts, or thousands of them,
-    would end a provable "not run" in an error.
+    Anything but a small whole number is ignored. Non-ASCII digits, or thousands of digits, would
+    raise an error, and a certain "not run" would be lost.
     """
     for name, unit_ms in (("retry-after-ms", 1), ("retry-after", 1000)):
-        text = reply.header(name)
+        text = response.header(name)
         if text.isascii() and text.isdigit() and len(text) <= MAX_DIGITS:
             return int(text) * unit_ms
     return None
--- a/src/marjoramtide/serving/_health_check_result.py
+++ b/src/marjoramtide/serving/_health_check_result.py
@@ -1,4 +1,4 @@
-"""What a backend server's health endpoint says."""
+"""Result of a health check of the backend server."""
 
 import attrs
 
@@ -10,11 +10,11 @@
 
 @attrs.frozen(slots=True)
 class HealthCheckResult:
-    """Its state, the identity it states (or empty), and its load where it tells it.
+    """The state of the server, its stated identity (or empty), and its load if it reports one.
 
-    ``answered`` is false where the endpoint could not be read. ``cold_left_s`` is for how much
-    longer the server is cold, in seconds, ``None`` where it doesn't tell. ``statement`` is what it
-    says that it takes, and ``malformed`` holds the statements that can't be read.
+    ``is_reachable`` is false if the endpoint did not respond. ``cold_remaining_s`` is the rest of
+    the server's cold start, ``None`` if not stated. ``statement`` holds the stated limits, and
+    ``malformed`` the header lines of statements that are invalid.
     """
 
     state: BackendState
--- a/src/marjoramtide/serving/_http_transport.py
+++ b/src/marjoramtide/serving/_http_transport.py
@@ -1,4 +1,4 @@
-"""The backend server over HTTP/1.1."""
+"""HTTP/1.1 transport to the backend server."""
 
 import asyncio
 from collections.abc import AsyncIterator, Callable
@@ -30,19 +30,18 @@
 log = structlog.get_logger()
 
 CONNECT_TIMEOUT_S = 1.0
-# For how long the failure of a request may be held back until it is known whether the server has
-# ended, in seconds. Beside the server a connection is made or refused within a millisecond.
-LOOK_TIMEOUT_S = 0.02
-# How long a new connection must stay open to count, in seconds, and how many are tried.
-SETTLE_S = 0.002
-LOOKS = 3
+# Limits the delay of a failed request's error while the server is probed, in seconds. The server is
+# on the same host, so a connection is accepted or refused within a millisecond.
+PROBE_TIMEOUT_S = 0.02
+# How long a probe connection must stay open to show that the server is alive, in seconds.
+PROBE_SETTLE_S = 0.002
+MAX_PROBES = 3
 
 
 class HttpTransport(BackendTransport):
-    """Keeps connections to one backend server, at most ``limit`` of them.
+    """Sends requests over at most ``max_connections`` connections to one backend server.
 
-    Nothing is ever sent a second time here: whether there is another try is decided by the ingress
-    node alone.
+    The transport never retries. Only the ingress node decides about retries.
     """
 
     def __init__(
@@ -54,20 +53,20 @@
     ) -> None:
         self.clock = clock or SystemClock()
         self.protocol = protocol or DefaultBackendProtocol()
-        # Whom requests are for, where the backend server has told its identity.
+        # The identity of the registered backend server, empty while it is unknown.
         self.instance = ""
-        # Told what an answer says, and when the request was sent.
+        # Called with the metadata of each response and the time at which the request was sent.
         self.on_response: Callable[[ResponseMetadata, float], None] | None = None
-        # Called where nobody listens at the address.
+        # Called when the server refuses a connection.
         self.on_connection_refused: Callable[[], None] | None = None
         self.address = address
         self.host, _, port = address.rpartition(":")
         self.port = int(port)
         self.max_connections = max_connections
         self.connections: set[BackendConnection] = set()
-        self.opening = 0
+        self.connecting = 0
         self.idle = IdleConnectionPool(self.clock)
-        self.looking: asyncio.Task[None] | None = None
+        self.probe_task: asyncio.Task[None] | None = None
 
     async def send(
         self,
@@ -76,166 +75,171 @@
         remaining_ms: float,
         on_dispatch: Callable[[], None],
     ) -> Answer:
-        added = self.protocol.request_headers(request, remaining_ms, self.instance)
-        head = encode_head(request, body, added, self.address)
-        connection = await self.take()
+        added_headers = self.protocol.request_headers(request, remaining_ms, self.instance)
+        head = encode_head(request, body, added_headers, self.address)
+        connection = await self.acquire()
         on_dispatch()
         sent_at = self.clock.monotonic()
         try:
-            reply = connection.send(
+            response = connection.send(
                 head,
                 body,
-                head_only=request.method == "HEAD",
-                belongs=lambda reply: self.protocol.belongs(request.request_id, reply),
+                is_head_request=request.method == "HEAD",
+                belongs=lambda response: self.protocol.belongs(request.request_id, response),
             )
-            first = await reply.first(INLINE_BYTES)
+            first = await response.read(INLINE_BYTES)
         except UnknownOutcomeError as error:
             connection.abort()
-            # A body that its caller broke off is no fault of the backend server.
+            # Report a broken upload as the caller's failure, not as the backend server's.
             raise body.error or error from error
         except BaseException:
             connection.abort()
             raise
-        reading = self.protocol.read_response(reply)
+        metadata = self.protocol.read_response(response)
         if self.on_response is not None:
-            self.on_response(reading, sent_at)
-        if reading.verdict in (ResponseVerdict.REFUSED, ResponseVerdict.MISDIRECTED):
-            self.give_back(connection)
-            raise self.refused(reading)
-        if reading.verdict is ResponseVerdict.INVALID:
+            self.on_response(metadata, sent_at)
+        if metadata.verdict in (ResponseVerdict.REFUSED, ResponseVerdict.MISDIRECTED):
+            self.release(connection)
+            raise self.rejection_error(metadata)
+        if metadata.verdict is ResponseVerdict.INVALID:
             connection.abort()
             raise UnknownOutcomeError(
                 ErrorCode.BACKEND_FAILED,
-                f"an answer of status {reply.status} that no caller may be given",
+                f"invalid response with status {response.status}",
                 step="serving.read",
                 peer=self.address,
             )
-        headers = end_to_end(reply.headers, self.protocol.own_answer_headers)
-        answer = Answer(reply.status, headers, length=reply.length)
-        if reply.complete:
-            self.give_back(connection)
-            if not reply.head_only:
+        headers = end_to_end(response.headers, self.protocol.own_answer_headers)
+        answer = Answer(response.status, headers, length=response.length)
+        if response.is_complete:
+            self.release(connection)
+            if not response.is_head_request:
                 answer.body, answer.length = first, len(first)
             return answer
 
         async def cancel() -> None:
             connection.abort()
 
-        answer.stream = self.chunks(first, reply, connection)
+        answer.stream = self.body_chunks(first, response, connection)
         answer.cancel = cancel
         return answer
 
-    async def chunks(
-        self, first: bytes, reply: BackendResponse, connection: BackendConnection
+    async def body_chunks(
+        self, first: bytes, response: BackendResponse, connection: BackendConnection
     ) -> AsyncIterator[bytes]:
-        """Yield the body; raises where it breaks off, so that a part is never taken for all."""
+        """Yield the response body; raises ``UnknownOutcomeError`` if it is truncated."""
         try:
             yield first
-            while reply.size or not reply.complete:
-                if data := await reply.first(1):
+            while response.buffered_bytes or not response.is_complete:
+                if data := await response.read(1):
                     yield data
         finally:
-            # With an unread rest the connection is closed: the rest would be the next one's answer.
-            self.give_back(connection)
+            # A connection with unread data is closed here; the next request on it would read the
+            # rest of this response as its own.
+            self.release(connection)
 
-    def refused(self, reading: ResponseMetadata) -> NotRunError:
+    def rejection_error(self, metadata: ResponseMetadata) -> NotRunError:
         return NotRunError(
-            ErrorCode.DRAINING if reading.is_leaving else ErrorCode.OVERLOADED,
-            "the backend server refused the request",
+            ErrorCode.DRAINING if metadata.is_leaving else ErrorCode.OVERLOADED,
+            "the backend server rejected the request",
             step="serving.read",
             peer=self.address,
-            retry_after_ms=reading.retry_after_ms,
+            retry_after_ms=metadata.retry_after_ms,
             reached=True,
         )
 
     async def read(self, path: str, timeout_s: float) -> EndpointResponse:
         head = f"GET {path} HTTP/1.1\r\nHost: {self.address}\r\n\r\n".encode()
         async with asyncio.timeout(timeout_s):
-            connection = await self.take()
+            connection = await self.acquire()
             try:
-                reply = connection.send(head, inline_body())
-                body = await reply.first(INLINE_BYTES)
-                return EndpointResponse(reply.status, tuple(reply.headers), body)
+                response = connection.send(head, inline_body())
+                body = await response.read(INLINE_BYTES)
+                return EndpointResponse(response.status, tuple(response.headers), body)
             finally:
-                self.give_back(connection)
+                self.release(connection)
 
-    async def take(self) -> BackendConnection:
-        """Return a free connection, or a new one; raises ``NotRunError`` where there is none."""
-        return self.idle.take() or await self.connect(CONNECT_TIMEOUT_S)
+    async def acquire(self) -> BackendConnection:
+        """Return an idle or new connection; raises ``NotRunError`` if there is none."""
+        return self.idle.acquire() or await self.connect(CONNECT_TIMEOUT_S)
 
     async def probe(self) -> None:
-        """Open one connection, which is kept for the next request, for however many lost ones."""
-        if self.looking is None:
-            self.looking = asyncio.create_task(self.connect_ahead())
-            self.looking.add_done_callback(lambda _: self.looked())
-        await asyncio.shield(self.looking)
-
-    async def connect_ahead(self) -> None:
-        """Connect until a connection stays open, or there can't be one.
-
-        Failure: a host closes the sockets of a process that has ended one after another, and a
-        connection is still taken in between; the server passes for alive. In one of six plays with
-        a busy host an attempt of a caller ended a third server by that. Such a connection breaks
-        when the listener is closed, within a millisecond.
+        """Open one connection and keep it idle; concurrent calls share one probe."""
+        if self.probe_task is None:
+            self.probe_task = asyncio.create_task(self.connect_until_open())
+            self.probe_task.add_done_callback(lambda _: self.probe_done())
+        await asyncio.shield(self.probe_task)
+
+    async def connect_until_open(self) -> None:
+        """Connect until a connection stays open or is refused, with a limited number of attempts.
+
+        When a process crashes, the kernel closes its sockets one after another, and a listening
+        socket may still accept a connection in between. The crashed server then looks alive: in one
+        of six test runs on a busy host, a single call crashed a third server that way. Such a
+        connection is closed together with the listening socket, within a millisecond.
         """
-        for _ in range(LOOKS):
+        for _ in range(MAX_PROBES):
             try:
-                connection = await self.connect(LOOK_TIMEOUT_S)
+                connection = await self.connect(PROBE_TIMEOUT_S)
             except NotRunError as error:
                 log.info(
-                    "serving.look_failed",
+                    "serving.probe_failed",
                     code=error.code,
                     step=error.step,
                     peer=error.peer,
                     reason=error.message,
                 )
-                is_known = isinstance(error.__cause__, ConnectionRefusedError | TimeoutError)
-                if is_known or error.code is ErrorCode.OVERLOADED:
+                is_conclusive = isinstance(error.__cause__, ConnectionRefusedError | TimeoutError)
+                if is_conclusive or error.code is ErrorCode.OVERLOADED:
                     return
                 continue
-            await asyncio.sleep(SETTLE_S)
-            if connection.usable:
-                self.idle.keep(connection)
+            await asyncio.sleep(PROBE_SETTLE_S)
+            if connection.is_usable:
+                self.idle.add(connection)
                 return
 
-    def looked(self) -> None:
-        self.looking = None
+    def probe_done(self) -> None:
+        self.probe_task = None
 
     async def connect(self, timeout_s: float) -> BackendConnection:
-        """Return a new connection; raises ``NotRunError`` where there can't be one."""
-        if len(self.connections) + self.opening >= self.max_connections:
-            raise self.unconnected(
+        """Return a new connection; raises ``NotRunError`` if it can't be established."""
+        if len(self.connections) + self.connecting >= self.max_connections:
+            raise self.connect_error(
                 ErrorCode.OVERLOADED, f"all {self.max_connections} connections are in use"
             )
-        self.opening += 1
+        self.connecting += 1
         try:
             async with asyncio.timeout(timeout_s):
                 _, connection = await asyncio.get_running_loop().create_connection(
-                    lambda: BackendConnection(self.address, self.lost), self.host, self.port
+                    lambda: BackendConnection(self.address, self.connection_lost),
+                    self.host,
+                    self.port,
                 )
         except (OSError, TimeoutError) as error:
             if isinstance(error, ConnectionRefusedError) and self.on_connection_refused is not None:
                 self.on_connection_refused()
-            text = f"{type(error).__name__}: {error}"
-            raise self.unconnected(ErrorCode.CONNECT_FAILED, text) from error
+            reason = f"{type(error).__name__}: {error}"
+            raise self.connect_error(ErrorCode.CONNECT_FAILED, reason) from error
         finally:
-            self.opening -= 1
-        if not connection.usable:
-            raise self.unconnected(ErrorCode.CONNECT_FAILED, "closed as soon as it was open")
+            self.connecting -= 1
+        if not connection.is_usable:
+            raise self.connect_error(
+                ErrorCode.CONNECT_FAILED, "the connection was closed immediately"
+            )
         self.connections.add(connection)
         return connection
 
-    def unconnected(self, code: ErrorCode, message: str) -> NotRunError:
+    def connect_error(self, code: ErrorCode, message: str) -> NotRunError:
         return NotRunError(code, message, step="serving.connect", peer=self.address)
 
-    def give_back(self, connection: BackendConnection) -> None:
-        """Keep a connection for the next request where its exchange ended cleanly."""
-        if connection.end():
-            self.idle.keep(connection)
+    def release(self, connection: BackendConnection) -> None:
+        """Keep a connection for the next request if its exchange was completed cleanly."""
+        if connection.finish_exchange():
+            self.idle.add(connection)
 
-    def lost(self, connection: BackendConnection) -> None:
+    def connection_lost(self, connection: BackendConnection) -> None:
         self.connections.discard(connection)
-        self.idle.drop(connection)
+        self.idle.discard(connection)
 
     def server_replaced(self) -> None:
         for connection in list(self.connections):
@@ -243,6 +247,6 @@
 
     async def close(self) -> None:
         self.idle.close()
-        if self.looking is not None:
-            self.looking.cancel()
+        if self.probe_task is not None:
+            self.probe_task.cancel()
         self.server_replaced()
--- a/src/marjoramtide/serving/_response_metadata.py
+++ b/src/marjoramtide/serving/_response_metadata.py
@@ -1,4 +1,4 @@
-"""What an answer of the backend server says, beyond HTTP."""
+"""Metadata in the head of a backend server's response."""
 
 from enum import Enum
 
@@ -11,22 +11,22 @@
 
 
 class ResponseVerdict(Enum):
-    """What the head of an answer says of the request."""
+    """How a response is to be treated, by its head."""
 
     ANSWERED = "answered"
-    REFUSED = "refused"  # it did not run, and never will
-    MISDIRECTED = "misdirected"  # as refused: another backend server has this address now
-    INVALID = "spoiled"  # it may have run, but this is no answer that a caller may be given
+    REFUSED = "refused"  # the request did not run and never will
+    MISDIRECTED = "misdirected"  # as REFUSED; another backend server has this address now
+    INVALID = "spoiled"  # the request may have run, but the response must not be forwarded
 
 
 @attrs.frozen(slots=True)
 class ResponseMetadata:
-    """The head of an answer, decoded.
+    """The decoded head of a response.
 
-    ``leaving`` tells that the backend server takes no new work; ``retry_after_ms`` when it wants a
-    refused request back, ``load`` what it says of itself, each ``None`` where it doesn't.
-    ``instance`` is the identity it states, or empty; ``statement`` what it says that it takes, and
-    ``malformed`` the statements that can't be read.
+    ``is_leaving`` is true if the backend server accepts no new requests. ``retry_after_ms`` is when
+    a rejected request may be retried, and ``load`` the reported load; both are ``None`` if not
+    stated. ``instance`` is the stated identity, or empty. ``statement`` holds the stated limits,
+    and ``malformed`` the header lines of statements that are invalid.
     """
 
     verdict: ResponseVerdict
--- a/src/marjoramtide/serving/_server_load.py
+++ b/src/marjoramtide/serving/_server_load.py
@@ -1,14 +1,14 @@
-"""What a backend server says of its own load."""
+"""Load reported by a backend server."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class ServerLoad:
-    """Its figures at one moment.
+    """The load at one point in time.
 
-    ``slowdown`` is how many times longer work takes there now than usual, because of neighbours on
-    its instance; 1 where it says nothing of that.
+    ``slowdown`` is the factor by which work currently takes longer than usual because of noisy
+    neighbours on the instance; 1 if it isn't reported.
     """
 
     running: int
--- a/src/marjoramtide/serving/_statement_parser.py
+++ b/src/marjoramtide/serving/_statement_parser.py
@@ -1,4 +1,4 @@
-"""Reads what a backend server says that it takes, by whichever names."""
+"""Parser for the limits that a backend server states in response headers."""
 
 import re
 from collections.abc import Sequence
@@ -8,50 +8,50 @@
 from marjoramtide.exchange import ServerStatement
 from marjoramtide.serving._response_metadata import NOTHING_STATED
 
-# No backend server takes a million requests a second; more is no rate.
-MOST_PER_S = 1_000_000.0
+# No backend server serves a million requests per second; higher values are invalid.
+MAX_RATE_PER_S = 1_000_000.0
 RATE = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
 LEAVING = "1"
-# Of a text that can't be read; the rest tells nothing more.
-LOGGED_CHARACTERS = 40
+# Longer invalid values are truncated in logs.
+MAX_LOGGED_CHARS = 40
 
 
 @attrs.frozen(slots=True)
 class StatementParser:
-    """The names of the two statements in the headers of answers.
+    """Parses the rate limit and the leaving flag from response headers with the given names.
 
-    What is no plain decimal number, is beyond any rate or stands there twice counts as not said,
-    and is returned as malformed: a server that says so is in need, and which of two limits it means
-    can't be known.
+    A rate that is not a plain decimal number, is too high or occurs twice counts as not stated: it
+    is unclear which of two limits is meant. It is returned as malformed and not ignored silently,
+    because a server that sends it is in need of protection.
     """
 
-    rate_name: str
-    leaving_name: str
+    rate_header: str
+    leaving_header: str
 
     def parse(
-        self, rates: Sequence[str], leavings: Sequence[str]
+        self, rate_values: Sequence[str], leaving_values: Sequence[str]
     ) -> tuple[ServerStatement, tuple[str, ...]]:
-        """Return what the values of both headers say, and what of them can't be read."""
-        if not rates and not leavings:
+        """Return the statement in the values of both headers, and the invalid header lines."""
+        if not rate_values and not leaving_values:
             return NOTHING_STATED, ()
-        rate = read_rate(rates[0]) if len(rates) == 1 else None
-        leaving = len(leavings) == 1 and leavings[0].strip() == LEAVING
+        rate = parse_rate(rate_values[0]) if len(rate_values) == 1 else None
+        is_leaving = len(leaving_values) == 1 and leaving_values[0].strip() == LEAVING
         malformed = []
-        if rates and rate is None:
-            malformed.append(told(self.rate_name, rates))
-        if leavings and not leaving:
-            malformed.append(told(self.leaving_name, leavings))
-        return ServerStatement("", rate, leaving), tuple(malformed)
+        if rate_values and rate is None:
+            malformed.append(header_line(self.rate_header, rate_values))
+        if leaving_values and not is_leaving:
+            malformed.append(header_line(self.leaving_header, leaving_values))
+        return ServerStatement("", rate, is_leaving), tuple(malformed)
 
 
-def read_rate(text: str) -> float | None:
-    """Read requests a second; ``None`` where it says nothing."""
+def parse_rate(text: str) -> float | None:
+    """Parse requests per second; ``None`` if the value is invalid."""
     if not RATE.fullmatch(text.strip(" \t")):
         return None
     rate = float(text)
-    return rate if rate <= MOST_PER_S else None
+    return rate if rate <= MAX_RATE_PER_S else None
 
 
-def told(name: str, values: Sequence[str]) -> str:
-    """Return a header as it is told in a log line."""
-    return f"{name}: {', '.join(values)}"[: len(name) + LOGGED_CHARACTERS]
+def header_line(name: str, values: Sequence[str]) -> str:
+    """Return a header as it is logged."""
+    return f"{name}: {', '.join(values)}"[: len(name) + MAX_LOGGED_CHARS]
