--- a/src/marjoramtide/serving/_ended_incarnations.py
+++ b/src/marjoramtide/serving/_ended_incarnations.py
@@ -1,17 +1,17 @@
-"""The starts of backend servers that have ended."""
+"""Incarnations of backend servers that have ended."""
 
 from marjoramtide.serving._registration import Registration
 
-# Identities that are remembered. A heartbeat that a cut held up arrives at most minutes late; of a
-# server that restarts each second, no more than the last minute is remembered.
+# Number of instances that are remembered. A heartbeat delayed by a network partition is at most
+# minutes late; of a server that restarts every second, only the last minute is remembered.
 MAX_INSTANCES = 64
 
 
 class EndedIncarnations:
-    """Remembers, for each of the last identities, the latest start that has ended.
+    """Remembers the latest ended incarnation of each of the last instances.
 
-    Failure without it: a heartbeat that was held up arrives after the departure of its sender, and
-    new work is sent to a server that is gone.
+    Otherwise a delayed heartbeat that arrives after the departure of its sender would register a
+    server that no longer exists, and new requests would be sent to it.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         return bool(self.latest)
 
     def add(self, instance: str, start_time_ms: int | None) -> None:
-        """Remember that a start has ended; ``born`` is ``None`` where it isn't known."""
+        """Record that an incarnation has ended; its start time may be unknown."""
         known = [
             each for each in (self.latest.pop(instance, None), start_time_ms) if each is not None
         ]
@@ -29,13 +29,13 @@
         if len(self.latest) > MAX_INSTANCES:
             del self.latest[next(iter(self.latest))]
 
-    def includes(self, heard: Registration) -> bool:
-        """Tell whether a heartbeat is of a start that has ended.
+    def includes(self, heartbeat: Registration) -> bool:
+        """Return whether a heartbeat is from an incarnation that has ended.
 
-        Where the ended one has never told when it was born, nothing shows that ``heard`` is of a
-        later one.
+        If the start time of the ended incarnation is unknown, nothing shows that ``heartbeat`` is
+        from a later one.
         """
-        if heard.instance not in self.latest:
+        if heartbeat.instance not in self.latest:
             return False
-        ended = self.latest[heard.instance]
-        return ended is None or heard.start_time_ms is None or heard.start_time_ms <= ended
+        ended = self.latest[heartbeat.instance]
+        return ended is None or heartbeat.start_time_ms is None or heartbeat.start_time_ms <= ended
--- a/src/marjoramtide/serving/_health_checker.py
+++ b/src/marjoramtide/serving/_health_checker.py
@@ -1,4 +1,4 @@
-"""Reads the backend server's health endpoint, within its budget."""
+"""Periodic health checks of the backend server, within a budget."""
 
 import asyncio
 from collections.abc import Callable
@@ -19,15 +19,17 @@
 log = structlog.get_logger()
 
 CHECK_TIMEOUT_S = 1.0
-FAILED_CHECKS_TO_DOWN = 2
+DOWN_AFTER_FAILED_CHECKS = 2
+# Upper bound of a sleep between checks, since a failing request may bring the next check forward.
 MAX_SLEEP_S = 0.1
 
 
 class HealthChecker:
-    """Tells ``listener`` the backend server's state as its own endpoint states it.
+    """Reports changes of the backend server's state, by its health endpoint, to ``state_listener``.
 
-    Only draining and being down are taken from there. Load is known exactly on this side, from the
-    requests under way and their times; the endpoint's figures lag or mislead, so they are not read.
+    From the endpoint only the states draining and down are used. Load is known exactly on this
+    side, from the requests in flight and their times; the endpoint's figures lag or mislead, so the
+    checker ignores them.
     """
 
     def __init__(
@@ -39,7 +41,7 @@
         protocol: BackendProtocol | None = None,
         result_listener: Callable[[HealthCheckResult, float], None] | None = None,
     ) -> None:
-        """``result_listener`` is told each reading, and when it was asked for."""
+        """``result_listener`` receives each result and the time at which the check was sent."""
         self.protocol = protocol or DefaultBackendProtocol()
         self.result_listener = result_listener
         self.preferred_check_at: Callable[[float], float | None] | None = None
@@ -54,11 +56,12 @@
         self.configured = asyncio.Event()
 
     def configure(self, settings: RouteSettings) -> None:
-        """Read at the rate that these settings allow."""
+        """Apply the health path and the rate limits of these settings."""
         self.path = settings.health_path
         budget = MeasuringBudget(settings.measuring_per_s, settings.measuring_share, settings.slots)
         if self.budget is not None:
-            # What was learned stays: each of many changes a day would otherwise bring a read.
+            # Keep the measurements; settings change many times a day, and each change would
+            # otherwise cause an additional check.
             budget.last_read_at = self.budget.last_read_at
             budget.read_ms = self.budget.read_ms
             budget.execution_ms = self.budget.execution_ms
@@ -66,29 +69,32 @@
         self.configured.set()
 
     def server_replaced(self) -> None:
-        """Forget how long reads and executions took on a start that has ended; read at once."""
+        """Reset the measured times after a restart of the server, and check at once."""
         self.failed_checks = 0
         if self.budget is not None:
             self.budget = self.budget.restarted()
 
-    def note_request(self, succeeded: bool, took_ms: float) -> None:
-        """Note the end of a request: reads may be rarer where it went well, and come sooner where
-        it failed. ``took_ms`` tells what share of the capacity a read costs."""
+    def note_request(self, succeeded: bool, duration_ms: float) -> None:
+        """Record the end of a request.
+
+        Checks may be rarer after successes and come sooner after failures. ``duration_ms`` is used
+        to estimate what share of the server's capacity a check costs.
+        """
         if self.budget is not None:
-            self.budget.traffic(self.clock.monotonic(), succeeded, took_ms)
+            self.budget.traffic(self.clock.monotonic(), succeeded, duration_ms)
 
     async def run(self) -> None:
-        """Read until cancelled, from the first settings on.
+        """Run checks until cancelled, starting as soon as settings are available.
 
-        Waking for them in steps of 0.1 s made a node that starts serve 50 ms later on the mean.
+        Polling for the settings every 0.1 s delayed the first request served by a starting node by
+        50 ms on average.
         """
         await self.configured.wait()
         while True:
             now = self.clock.monotonic()
-            due = self.next_check_at(now)
-            if due > now:
-                # In short steps, since a failing request may bring the next read forward.
-                await self.clock.sleep(min(due - now, MAX_SLEEP_S))
+            check_at = self.next_check_at(now)
+            if check_at > now:
+                await self.clock.sleep(min(check_at - now, MAX_SLEEP_S))
                 continue
             state = await self.check()
             if state is not None and state is not self.state:
@@ -97,40 +103,43 @@
                 self.state_listener(state)
 
     def next_check_at(self, now: float) -> float:
-        """Return when to read next, in seconds: when the budget lets, sooner reads being worth it.
+        """Return the time of the next check.
 
-        ``preferred_check_at`` is told by whoever follows the load that each read brings.
+        This is the budget's regular time, or an earlier preferred time if the budget allows it.
+        ``preferred_check_at`` is supplied by the component that analyses the reported load.
         """
         assert self.budget is not None
-        usual = self.budget.next_read_at(now)
+        regular_at = self.budget.next_read_at(now)
         if self.preferred_check_at is None or self.budget.last_read_at is None:
-            return usual
-        wanted = self.preferred_check_at(now)
-        if wanted is None:
-            return usual
-        return max(wanted, self.budget.last_read_at + self.budget.min_interval_s)
+            return regular_at
+        preferred = self.preferred_check_at(now)
+        if preferred is None:
+            return regular_at
+        return max(preferred, self.budget.last_read_at + self.budget.min_interval_s)
 
     async def check(self) -> BackendState | None:
-        """Read once; ``None`` where one failure alone says too little."""
+        """Run one check; returns ``None`` after a single failure, which is not conclusive."""
         assert self.budget is not None
-        started = self.clock.monotonic()
+        sent_at = self.clock.monotonic()
         if not self.path:
-            # Nothing to read: what becomes of requests is all there is to know.
-            self.budget.read(started)
+            # Without a health endpoint, the results of requests are the only evidence.
+            self.budget.read(sent_at)
             return BackendState.READY
         try:
-            answer = await self.transport.read(self.path, CHECK_TIMEOUT_S)
-            reading = self.protocol.read_health(answer)
+            response = await self.transport.read(self.path, CHECK_TIMEOUT_S)
+            result = self.protocol.read_health(response)
         except (MarjoramtideError, TimeoutError):
-            reading = HealthCheckResult(BackendState.DOWN, is_reachable=False)
+            result = HealthCheckResult(BackendState.DOWN, is_reachable=False)
         now = self.clock.monotonic()
-        self.budget.read(now, (now - started) * 1000)
+        self.budget.read(now, (now - sent_at) * 1000)
         self.metrics.count("serving.measuring_reads")
-        state = reading.state
+        state = result.state
         if self.result_listener is not None:
-            self.result_listener(reading, started)
+            self.result_listener(result, sent_at)
         if state is not BackendState.DOWN:
             self.failed_checks = 0
             return state
         self.failed_checks += 1
-        return state if self.failed_checks >= FAILED_CHECKS_TO_DOWN or self.state is None else None
+        return (
+            state if self.failed_checks >= DOWN_AFTER_FAILED_CHECKS or self.state is None else None
+        )
--- a/src/marjoramtide/serving/_registrar.py
+++ b/src/marjoramtide/serving/_registrar.py
@@ -1,4 +1,4 @@
-"""Which backend server stands beside this node."""
+"""Tracks which backend server is registered at this node."""
 
 from collections.abc import Awaitable, Callable
 
@@ -11,18 +11,18 @@
 
 log = structlog.get_logger()
 
-# Of an identity that another writer made up; the rest tells nothing more.
+# Longer identities, which only malformed requests contain, are truncated in logs.
 MAX_LOGGED_CHARS = 80
 
 
 class Registrar:
-    """Follows the registrations of the backend server beside this node, in any order.
+    """Processes heartbeats and departures of the backend server, in any order of arrival.
 
-    ``changed`` is called, without a pause in between, before a registration or a departure is
-    acknowledged: once the backend server knows that its leaving was heard, no new work reaches it.
+    ``on_change`` is called synchronously before a heartbeat or departure is acknowledged. After the
+    backend server has received the acknowledgement of its departure, no new request reaches it.
 
-    ``fetch_identity`` reads from the backend server itself who it is; it returns an empty string
-    where that can't be learned.
+    ``fetch_identity`` asks the backend server itself for its identity; it returns an empty string
+    if that fails.
     """
 
     def __init__(
@@ -35,38 +35,38 @@
         self.fetch_identity = fetch_identity
         self.on_change = on_change
         self.current: Registration | None = None
-        # Whether the last start that was registered has said that it leaves.
+        # Whether the last registered incarnation has announced its departure.
         self.has_departed = False
         self.ended = EndedIncarnations()
         self.rejected_count = 0
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether a backend server is registered that takes new work."""
+        """Return whether a backend server is registered that accepts new requests."""
         return self.current is not None and not self.current.is_draining
 
-    async def register(self, heard: Registration) -> None:
-        """Take one heartbeat; raises ``bad-request`` where it is of another service."""
-        if heard.service != self.service:
+    async def register(self, heartbeat: Registration) -> None:
+        """Process one heartbeat; raises ``bad-request`` if it is for another service."""
+        if heartbeat.service != self.service:
             raise MarjoramtideError(
                 ErrorCode.BAD_REQUEST,
-                f"this node serves {self.service!r}, not {heard.service!r}",
+                f"this node serves {self.service!r}, not {heartbeat.service!r}",
                 step="serving.register",
-                peer=heard.address,
+                peer=heartbeat.address,
             )
-        held = self.current
-        if held is not None and held.is_same_incarnation(heard):
-            self._update(held, heard)
-        elif self.ended.includes(heard):
-            self._ignore(heard)
-        elif held is None:
-            self._register(heard)
-        elif await self._supersedes(held, heard):
-            self._end(held)
-            self._register(heard)
+        registered = self.current
+        if registered is not None and registered.is_same_incarnation(heartbeat):
+            self._update(registered, heartbeat)
+        elif self.ended.includes(heartbeat):
+            self._ignore(heartbeat)
+        elif registered is None:
+            self._set_current(heartbeat)
+        elif await self._supersedes(registered, heartbeat):
+            self._clear_current(registered)
+            self._set_current(heartbeat)
 
     def reject_malformed(self, instance: str, reason: str) -> None:
-        """Count and log a heartbeat or departure that can't be read; it changes nothing."""
+        """Count and log a malformed heartbeat or departure, which has no other effect."""
         self.rejected_count += 1
         log.warning(
             "serving.registration_malformed",
@@ -77,15 +77,15 @@
         )
 
     def note_discovered(self, instance: str, slots: int) -> None:
-        """Take a backend server that is sound and states its identity, before its first heartbeat.
+        """Register a healthy backend server by its stated identity, before its first heartbeat.
 
-        Failure: all nodes lose power and start again. Their backend servers serve on, but the next
-        heartbeat of each comes up to an interval later, and until then nobody is served. Only a
-        node that has heard nothing yet goes by this: one that has knows more than the identity.
+        If all nodes restart after a power loss while their backend servers keep running, the next
+        heartbeats arrive up to one interval later, and no requests would be served until then. This
+        applies only if nothing has been received yet; heartbeats contain more than the identity.
         """
         if self.current is None and not self.ended and instance and slots > 0:
-            log.info("serving.found", instance=instance, slots=slots)
-            self._register(
+            log.info("serving.discovered", instance=instance, slots=slots)
+            self._set_current(
                 Registration(
                     instance=instance,
                     address="",
@@ -100,91 +100,103 @@
             )
 
     def deregister(self, instance: str, start_time_ms: int | None = None) -> None:
-        """Take the word that a backend server leaves, also before any heartbeat of it came.
+        """Process the departure of a backend server, which may arrive before any heartbeat.
 
-        A departure that doesn't tell of which start it is counts for the one that is registered:
-        idle until its next start, a server that did not leave harms callers less than new work for
-        one that did.
+        A departure without a start time is applied to the registered incarnation. A running server
+        that stays idle until its next start harms callers less than requests sent to one that has
+        left.
         """
-        held = self.current
+        registered = self.current
         is_late = (
-            held is not None
-            and held.instance == instance
-            and is_earlier(start_time_ms, held.start_time_ms)
+            registered is not None
+            and registered.instance == instance
+            and is_earlier(start_time_ms, registered.start_time_ms)
         )
         log.info("serving.departed", instance=instance, start_time_ms=start_time_ms, late=is_late)
-        # Of the start that it tells, which may be a later one than the one that is registered: its
-        # first heartbeat may come after it, and must not bring it back.
+        # The departure may be from a later incarnation than the registered one; if the first
+        # heartbeat of that incarnation arrives afterwards, it must not register the server again.
         self.ended.add(instance, start_time_ms)
-        if held is not None and held.instance == instance and not is_late:
+        if registered is not None and registered.instance == instance and not is_late:
             self.has_departed = True
-            self._end(held)
+            self._clear_current(registered)
 
     def note_misdirected(self, instance: str) -> None:
-        """Note that the backend server says it is ``instance``, not the registered one.
+        """Record that the server at the address states another identity than the registered one.
 
-        Its own heartbeat will tell the rest. Until then nothing is sent: what was registered is
-        gone, and its address may belong to another service by now.
+        No requests are sent until the new server sends a heartbeat: the registered server is gone,
+        and its address may now belong to another service.
         """
-        held = self.current
-        if held is not None and instance and instance != held.instance:
-            log.warning("serving.replaced", instance=held.instance, found=instance)
-            self._end(held)
-
-    async def _supersedes(self, held: Registration, heard: Registration) -> bool:
-        """Tell which of two starts is the later one, by asking whoever listens at the address.
-
-        Failure: a heartbeat that a cut held up arrives after its sender has crashed and a new start
-        has registered. Taken for news, it would have every request refused as meant for another
-        one, until the next heartbeat; identities alone don't tell which is older.
+        registered = self.current
+        if registered is not None and instance and instance != registered.instance:
+            log.warning("serving.replaced", instance=registered.instance, found=instance)
+            self._clear_current(registered)
+
+    async def _supersedes(self, registered: Registration, heartbeat: Registration) -> bool:
+        """Return whether a heartbeat of another incarnation replaces the registered one.
+
+        A heartbeat delayed by a network partition may arrive after its sender has crashed and a new
+        incarnation has registered. If it were accepted, every request would be rejected as
+        misdirected until the next heartbeat. Identities don't show which incarnation is newer, so
+        the server at the address is asked.
         """
-        if heard.instance == held.instance:
-            return held.precedes(heard) or self._ignore(heard)
-        stated = await self.fetch_identity()
-        if self.current is not held:
+        if heartbeat.instance == registered.instance:
+            return registered.precedes(heartbeat) or self._ignore(heartbeat)
+        stated_instance = await self.fetch_identity()
+        if self.current is not registered:
             return False
-        if stated == held.instance or (not stated and heard.precedes(held)):
-            return self._ignore(heard)
-        # Where nobody answers, the newcomer is more likely to come up than the old one.
+        if stated_instance == registered.instance or (
+            not stated_instance and heartbeat.precedes(registered)
+        ):
+            return self._ignore(heartbeat)
+        # If the server doesn't respond, it is more likely that the new one is still starting.
         return True
 
-    def _ignore(self, heard: Registration) -> bool:
-        """Leave aside a heartbeat of a start that has ended; never the one that is registered."""
+    def _ignore(self, heartbeat: Registration) -> bool:
+        """Ignore a heartbeat of an ended incarnation; returns false.
+
+        Must not be called for the registered incarnation.
+        """
         log.info(
-            "serving.registration_late", instance=heard.instance, start_time_ms=heard.start_time_ms
+            "serving.registration_late",
+            instance=heartbeat.instance,
+            start_time_ms=heartbeat.start_time_ms,
         )
-        self.ended.add(heard.instance, heard.start_time_ms)
+        self.ended.add(heartbeat.instance, heartbeat.start_time_ms)
         return False
 
-    def _register(self, heard: Registration) -> None:
+    def _set_current(self, heartbeat: Registration) -> None:
         log.info(
             "serving.registered",
-            instance=heard.instance,
-            slots=heard.slots,
-            draining=heard.is_draining,
-            sequence=heard.sequence,
-            start_time_ms=heard.start_time_ms,
+            instance=heartbeat.instance,
+            slots=heartbeat.slots,
+            draining=heartbeat.is_draining,
+            sequence=heartbeat.sequence,
+            start_time_ms=heartbeat.start_time_ms,
         )
         self.has_departed = False
-        self.current = heard
+        self.current = heartbeat
         self.on_change()
 
-    def _update(self, held: Registration, heard: Registration) -> None:
-        if heard.sequence <= held.sequence or (held.is_draining and not heard.is_draining):
-            # An older heartbeat that was overtaken. One that has said it is draining is held to it:
-            # the acknowledgement promised that nothing new would come.
+    def _update(self, registered: Registration, heartbeat: Registration) -> None:
+        if heartbeat.sequence <= registered.sequence or (
+            registered.is_draining and not heartbeat.is_draining
+        ):
+            # Either an older heartbeat that was overtaken, or a server that revokes its draining.
+            # Draining is final, because its acknowledgement promised that no new request follows.
             return
         self.current = attrs.evolve(
-            heard,
+            heartbeat,
             start_time_ms=(
-                held.start_time_ms if heard.start_time_ms is None else heard.start_time_ms
+                registered.start_time_ms
+                if heartbeat.start_time_ms is None
+                else heartbeat.start_time_ms
             ),
         )
-        if heard.is_draining and not held.is_draining:
-            log.info("serving.draining", instance=heard.instance)
+        if heartbeat.is_draining and not registered.is_draining:
+            log.info("serving.draining", instance=heartbeat.instance)
         self.on_change()
 
-    def _end(self, held: Registration) -> None:
-        self.ended.add(held.instance, held.start_time_ms)
+    def _clear_current(self, registered: Registration) -> None:
+        self.ended.add(registered.instance, registered.start_time_ms)
         self.current = None
         self.on_change()
--- a/src/marjoramtide/serving/_registration.py
+++ b/src/marjoramtide/serving/_registration.py
@@ -1,4 +1,4 @@
-"""What a backend server tells of itself when it registers."""
+"""Registration heartbeat of a backend server."""
 
 import attrs
 
@@ -7,11 +7,10 @@
 class Registration:
     """One heartbeat of a backend server.
 
-    ``instance`` is its identity, and ``born`` the Unix time of its start in milliseconds, where it
-    tells that: one that starts again may keep its identity, and is then known by a later ``born``.
-    ``sequence`` grows with each heartbeat of one start, so that a late one is known.
-    ``cold_left_s`` is for how much longer it is slow after its start, in seconds, ``None`` where it
-    has not told that.
+    ``instance`` is its identity. ``start_time_ms`` is the Unix time of its start, ``None`` if not
+    stated: a restarted server may keep its identity, and then has a later start time. ``sequence``
+    increases with each heartbeat of one incarnation, which identifies late heartbeats.
+    ``cold_remaining_s`` is the rest of its cold start, ``None`` if not stated.
     """
 
     instance: str
@@ -26,15 +25,15 @@
     start_time_ms: int | None = None
 
     def precedes(self, other: "Registration") -> bool:
-        """Tell whether this is known to be of an earlier start than ``other``."""
+        """Return whether this is known to be from an earlier incarnation than ``other``."""
         return is_earlier(self.start_time_ms, other.start_time_ms)
 
     def is_same_incarnation(self, other: "Registration") -> bool:
-        """Tell whether both are of one start, as far as is known."""
+        """Return whether both are from the same incarnation, as far as is known."""
         differs = self.precedes(other) or other.precedes(self)
         return self.instance == other.instance and not differs
 
 
-def is_earlier(born: int | None, other: int | None) -> bool:
-    """Tell whether one time of birth is before another; false where either isn't known."""
-    return born is not None and other is not None and born < other
+def is_earlier(start_time_ms: int | None, other: int | None) -> bool:
+    """Return whether one start time is before another; false if either is unknown."""
+    return start_time_ms is not None and other is not None and start_time_ms < other
