--- a/features/path/at_most_once.feature
+++ b/features/path/at_most_once.feature
@@ -1,9 +1,9 @@
 Feature: A non-idempotent request runs at most once
 
   Scenario: An instance dies amid bookings
-    # The caller books without a key. The instance that serves some of the bookings dies; their
-    # connections break, and nobody can know whether they ran. Sent again elsewhere they could run
-    # twice, so the caller is told "unknown" and nothing is sent again.
+    # Callers send bookings without an idempotency key. When a serving instance crashes, it is unknown
+    # whether its bookings have run. A retry could run them twice, so the callers get "unknown" and
+    # nothing is retried.
     Given a mixed mesh of 1 mapdesk and 3 licencehub nodes
     And traffic: 60 bookings a second of licencehub for 3 s
       | key        | value  |
@@ -18,9 +18,9 @@
     And some bookings ended as completed
 
   Scenario: Backend servers run bookings and break the connection before they answer
-    # A renewal is made by PUT, which the settings call non-idempotent. The server runs it and its
-    # kept connection breaks before the answer. HTTP libraries send a PUT again by themselves then;
-    # the franchisee would be billed twice.
+    # Renewals use PUT, which the settings declare non-idempotent. The server runs the renewal and
+    # closes the persistent connection before it responds. HTTP libraries retry PUT automatically in
+    # this case; the customer would be billed twice.
     Given a mesh of 2 licencehub nodes
       """
       [services.licencehub]
@@ -38,9 +38,9 @@
     And some renewals ended as completed
 
   Scenario: Callers repeat bookings with a key while servers lose answers and an instance dies
-    # Each booking has an idempotency key. A third of the answers is lost after the run, and one
-    # instance dies. The callers send the same booking again, through whatever node, until they have
-    # an answer. The key was claimed in the store before the first run, so no second one happens.
+    # Each booking has an idempotency key. A third of the responses is lost after the booking has
+    # run, and one instance crashes. Callers retry through any node until they get a response. The
+    # key is claimed in the store before the first run, so the booking can't run a second time.
     Given a mixed mesh of 2 mapdesk and 3 licencehub nodes
     And the backend server of licencehub-3 shows {"close_before_answer": 0.3}
     And the backend server of licencehub-4 shows {"close_before_answer": 0.3}
@@ -58,9 +58,9 @@
     And some bookings ended as completed
 
   Scenario: Two nodes race with one key while the store loses the answers to writes
-    # An impatient caller sends each booking twice at the same moment, through different nodes. Both
-    # claim the key; the store applies some of the claims and loses the answers. One try runs; the
-    # other is told of a request in progress, or gets the recorded answer.
+    # A caller sends each booking twice at the same time through different nodes. Both nodes claim
+    # the key, and the store applies some of the claims but loses its responses. One attempt must run;
+    # the other is rejected as a duplicate in progress or gets the recorded response.
     Given a mixed mesh of 2 mapdesk and 2 licencehub nodes
     And traffic: 15 bookings a second of licencehub for 3 s
       | key        | value  |
@@ -76,9 +76,9 @@
     And some bookings ended as completed
 
   Scenario: The node that holds claims is frozen, comes back, and its callers have gone elsewhere
-    # Bookings with keys are in progress at a node that is stopped for two seconds. The callers time
-    # out and repeat them through others. When the node goes on, it must neither dispatch on what it
-    # knew before nor make the others' tries run a second time.
+    # Bookings with keys are in progress at a node that is suspended for two seconds. Callers time out
+    # and retry through other nodes. After the node resumes, it must neither dispatch requests on
+    # outdated claims nor cause the other attempts to run a second time.
     Given a mixed mesh of 2 mapdesk and 2 licencehub nodes
     And traffic: 30 bookings a second of licencehub for 4 s
       | key           | value  |
@@ -97,8 +97,8 @@
     And some bookings ended as completed
 
   Scenario: One server is slow, and bookings to it are not sent to another beside it
-    # Where a lookup is slow, a second one is sent to another server and the first answer wins. A
-    # booking that is slow at a server is running there; a second one would book twice.
+    # Slow lookups are hedged: a second attempt is sent to another server and the first response is
+    # used. A slow booking is running at its server; a hedged one would book twice.
     Given a mesh of 3 licencehub nodes
       """
       [services.licencehub]
--- a/features/path/backend_answers.feature
+++ b/features/path/backend_answers.feature
@@ -1,7 +1,7 @@
 Feature: An answer of the backend server is taken whole, from its own request, or not at all
 
   Scenario Outline: What a backend server sends is taken as it was meant
-    # Nothing is wrong here: the ways in which HTTP/1.1 can frame an answer.
+    # Valid ways to frame a response in HTTP/1.1.
     Given a scripted backend server that answers <sent>
     When a GET goes to the scripted backend server
     Then its answer has status 200 and the body "<body>"
@@ -15,9 +15,9 @@
       | HTTP/1.0 200 OK\r\nContent-Length: 5\r\n\r\nhello                                          | hello |
 
   Scenario Outline: What can't be taken for a whole answer is none
-    # The answer breaks off, or states its length in a way that two readers could understand
-    # differently. A part of it must not reach the caller as the whole. The request may have run:
-    # the outcome is unknown, and the request was sent once only.
+    # The response is truncated, or its length is ambiguous. A part of it must not be forwarded as
+    # the complete response. The request may have run, so the outcome is unknown and the request is
+    # sent only once.
     Given a scripted backend server that answers <sent>
     When a GET goes to the scripted backend server
     Then its outcome is unknown with the code <code>
@@ -37,8 +37,8 @@
       | HTTP/1.1 200 OK\nContent-Length: 5\n\nhello                                               | backend-failed |
 
   Scenario Outline: A connection that says more than it was asked is not used again
-    # Behind the answer to one request stands another one, which nobody asked for. The next request
-    # on that connection would take it for its own: its caller would get a foreign answer.
+    # An unsolicited second response follows the first. The next request on that connection would
+    # receive it, and its caller would get the wrong response.
     Given a scripted backend server that answers <sent>
     When a GET goes to the scripted backend server
     And another GET goes to the scripted backend server
@@ -58,25 +58,25 @@
     Then the scripted backend server got 1 connections
 
   Scenario: A request that was given up leaves no connection behind
-    # The caller goes away before the answer; the answer arrives later. Were the connection kept, the
-    # next request on it would get the answer of the first.
+    # The caller disconnects before the response arrives. If the connection were kept, the next
+    # request on it would receive the response to the first one.
     Given a scripted backend server that answers then pause then HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nold
     When a GET to the scripted backend server is cancelled before its answer
     And another GET goes to the scripted backend server
     Then the scripted backend server got 2 connections
 
   Scenario: A line break in a header is no way to write a second request
-    # A header that came from another node holds a line break and a request behind it. Written as it
-    # stands, the backend server would see two requests, and each later answer on that connection
-    # would go to the wrong caller.
+    # Request smuggling: a header received from another node contains a line break and a second
+    # request. If it were sent unchanged, the backend server would see two requests, and every later
+    # response on that connection would go to the wrong caller.
     Given a scripted backend server that answers HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nown
     When a GET with the header value "a\r\n\r\nGET /smuggled HTTP/1.1" goes to the scripted backend server
     Then its outcome is not run with the code bad-request
     And the scripted backend server got 0 requests
 
   Scenario Outline: A body that is not as long as announced ends its connection
-    # A caller's upload breaks off, or is longer than it said. Filled up from the next request, it
-    # would be taken for a whole one.
+    # A caller's upload is truncated or longer than announced. On a reused connection, bytes of the
+    # next request would complete a truncated body.
     Given a scripted backend server that answers nothing
     When a POST announces 10 bytes and sends <sent> to the scripted backend server
     Then its outcome is unknown with the code backend-failed
@@ -88,15 +88,15 @@
       | 15   |
 
   Scenario: Nobody listens at the backend server's address
-    # The connection is refused before anything was sent, so "not run" is certain.
+    # The connection is refused before anything is sent, so "not run" is certain.
     Given a scripted backend server that has gone
     When a GET goes to the scripted backend server
     Then its outcome is not run with the code connect-failed
-    And the request never counted as begun
+    And the request was never dispatched
 
   Scenario: Every connection is in use
-    # Ten requests hang. An eleventh connection could make the backend server drop others; waiting
-    # for a free one could last until the deadline. It is refused at once, and has not run.
+    # Ten requests hang. An eleventh connection could make the backend server drop others, and
+    # waiting for a free connection could take until the deadline, so the request is rejected at once.
     Given a scripted backend server that answers nothing
     When 10 GETs hang at the scripted backend server
     And a GET goes to the scripted backend server
@@ -104,11 +104,11 @@
     And the scripted backend server got 10 connections
 
   Scenario Outline: A refusal is a refusal whatever it says of when to come back
-    # The backend server says that it did not run the request, and adds nonsense. Read as an error,
-    # a provable "not run" would become "unknown", and the request would not go on elsewhere.
+    # The backend server rejects the request with an invalid retry delay. If that raised an error, a
+    # certain "not run" would become "unknown", and the request would not be retried elsewhere.
     Given a scripted backend server that answers HTTP/1.1 503 No\r\nRequest-Outcome: not-run\r\n<hint>\r\nContent-Length: 0\r\n\r\n
     When a GET goes to the scripted backend server
-    Then its refusal tells to come back after <told>
+    Then its rejection asks for a retry after <told>
 
     Examples:
       | hint                    | told    |
--- a/features/path/draining.feature
+++ b/features/path/draining.feature
@@ -1,9 +1,9 @@
 Feature: A backend server that is leaving gets no new work after a few seconds
 
   Scenario: A backend server drains by its own word while the store is down
-    # The server's health endpoint says that it drains; it would still accept. Its node notices
-    # within the measuring budget, rejects new work at once and tells the others, without the store.
-    # Requests go on elsewhere, and none is refused for it.
+    # The server's health endpoint reports draining, although the server would still accept requests.
+    # Its node notices within the health check budget, rejects new requests and informs the other
+    # nodes without the store. The requests are served elsewhere; none fails because of this.
     Given a mesh of 3 mapdesk nodes
     And traffic: 60 lookups a second of mapdesk for 6 s
     When while traffic enters by all nodes
@@ -16,8 +16,9 @@
     And mapdesk-2 ran nothing from second 4.5 on
 
   Scenario: A backend server drains while a node that sends it work was frozen
-    # The node that callers enter by is stopped while the server begins to drain. When it goes on it
-    # still believes in the server; the node beside the server rejects, and the request goes on.
+    # The ingress node is suspended when the server starts to drain. After it resumes it still
+    # considers the server ready; the node beside the server rejects the request, which is then
+    # served elsewhere.
     Given a mixed mesh of 1 mapdesk and 2 casedesk nodes
     And traffic: 40 lookups a second of casedesk for 5 s
       | key     | value |
--- a/features/path/measuring.feature
+++ b/features/path/measuring.feature
@@ -1,9 +1,9 @@
 Feature: Measuring a backend server stays within its budget
 
   Scenario: A server that fails, freezes and comes back is not read more often for it
-    # The settings allow two reads a second. The server fails at speed, then freezes, then is well
-    # again; each makes a node want to know more. Its endpoints are read within the budget all along,
-    # and read at all.
+    # The settings allow two health checks a second. The server fails quickly, then freezes, then
+    # recovers; each of these could trigger additional checks. The checks must stay within the budget
+    # throughout, and must not cease.
     Given a mesh of 2 casedesk nodes
       """
       [services.casedesk]
@@ -23,15 +23,15 @@
     And the endpoints of casedesk-2 were read at most 20 times and at least 2
 
   Scenario: A backend server gets no more connections than the settings allow
-    # The server takes 7 connections and refuses more. Its node must know the number from the settings,
-    # and go by a changed one at once.
+    # The server accepts 7 connections and refuses more. Its node must take the limit from the
+    # settings and apply a change at once.
     Given a node that is not started
     When settings with 7 connections come into force there
     Then it opens at most 7 connections to its backend server
 
   Scenario: A backend server without a health endpoint counts as ready
-    # The settings name no path. Read as a path all the same, the server would look down for ever, and
-    # its node would take no request.
+    # The settings contain no health path. If the empty path were checked anyway, the server would
+    # always look down, and its node would accept no requests.
     Given the serving side of a node whose backend server never answers
     When its health is read with no path in the settings
     Then the backend server counts as ready
--- a/features/path/planned_stop.feature
+++ b/features/path/planned_stop.feature
@@ -1,9 +1,9 @@
 Feature: A planned stop cuts off no request in progress
 
   Scenario: A node stops amid long requests, and another one right after it
-    # Bookings of most of a second are in progress through and at a node when it gets SIGTERM, and a
-    # second node soon after. New requests go elsewhere; each booking that was taken is answered
-    # before its node exits.
+    # Bookings that take most of a second are in progress when a serving node receives SIGTERM, and
+    # an ingress node soon after. New requests are served by other nodes; each accepted booking is
+    # completed before its node exits.
     Given a mixed mesh of 2 mapdesk and 3 licencehub nodes
     And traffic: 20 bookings a second of licencehub for 3 s
       | key        | value  |
@@ -20,8 +20,8 @@
     And mapdesk-2 exited with status 0 and left nothing unfinished
 
   Scenario: A node stops amid large answers while the store is down
-    # Answers of a megabyte are on the way through two nodes when the serving one gets SIGTERM; its
-    # announcement can't be removed, since the store is down. The answers arrive whole.
+    # Responses of a megabyte are streamed through two nodes when the serving node receives SIGTERM.
+    # Its announcement can't be removed, because the store is down. The responses must be complete.
     Given a mixed mesh of 1 mapdesk and 2 casedesk nodes
     And traffic: 4 files a second of casedesk for 3 s
       | key          | value   |
@@ -38,16 +38,17 @@
     And casedesk-2 exited with status 0 and left nothing unfinished
 
   Scenario: A caller whose request is in progress at the stop is told to go elsewhere with the next
-    # Its answer comes while the node stops. Kept open, the connection would be closed at the end of
-    # the stop, perhaps amid the caller's next booking, which would then be unknown to it.
+    # The response arrives while the node is stopping. If the connection were kept open, it would be
+    # closed at the end of the stop, perhaps during the caller's next booking, whose outcome would
+    # then be unknown.
     Given a node whose backend servers answer when it stops
     When a lookup is in progress there, and the node stops
     Then the caller gets the answer, and the connection is closed
 
   Scenario: A node that was replaced under its address stops by itself
-    # An instance was frozen, and the platform started another one under its addresses. When the old
-    # node goes on, it learns that its identity is dead. It stops as planned, in place of serving
-    # callers beside the fleet's knowledge.
+    # An instance was suspended, and the platform started a replacement under its addresses. When the
+    # old node resumes, it learns that its identity is dead. It must stop gracefully, because the
+    # other nodes would not know of the requests that it serves.
     Given a node that is not started
     When its own record turns dead
     Then it asks to be stopped
--- a/features/path/server_ends.feature
+++ b/features/path/server_ends.feature
@@ -1,11 +1,11 @@
 Feature: What a backend server was running when it ended is known
 
   Scenario Outline: A lost connection is put down to the end of a server only where that is known
-    # A server ends while it runs several requests, and an operator asks which of them it was. A
-    # reset, a caller's impatience and a planned stop lose connections as well; a request that is
-    # suspected for one of these is innocent. Events are a tenth of a second apart.
+    # When a server crashes, the requests in flight are suspects. Connection resets, timeouts of
+    # callers and planned stops also end requests without a response, but must not make them
+    # suspects. Events are a tenth of a second apart.
     Given a backend server that runs a and b
-    When there comes <events>
+    When these events follow: <events>
     Then the suspects are <suspects>
 
     Examples: the server is gone
@@ -45,30 +45,31 @@
       | leaves, lost a, lost b, refused, replaced | none     |
 
   Scenario: The log names what a server was running when it ended
-    # Servers end one after another, and callers get failures. Which request all of them had in
-    # progress can be read from one line for each end, whatever else was lost with it.
+    # Servers crash one after another and callers get errors. One log line for each crash lists all
+    # requests in flight, so that operators can find the request that the crashes have in common.
     Given a fleet on the platform: mapdesk
-    And requests for "/tiles/deadly" end the server of node 1
-    When a client asks node 1 for "/tiles/deadly" while 2 others are under way
-    Then the log names 3 suspects, with the fingerprint and the path of "/tiles/deadly"
+    And requests for "/tiles/deadly" crash the server of node 1
+    When a client requests "/tiles/deadly" from node 1 while 2 other requests are in progress
+    Then the log lists 3 suspects, with the fingerprint and the path of "/tiles/deadly"
     And the metrics of node 1 hold
       | line                                     |
       | marjoramtide_serving_server_ends_total 1 |
 
   Scenario: A server that is ending takes one connection more
-    # The host closes the sockets of a process that has ended one after another. A node that has just
-    # lost a lookup with it connects in between, takes the server for alive, and the lookup is sent to
-    # the next one before any node knows of the end.
-    Given a server that ends as soon as it has taken one connection more
-    When a node that has lost a lookup looks whether it has ended
-    Then it knows that nobody listens
+    # The kernel closes the sockets of a crashed process one after another. A node that has just lost
+    # a lookup may still connect in between and consider the server alive. The lookup would then be
+    # retried on the next server before any node knows of the crash.
+    Given a server that crashes right after it has accepted one more connection
+    When a node that has lost a lookup probes the server
+    Then it detects that the server refuses connections
 
   Scenario Outline: A look that a stop of the node itself has made late tells nothing of its server
-    # A node's process is stopped for seconds. Its look at the server was answered meanwhile, and is
-    # given up all the same when the process goes on; what it runs looks as old as the stop was long.
+    # A node's process is suspended for seconds. The response to its health check arrives meanwhile,
+    # but the check times out when the process resumes, and requests in flight look older by the
+    # length of the suspension. The server must not be considered crashed.
     Given a fleet on the platform: mapdesk
-    And the server of node 1 has run a lookup for 3 s without a word
-    When a look at it goes unanswered, <when>
+    And the server of node 1 has been silent during a lookup for 3 s
+    When a health check of it fails, <when>
     Then <count> requests are suspected at node 1
 
     Examples:
@@ -78,7 +79,7 @@
 
   Scenario Outline: The same request has the same fingerprint at every node, and others have others
     Given a GET of "/tiles/7" with the body "x" by the caller "ann"
-    When it comes again with <change>
+    When it is repeated with <change>
     Then its fingerprint is <verdict>
 
     Examples:
--- a/features/path/whole_answers.feature
+++ b/features/path/whole_answers.feature
@@ -1,9 +1,10 @@
 Feature: A caller gets the whole answer to its own request, never part of another's
 
   Scenario: Backend servers break off in the middle of answers
-    # Some answers, small and large, break off half-way. A small one is read whole before any of it
-    # is passed on, so the lookup is tried elsewhere. Of a large one the caller has the head already;
-    # its connection is broken visibly, never ended as if that were all.
+    # Some responses, small and large, are truncated. A small response is read completely before any
+    # of it is forwarded, so the lookup can be retried elsewhere. The head of a large response has
+    # already been forwarded; the caller's connection must be aborted, never ended as if the response
+    # were complete.
     Given a mesh of 3 mapdesk nodes
     And the backend server of mapdesk-1 shows {"truncate": 0.3}
     And the backend server of mapdesk-2 shows {"truncate": 0.3}
@@ -20,9 +21,9 @@
     And charts ended only as completed or unknown
 
   Scenario: Answers come late, after their requests were given up
-    # Deadlines are short and servers stall in turn, so many requests are given up while their
-    # answers are on the way. Each late answer must be dropped: the next request on that connection
-    # gets its own.
+    # Deadlines are short and servers stall, so many requests time out while their responses are on
+    # the way. Each late response must be dropped; the next request on that connection must get its
+    # own response.
     Given a mixed mesh of 1 mapdesk and 2 casedesk nodes
     And the backend server of casedesk-2 shows {"late": 0.5, "late_ms": 150}
     And the backend server of casedesk-3 shows {"late": 0.5, "late_ms": 150}
@@ -34,9 +35,9 @@
     And some lookups ended as completed
 
   Scenario: Instances die while large answers are on the way
-    # A large answer passes through two nodes in chunks when the serving instance dies, and later
-    # the node alone. What the caller has is not all, and it can see that, also where the length
-    # was not stated ahead.
+    # A large response is streamed through two nodes when the serving instance crashes, and later
+    # when only a node crashes. The caller must be able to detect the truncation, also if the length
+    # of the response was not stated.
     Given a mixed mesh of 1 mapdesk and 3 casedesk nodes
     And traffic: 40 files a second of casedesk for 3 s
       | key          | value   |
@@ -54,8 +55,8 @@
     And some files ended as completed
 
   Scenario: Large bodies travel to the backend server whole
-    # Uploads above what a node holds in memory are streamed from the caller through two nodes; the
-    # server's digest of what it got is compared with what was sent. One server dies on the way.
+    # Uploads that are too large to be buffered are streamed through two nodes, and the server's
+    # digest of the received body is compared with what was sent. One server crashes meanwhile.
     Given a mixed mesh of 1 mapdesk and 3 casedesk nodes
     And traffic: 15 filings a second of casedesk for 2 s
       | key        | value   |
--- a/features/steps/backend_answers_steps.py
+++ b/features/steps/backend_answers_steps.py
@@ -1,4 +1,4 @@
-"""Steps that hold the transport to the backend server against a scripted one."""
+"""Steps that test the HTTP transport against a scripted backend server."""
 
 import asyncio
 import contextlib
@@ -22,13 +22,13 @@
 
 use_step_matcher("parse")
 
-CONNECTIONS = 10
+MAX_CONNECTIONS = 10
 PAUSE_S = 0.05
-END_S = 5.0
+EXCHANGE_TIMEOUT_S = 5.0
 
 
 class ScriptedServer:
-    """Plays the same script for each request it gets: text to send, ``pause`` and ``close``."""
+    """Plays the same script for each request: texts to send, ``pause`` and ``close``."""
 
     def __init__(self, script: str) -> None:
         parts = re.split(r"\s?\bthen\b\s?", script)
@@ -61,7 +61,7 @@
     async def start() -> None:
         listener = await asyncio.start_server(context.scripted.serve, "127.0.0.1", 0)
         host, port = listener.sockets[0].getsockname()
-        context.transport = HttpTransport(f"{host}:{port}", CONNECTIONS)
+        context.transport = HttpTransport(f"{host}:{port}", MAX_CONNECTIONS)
         context.listener_close = partial(stop, listener)
 
     context.runner.run(start())
@@ -74,7 +74,7 @@
 
 
 @given("a scripted backend server that has gone")
-def gone_server(context: Any) -> None:
+def start_closed(context: Any) -> None:
     start_scripted(context, "nothing")
     context.runner.run(context.listener_close())
 
@@ -90,20 +90,20 @@
 
 
 async def exchange(context: Any, request: Request, body: RequestBody) -> Answer | Exception:
-    """Send a request; return its whole answer or how it failed."""
-    context.begun = False
+    """Send a request; return its complete response or the error."""
+    context.dispatched = False
 
-    def begun() -> None:
-        context.begun = True
+    def on_dispatch() -> None:
+        context.dispatched = True
 
     try:
-        async with asyncio.timeout(END_S):
-            answer = await context.transport.send(request, body, 1000.0, begun)
+        async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
+            answer = await context.transport.send(request, body, 1000.0, on_dispatch)
             if answer.stream is not None:
                 answer.body = b"".join([data async for data in answer.stream])
     except (NotRunError, UnknownOutcomeError) as error:
         return error
-    # Longer than the pauses of a script, so that what it sends later has arrived.
+    # Longer than the pauses of a script, so that everything it sends later has arrived.
     await asyncio.sleep(PAUSE_S * 3)
     return answer
 
@@ -111,13 +111,13 @@
 @when("a GET goes to the scripted backend server")
 @when("another GET goes to the scripted backend server")
 def get_scripted(context: Any) -> None:
-    context.ended = context.runner.run(exchange(context, make_request(), inline_body()))
+    context.result = context.runner.run(exchange(context, make_request(), inline_body()))
 
 
 @when('a GET with the header value "{value}" goes to the scripted backend server')
 def get_with_header(context: Any, value: str) -> None:
     request = make_request(value=value.encode().decode("unicode_escape"))
-    context.ended = context.runner.run(exchange(context, request, inline_body()))
+    context.result = context.runner.run(exchange(context, request, inline_body()))
 
 
 @when("a GET to the scripted backend server is cancelled before its answer")
@@ -151,30 +151,30 @@
             yield b"12345"
 
     body = stream_body(chunks(), length)
-    context.ended = context.runner.run(exchange(context, make_request("POST"), body))
+    context.result = context.runner.run(exchange(context, make_request("POST"), body))
 
 
 @then('its answer has status {status:d} and the body "{body}"')
 def check_answer(context: Any, status: int, body: str) -> None:
-    assert isinstance(context.ended, Answer), repr(context.ended)
-    assert (context.ended.status, context.ended.body) == (status, body.encode()), context.ended
+    assert isinstance(context.result, Answer), repr(context.result)
+    assert (context.result.status, context.result.body) == (status, body.encode()), context.result
 
 
 @then("its outcome is unknown with the code {code}")
 def check_unknown(context: Any, code: str) -> None:
-    assert isinstance(context.ended, UnknownOutcomeError), repr(context.ended)
-    assert context.ended.code == code, context.ended.code
+    assert isinstance(context.result, UnknownOutcomeError), repr(context.result)
+    assert context.result.code == code, context.result.code
 
 
 @then("its outcome is not run with the code {code}")
 def check_not_run(context: Any, code: str) -> None:
-    assert isinstance(context.ended, NotRunError), repr(context.ended)
-    assert context.ended.code == code, context.ended.code
+    assert isinstance(context.result, NotRunError), repr(context.result)
+    assert context.result.code == code, context.result.code
 
 
-@then("the request never counted as begun")
-def check_not_begun(context: Any) -> None:
-    assert not context.begun
+@then("the request was never dispatched")
+def check_not_dispatched(context: Any) -> None:
+    assert not context.dispatched
 
 
 @then("the scripted backend server got {count:d} request")
@@ -195,8 +195,8 @@
     assert len(body) <= count, body
 
 
-@then("its refusal tells to come back after {told}")
-def then_come_back(context: Any, told: str) -> None:
-    assert isinstance(context.ended, NotRunError), repr(context.ended)
-    wanted = None if told == "nothing" else int(told.removesuffix(" ms"))
-    assert context.ended.retry_after_ms == wanted, context.ended.retry_after_ms
+@then("its rejection asks for a retry after {told}")
+def check_retry_after(context: Any, told: str) -> None:
+    assert isinstance(context.result, NotRunError), repr(context.result)
+    expected = None if told == "nothing" else int(told.removesuffix(" ms"))
+    assert context.result.retry_after_ms == expected, context.result.retry_after_ms
--- a/features/steps/server_ends_steps.py
+++ b/features/steps/server_ends_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the ends of backend servers: who was running there, and how a request is known again."""
+"""Steps for crashes of backend servers: suspected requests and their fingerprints."""
 
 import asyncio
 from typing import Any
@@ -14,79 +14,79 @@
 
 use_step_matcher("parse")
 
-STEP_S = 0.1
+EVENT_INTERVAL_S = 0.1
 LATER_S = 2.0
 KEY = "a key for tests on loopback only"
 
 
-def make_run(name: str, now: float) -> InFlightRequest:
+def make_request(name: str, now: float) -> InFlightRequest:
     return InFlightRequest(ord(name), f"id-{name}", f"GET /{name}", now)
 
 
 @given("a backend server that runs {names}")
-def given_watch(context: Any, names: str) -> None:
-    context.watch = CrashDetector()
+def given_detector(context: Any, names: str) -> None:
+    context.detector = CrashDetector()
     context.now = 1.0
     context.suspects = []
     for name in names.split(" and "):
-        context.watch.request_started(ord(name), make_run(name, context.now))
+        context.detector.request_started(ord(name), make_request(name, context.now))
 
 
-def happens(context: Any, event: str) -> list[InFlightRequest]:
-    """Play one event; return whom it makes a suspect."""
-    watch, now = context.watch, context.now
+def apply_event(context: Any, event: str) -> list[InFlightRequest]:
+    """Apply one event; return the requests that it makes suspects."""
+    detector, now = context.detector, context.now
     what, _, name = event.rpartition(" ")
     match what, name:
         case "lost", _:
-            return list(watch.request_lost(ord(name), by_server=True, now=now))
+            return list(detector.request_lost(ord(name), by_server=True, now=now))
         case "given up", _:
-            return list(watch.request_lost(ord(name), by_server=False, now=now))
+            return list(detector.request_lost(ord(name), by_server=False, now=now))
         case "answered", _:
-            watch.request_completed(ord(name), now)
+            detector.request_completed(ord(name), now)
         case _, "alive":
-            watch.note_response(now, now)
+            detector.note_response(now, now)
         case _, "refused":
-            return list(watch.connection_refused(now))
+            return list(detector.connection_refused(now))
         case _, "unread":
-            watch.health_check_failed(now)
-            return list(watch.check_silence(now))
+            detector.health_check_failed(now)
+            return list(detector.check_silence(now))
         case _, "still":
-            return list(watch.check_silence(now))
+            return list(detector.check_silence(now))
         case _, "replaced":
-            return list(watch.server_replaced())
+            return list(detector.server_replaced())
         case _, "leaves":
-            watch.server_leaving()
+            detector.server_leaving()
         case _, "later":
             context.now += LATER_S
         case _, "silent":
             pass
         case _:
-            watch.request_started(ord(name), make_run(name, now))
+            detector.request_started(ord(name), make_request(name, now))
     return []
 
 
-@when("there comes {events}")
-def there_comes(context: Any, events: str) -> None:
+@when("these events follow: {events}")
+def apply_events(context: Any, events: str) -> None:
     for event in events.split(", "):
-        context.now += STEP_S
-        context.suspects += happens(context, event)
+        context.now += EVENT_INTERVAL_S
+        context.suspects += apply_event(context, event)
 
 
 @then("the suspects are {names}")
-def suspects_are(context: Any, names: str) -> None:
+def check_suspects(context: Any, names: str) -> None:
     wanted = [] if names == "none" else names.split(", ")
     found = sorted(run.label.removeprefix("GET /") for run in context.suspects)
     assert found == wanted, (found, wanted)
 
 
-@given('requests for "{path}" end the server of node {number:d}')
-def given_deadly(context: Any, path: str, number: int) -> None:
+@given('requests for "{path}" crash the server of node {number:d}')
+def given_crashing_requests(context: Any, path: str, number: int) -> None:
     seat(context, number).server.faults.deadly = path
 
 
-@when('a client asks node 1 for "{path}" while {count:d} others are under way')
-def asks_amid(context: Any, path: str, count: int) -> None:
-    async def ask() -> None:
+@when('a client requests "{path}" from node 1 while {count:d} other requests are in progress')
+def request_among_others(context: Any, path: str, count: int) -> None:
+    async def send_requests() -> None:
         first = seat(context, 1)
         first.server.faults.slow_factor = 100.0
         others = [
@@ -100,11 +100,11 @@
         await context.fleet.wait_for(lambda: "serving.server_ends" in counts())
 
     with structlog.testing.capture_logs() as context.lines:
-        run(context, ask())
+        run(context, send_requests())
 
 
-@then('the log names {count:d} suspects, with the fingerprint and the path of "{path}"')
-def log_names(context: Any, count: int, path: str) -> None:
+@then('the log lists {count:d} suspects, with the fingerprint and the path of "{path}"')
+def check_logged_suspects(context: Any, count: int, path: str) -> None:
     lines = [line for line in context.lines if line["event"] == "serving.server_ended"]
     runs = [run for line in lines for run in line["runs"]]
     assert len(runs) == count, context.lines
@@ -112,17 +112,17 @@
     assert len(named["fingerprint"]) == 16 and named["request"], named
 
 
-@given("a server that ends as soon as it has taken one connection more")
-def given_ending(context: Any) -> None:
+@given("a server that crashes right after it has accepted one more connection")
+def given_crashing_server(context: Any) -> None:
     context.runner = context.cleanup.enter_context(asyncio.Runner())
     context.refusals = 0
 
     async def start() -> None:
-        def taken(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        def accepted(_: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             listener.close()
             writer.transport.abort()
 
-        listener = await asyncio.start_server(taken, "127.0.0.1", 0)
+        listener = await asyncio.start_server(accepted, "127.0.0.1", 0)
         host, port = listener.sockets[0].getsockname()
         context.transport = HttpTransport(f"{host}:{port}", 10)
         context.transport.on_connection_refused = lambda: note_refusal(context)
@@ -134,29 +134,29 @@
     context.refusals += 1
 
 
-@when("a node that has lost a lookup looks whether it has ended")
-def looks(context: Any) -> None:
+@when("a node that has lost a lookup probes the server")
+def probe_server(context: Any) -> None:
     context.runner.run(context.transport.probe())
 
 
-@then("it knows that nobody listens")
-def knows(context: Any) -> None:
+@then("it detects that the server refuses connections")
+def check_refusal(context: Any) -> None:
     assert context.refusals == 1, context.refusals
     context.runner.run(context.transport.close())
 
 
-@given("the server of node 1 has run a lookup for {seconds:g} s without a word")
+@given("the server of node 1 has been silent during a lookup for {seconds:g} s")
 def given_silent(context: Any, seconds: float) -> None:
     node = seat(context, 1).node
-    watch = node.serving.crash_monitor.detector
+    detector = node.serving.crash_monitor.detector
     node.server.measurer.result_listener = None
-    began = node.clock.monotonic() - seconds
-    watch.last_response_at = began - 1
-    watch.request_started(1, make_run("a", began))
+    started_at = node.clock.monotonic() - seconds
+    detector.last_response_at = started_at - 1
+    detector.request_started(1, make_request("a", started_at))
 
 
-@when("a look at it goes unanswered, {when}")
-def goes_unanswered(context: Any, when: str) -> None:
+@when("a health check of it fails, {when}")
+def fail_health_check(context: Any, when: str) -> None:
     node = seat(context, 1).node
     now = node.clock.monotonic()
     if "stopped" in when:
@@ -169,7 +169,7 @@
 
 
 @then("{count:d} requests are suspected at node 1")
-def suspected(context: Any, count: int) -> None:
+def check_suspect_count(context: Any, count: int) -> None:
     assert len(seat(context, 1).node.quarantine.policy) == count
 
 
@@ -187,7 +187,7 @@
     return Fingerprinter(context.key).of(request, context.body)
 
 
-async def nothing() -> Any:
+async def empty_chunks() -> Any:
     yield b""
 
 
@@ -200,8 +200,8 @@
     context.first = fingerprint(context)
 
 
-@when("it comes again with {change}")
-def comes_again(context: Any, change: str) -> None:
+@when("it is repeated with {change}")
+def repeat_request(context: Any, change: str) -> None:
     what, _, value = change.rpartition(" ")
     value = value.strip('"')
     match what:
@@ -220,9 +220,9 @@
         case "another fleet's":
             context.key = KEY + " elsewhere"
         case _:
-            context.body = stream_body(nothing(), 1 << 20)
+            context.body = stream_body(empty_chunks(), 1 << 20)
 
 
 @then("its fingerprint is {verdict}")
-def fingerprint_is(context: Any, verdict: str) -> None:
+def check_fingerprint(context: Any, verdict: str) -> None:
     assert (fingerprint(context) == context.first) == (verdict == "the same")
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the serving side with a backend server that is a fake."""
+"""Steps for the serving service with a fake backend server."""
 
 import asyncio
 import random
@@ -27,11 +27,11 @@
 from marjoramtide.settings._tree_view import TreeSettingsView
 from marjoramtide.telemetry import Metrics, Tracer
 
-FAR_S = 60.0
+DEADLINE_S = 60.0
 
 
 class SilentTransport(BackendTransport):
-    """Begins every request and never answers."""
+    """Starts every request and never responds."""
 
     def __init__(self) -> None:
         self.begun = asyncio.Event()
@@ -46,7 +46,7 @@
         on_dispatch()
         self.begun.set()
         await asyncio.get_running_loop().create_future()
-        raise AssertionError("a silent server answered")
+        raise AssertionError("a silent server responded")
 
     async def read(self, path: str, timeout_s: float) -> EndpointResponse:
         if not path:
@@ -60,15 +60,15 @@
         pass
 
 
-class OneRoute:
-    """Settings with one route for everything."""
+class SingleRouteView:
+    """Settings with the same route for all requests."""
 
     def route(self, service: str, path: str) -> RouteSettings:
         return RouteSettings(service=service)
 
 
-class RefusedClaims:
-    """Refuses every claim, as while the store is down."""
+class FailingKeyDispatcher:
+    """Rejects every request for want of a claim, as while the store is down."""
 
     async def dispatch(self, execution: Any, forward: Any) -> Answer:
         raise NotRunError(ErrorCode.STORE_UNAVAILABLE, "no claim", step="test")
@@ -78,7 +78,7 @@
     context.runner = context.cleanup.enter_context(asyncio.Runner())
     context.clock = SystemClock()
     context.transport = SilentTransport()
-    view = cast(SettingsView, OneRoute())
+    view = cast(SettingsView, SingleRouteView())
     tracer = Tracer("n", context.clock, random.Random(1))
     context.serving = ServingService(
         "s", context.transport, key_dispatcher, view, context.clock, Metrics(), tracer
@@ -95,12 +95,12 @@
 
 @given("the serving side of a node whose claims are all refused")
 def given_unclaimed(context: Any) -> None:
-    start_serving(context, RefusedClaims())
+    start_serving(context, FailingKeyDispatcher())
 
 
 @when("{count:d} bookings with keys are refused there")
 def when_unclaimed(context: Any, count: int) -> None:
-    deadline = context.clock.monotonic() + FAR_S
+    deadline = context.clock.monotonic() + DEADLINE_S
     for number in range(count):
         request = Request("s", "POST", "/", (), False, False, deadline, key=f"key-{number}")
         try:
@@ -117,7 +117,7 @@
 
 
 async def cancel_one(context: Any) -> None:
-    deadline = context.clock.monotonic() + FAR_S
+    deadline = context.clock.monotonic() + DEADLINE_S
     request = Request("s", "GET", "/", (), False, True, deadline)
     task = asyncio.create_task(context.serving.handle(request, inline_body()))
     await context.transport.begun.wait()
@@ -146,14 +146,14 @@
 
 @then("a booking that reaches it is refused as not run")
 def then_not_run(context: Any) -> None:
-    deadline = context.clock.monotonic() + FAR_S
+    deadline = context.clock.monotonic() + DEADLINE_S
     request = Request("s", "POST", "/", (), False, False, deadline)
-    (ended,) = context.runner.run(end_of(context.serving.handle(request, inline_body())))
-    assert isinstance(ended, NotRunError) and ended.code == "unknown-service", repr(ended)
+    (result,) = context.runner.run(result_of(context.serving.handle(request, inline_body())))
+    assert isinstance(result, NotRunError) and result.code == "unknown-service", repr(result)
     assert context.serving.idle.is_set()
 
 
-async def end_of(work: Any) -> Any:
+async def result_of(work: Any) -> Any:
     return await asyncio.gather(work, return_exceptions=True)
 
 
