--- a/bench/model/_model_transport.py
+++ b/bench/model/_model_transport.py
@@ -95,7 +95,7 @@
 class ModelProtocol(BackendProtocol):
     """Reads what a played server says of itself."""
 
-    own_answer_headers = frozenset()
+    internal_response_headers = frozenset()
 
     def request_headers(self, request: Request, remaining_ms: float, instance: str):  # type: ignore[no-untyped-def]
         return ()
--- a/src/marjoramtide/platform/_backends.py
+++ b/src/marjoramtide/platform/_backends.py
@@ -46,7 +46,7 @@
 class PlatformBackend(BackendProtocol):
     """Deadlines, expected instances, seals and load in headers."""
 
-    own_answer_headers = frozenset(
+    internal_response_headers = frozenset(
         name.lower() for name in ("Content-Length", "Date", "Server", LOAD, INSTANCE)
     )
 
--- a/src/marjoramtide/serving/_backend_protocol.py
+++ b/src/marjoramtide/serving/_backend_protocol.py
@@ -13,7 +13,7 @@
 class BackendProtocol(ABC):
     """Encodes request headers and decodes responses; makes no decisions."""
 
-    own_answer_headers: frozenset[str]
+    internal_response_headers: frozenset[str]
     """Names of response headers, in lower case, that are not forwarded to the caller."""
 
     @abstractmethod
--- a/src/marjoramtide/serving/_default_backend_protocol.py
+++ b/src/marjoramtide/serving/_default_backend_protocol.py
@@ -31,7 +31,7 @@
     back.
     """
 
-    own_answer_headers = OWN_ANSWER | {RATE_LIMIT, LEAVING}
+    internal_response_headers = OWN_ANSWER | {RATE_LIMIT, LEAVING}
 
     def __init__(self, tokens: RequestTokens | None = None) -> None:
         """Without ``tokens``, requests are sent without ``Marjoramtide-Run``."""
--- a/src/marjoramtide/serving/_http_transport.py
+++ b/src/marjoramtide/serving/_http_transport.py
@@ -109,7 +109,7 @@
                 step="serving.read",
                 peer=self.address,
             )
-        headers = end_to_end(response.headers, self.protocol.own_answer_headers)
+        headers = end_to_end(response.headers, self.protocol.internal_response_headers)
         answer = Answer(response.status, headers, length=response.length)
         if response.is_complete:
             self.release(connection)
