--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the serving side with a backend server that is a fake."""
+"""Steps for the serving service with a fake backend server."""
 
 import asyncio
 import random
@@ -17,8 +17,8 @@
 from marjoramtide.serving import (
     BackendState,
     BackendTransport,
-    EndpointAnswer,
-    Measurer,
+    EndpointResponse,
+    HealthChecker,
     ServingService,
 )
 from marjoramtide.settings import NodeSettings, RouteSettings, SettingsView
@@ -27,27 +27,31 @@
 from marjoramtide.settings._tree_view import TreeSettingsView
 from marjoramtide.telemetry import Metrics, Tracer
 
-FAR_S = 60.0
+DEADLINE_S = 60.0
 
 
 class SilentTransport(BackendTransport):
-    """Begins every request and never answers."""
+    """Starts every request and never responds."""
 
     def __init__(self) -> None:
         self.begun = asyncio.Event()
 
     async def send(
-        self, request: Request, body: RequestBody, remaining_ms: float, begun: Callable[[], None]
+        self,
+        request: Request,
+        body: RequestBody,
+        remaining_ms: float,
+        on_dispatch: Callable[[], None],
     ) -> Response:
-        begun()
+        on_dispatch()
         self.begun.set()
         await asyncio.get_running_loop().create_future()
-        raise AssertionError("a silent server answered")
+        raise AssertionError("a silent server responded")
 
-    async def read(self, path: str, timeout_s: float) -> EndpointAnswer:
+    async def read(self, path: str, timeout_s: float) -> EndpointResponse:
         if not path:
             raise NotRunError(ErrorCode.CONNECT_FAILED, "no path", step="test")
-        return EndpointAnswer(200, body=b"{}")
+        return EndpointResponse(200, body=b"{}")
 
     def server_replaced(self) -> None:
         pass
@@ -56,28 +60,28 @@
         pass
 
 
-class OneRoute:
-    """Settings with one route for everything."""
+class SingleRouteView:
+    """Settings with the same route for all requests."""
 
     def route(self, service: str, path: str) -> RouteSettings:
         return RouteSettings(service=service)
 
 
-class RefusedClaims:
-    """Refuses every claim, as while the store is down."""
+class FailingKeyDispatcher:
+    """Rejects every request for want of a claim, as while the store is down."""
 
-    async def send(self, execution: Any, dispatch: Any) -> Response:
+    async def dispatch(self, execution: Any, forward: Any) -> Response:
         raise NotRunError(ErrorCode.STORE_UNAVAILABLE, "no claim", step="test")
 
 
-def start_serving(context: Any, claim_gate: Any) -> None:
+def start_serving(context: Any, key_dispatcher: Any) -> None:
     context.runner = context.cleanup.enter_context(asyncio.Runner())
     context.clock = SystemClock()
     context.transport = SilentTransport()
-    view = cast(SettingsView, OneRoute())
+    view = cast(SettingsView, SingleRouteView())
     tracer = Tracer("n", context.clock, random.Random(1))
     context.serving = ServingService(
-        "s", context.transport, claim_gate, view, context.clock, Metrics(), tracer
+        "s", context.transport, key_dispatcher, view, context.clock, Metrics(), tracer
     )
     context.serving.open(RouteSettings(service="s"))
     context.serving.set_accepting(True)
@@ -91,12 +95,12 @@
 
 @given("the serving side of a node whose claims are all refused")
 def given_unclaimed(context: Any) -> None:
-    start_serving(context, RefusedClaims())
+    start_serving(context, FailingKeyDispatcher())
 
 
 @when("{count:d} bookings with keys are refused there")
 def when_unclaimed(context: Any, count: int) -> None:
-    deadline = context.clock.monotonic() + FAR_S
+    deadline = context.clock.monotonic() + DEADLINE_S
     for number in range(count):
         request = Request(
             "s", "POST", "/", (), False, False, deadline, idempotency_key=f"key-{number}"
@@ -115,7 +119,7 @@
 
 
 async def cancel_one(context: Any) -> None:
-    deadline = context.clock.monotonic() + FAR_S
+    deadline = context.clock.monotonic() + DEADLINE_S
     request = Request("s", "GET", "/", (), False, True, deadline)
     task = asyncio.create_task(context.serving.handle(request, inline_body()))
     await context.transport.begun.wait()
@@ -139,19 +143,19 @@
 
 @given("its service is no longer in the settings")
 def given_no_service(context: Any) -> None:
-    context.serving.kinds.view = TreeSettingsView(Place("r", "d"), cast(Freshness, None))
+    context.serving.classifier.view = TreeSettingsView(Place("r", "d"), cast(Freshness, None))
 
 
 @then("a booking that reaches it is refused as not run")
 def then_not_run(context: Any) -> None:
-    deadline = context.clock.monotonic() + FAR_S
+    deadline = context.clock.monotonic() + DEADLINE_S
     request = Request("s", "POST", "/", (), False, False, deadline)
-    (ended,) = context.runner.run(end_of(context.serving.handle(request, inline_body())))
-    assert isinstance(ended, NotRunError) and ended.code == "unknown-service", repr(ended)
+    (result,) = context.runner.run(result_of(context.serving.handle(request, inline_body())))
+    assert isinstance(result, NotRunError) and result.code == "unknown-service", repr(result)
     assert context.serving.idle.is_set()
 
 
-async def end_of(work: Any) -> Any:
+async def result_of(work: Any) -> Any:
     return await asyncio.gather(work, return_exceptions=True)
 
 
@@ -201,14 +205,14 @@
 
 @then("it opens at most {count:d} connections to its backend server")
 def then_limit_of_connections(context: Any, count: int) -> None:
-    assert context.node.transport.limit == count, context.node.transport.limit
+    assert context.node.transport.max_connections == count, context.node.transport.max_connections
 
 
 @when("its health is read with no path in the settings")
 def when_no_path(context: Any) -> None:
-    measurer = Measurer(context.transport, context.clock, Metrics(), lambda state: None)
-    measurer.configure(RouteSettings(service="s", health_path=""))
-    context.state = context.runner.run(measurer.read())
+    checker = HealthChecker(context.transport, context.clock, Metrics(), lambda state: None)
+    checker.configure(RouteSettings(service="s", health_path=""))
+    context.state = context.runner.run(checker.check())
 
 
 @then("the backend server counts as ready")
--- a/src/marjoramtide/ingress/_peer_crash_detector.py
+++ b/src/marjoramtide/ingress/_peer_crash_detector.py
@@ -10,7 +10,7 @@
 from marjoramtide.exchange import Request, RequestBody
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.peers import PeerClient, PeerSign
-from marjoramtide.serving import Run
+from marjoramtide.serving import InFlightRequest
 from marjoramtide.telemetry import Metrics
 
 log = structlog.get_logger()
@@ -26,7 +26,7 @@
 PROBE_PAUSES_S = (0.05, 0.1, 0.2)
 
 Fingerprint = Callable[[Request, RequestBody], int]
-Report = Callable[[Member, Sequence[Run]], None]
+Report = Callable[[Member, Sequence[InFlightRequest]], None]
 
 
 class PeerCrashDetector:
@@ -53,7 +53,7 @@
         self.metrics = metrics
         self.fingerprint = fingerprint
         self.report = report
-        self.lost: dict[str, list[Run]] = {}
+        self.lost: dict[str, list[InFlightRequest]] = {}
         self.probes: dict[str, asyncio.Task[None]] = {}
         self.later: set[asyncio.Task[None]] = set()
 
@@ -66,13 +66,13 @@
         accepts nor refuses connections, this returns without knowing.
         """
         fingerprint = self.fingerprint(request, body)
-        run = Run(fingerprint, request.request_id, request.label, started)
+        run = InFlightRequest(fingerprint, request.request_id, request.label, started)
         self.report_lost_runs(member, [run])
         task = self.probes.get(member.node)
         if task is not None:
             await asyncio.shield(task)
 
-    def report_lost_runs(self, member: Member, runs: Sequence[Run]) -> None:
+    def report_lost_runs(self, member: Member, runs: Sequence[InFlightRequest]) -> None:
         """Report the runs at a node whose connection broke, and check whether it has crashed."""
         if member.state in (MemberState.LEAVING, MemberState.DEAD):
             return
@@ -91,7 +91,7 @@
             task.add_done_callback(self.later.discard)
         self.report_if_crashed(member, runs, sign)
 
-    async def probe_again(self, member: Member, runs: Sequence[Run]) -> None:
+    async def probe_again(self, member: Member, runs: Sequence[InFlightRequest]) -> None:
         """Probe a node until it accepts or refuses, for a few tenths of a second."""
         for pause_s in PROBE_PAUSES_S:
             await self.clock.sleep(pause_s)
@@ -100,7 +100,9 @@
                 self.report_if_crashed(member, runs, sign)
                 return
 
-    def report_if_crashed(self, member: Member, runs: Sequence[Run], sign: PeerSign) -> None:
+    def report_if_crashed(
+        self, member: Member, runs: Sequence[InFlightRequest], sign: PeerSign
+    ) -> None:
         """Report the runs lost with a node if it has crashed."""
         if sign is not PeerSign.GONE:
             return
@@ -111,6 +113,6 @@
             step="ingress.ends",
             peer=member.node,
             service=member.service,
-            runs=[run.told(self.clock.monotonic()) for run in runs],
+            runs=[run.log_fields(self.clock.monotonic()) for run in runs],
         )
         self.report(member, runs)
--- a/src/marjoramtide/serving/_backend_protocol.py
+++ b/src/marjoramtide/serving/_backend_protocol.py
@@ -1,35 +1,35 @@
-"""The interface to what backend servers speak beyond plain HTTP."""
+"""Interface for the backend server's conventions on top of HTTP."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
 
 from marjoramtide.exchange import Request
-from marjoramtide.serving._backend_reply import BackendReply
-from marjoramtide.serving._endpoint_answer import EndpointAnswer
-from marjoramtide.serving._health_reading import HealthReading
-from marjoramtide.serving._reply_reading import ReplyReading
+from marjoramtide.serving._backend_response import BackendResponse
+from marjoramtide.serving._endpoint_response import EndpointResponse
+from marjoramtide.serving._health_check_result import HealthCheckResult
+from marjoramtide.serving._response_metadata import ResponseMetadata
 
 
 class BackendProtocol(ABC):
-    """Words requests and reads answers; it decides nothing and holds no state."""
+    """Encodes request headers and decodes responses; makes no decisions."""
 
-    own_answer_headers: frozenset[str]
-    """Headers of an answer, in lower case, that end at this node."""
+    internal_response_headers: frozenset[str]
+    """Names of response headers, in lower case, that are not forwarded to the caller."""
 
     @abstractmethod
     def request_headers(
         self, request: Request, remaining_ms: float, instance: str
     ) -> Iterable[tuple[str, str]]:
-        """Return the headers that this node adds; ``instance`` is whom the request is for."""
+        """Return the headers to add; ``instance`` is the backend server's identity or empty."""
 
     @abstractmethod
-    def belongs(self, request_id: str, reply: BackendReply) -> bool:
-        """Tell whether an answer, whose head is there, is the one to this request."""
+    def belongs(self, request_id: str, response: BackendResponse) -> bool:
+        """Return whether a response, of which the head is known, belongs to this request."""
 
     @abstractmethod
-    def read_reply(self, reply: BackendReply) -> ReplyReading:
-        """Read the head of an answer to a request."""
+    def read_response(self, response: BackendResponse) -> ResponseMetadata:
+        """Decode the head of a response."""
 
     @abstractmethod
-    def read_health(self, answer: EndpointAnswer) -> HealthReading:
-        """Read the answer of the health endpoint."""
+    def read_health(self, response: EndpointResponse) -> HealthCheckResult:
+        """Decode a response of the health endpoint."""
--- /dev/null
+++ b/src/marjoramtide/serving/_backend_response.py
@@ -0,0 +1,202 @@
+"""Parser and buffer for the response to one request."""
+
+import asyncio
+import re
+from collections.abc import Callable
+from typing import Any
+
+import httptools
+
+from marjoramtide.errors import ErrorCode
+from marjoramtide.exchange import MAX_INLINE_BYTES, UnknownOutcomeError
+
+MAX_HEAD_BYTES = 64 * 1024
+STATUSES_WITHOUT_BODY = (204, 304)
+IDLE_TIMEOUT = re.compile(r"\btimeout=([0-9]{1,6})\b", re.IGNORECASE)
+
+
+class BackendResponse:
+    """Parses the response to one request strictly and buffers a bounded part of its body.
+
+    The parser is llhttp in strict mode: two lengths, a length combined with a transfer coding, bare
+    line feeds and folded header fields are errors. Each request has its own parser, so no part of
+    one response can be mistaken for a part of the next.
+
+    If a backend server responds twice to one request, the second response may arrive after the next
+    request was sent on the same connection, and would go to the wrong caller. ``belongs`` decides
+    by the head whether a response is the expected one. Others are dropped, and the connection is
+    not reused.
+    """
+
+    def __init__(
+        self,
+        transport: asyncio.Transport,
+        peer: str,
+        *,
+        is_head_request: bool,
+        belongs: "Callable[[BackendResponse], bool] | None" = None,
+    ) -> None:
+        self.belongs = belongs
+        self.is_stray = False
+        self.stray_count = 0
+        self.transport = transport
+        self.peer = peer
+        self.is_head_request = is_head_request
+        self.parser: Any = httptools.HttpResponseParser(self)
+        self.status = 0
+        self.headers: list[tuple[str, str]] = []
+        self.length: int | None = None
+        self.head_bytes = 0
+        self.has_head = False
+        self.ends_at_close = False
+        self.chunks: list[bytes] = []
+        self.buffered_bytes = 0
+        self.is_paused = False
+        self.is_complete = False
+        self.is_reusable = False
+        self.error: UnknownOutcomeError | None = None
+        self.wanted_bytes = 0
+        self.waiter: asyncio.Future[None] | None = None
+
+    def header(self, name: str) -> str:
+        """Return the first header with this lower-case name, or an empty string."""
+        return next((value for each, value in self.headers if each.lower() == name), "")
+
+    def header_values(self, name: str) -> list[str]:
+        """Return all headers with this lower-case name."""
+        return [value for each, value in self.headers if each.lower() == name]
+
+    def server_idle_timeout_s(self) -> float | None:
+        """Return the server's idle timeout for the connection, ``None`` if it isn't stated."""
+        match = IDLE_TIMEOUT.search(self.header("keep-alive"))
+        return None if match is None else float(match[1])
+
+    async def read(self, size: int) -> bytes:
+        """Wait for ``size`` bytes of the body or its end, and return all buffered bytes.
+
+        Raises ``UnknownOutcomeError`` if the response is truncated or invalid.
+        """
+        if not self.is_complete and self.error is None and self.buffered_bytes < size:
+            self.wanted_bytes = size
+            self.waiter = asyncio.get_running_loop().create_future()
+            await self.waiter
+        if self.error is not None:
+            raise self.error
+        data = b"".join(self.chunks)
+        self.chunks.clear()
+        self.buffered_bytes = 0
+        if self.is_paused:
+            self.is_paused = False
+            self.transport.resume_reading()
+        return data
+
+    def feed(self, data: bytes) -> None:
+        """Parse bytes received on the connection."""
+        if not self.has_head:
+            self.head_bytes += len(data)
+        try:
+            self.parser.feed_data(data)
+        except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
+            # Extra bytes after a complete response prevent reuse of the connection only.
+            self.is_reusable = False
+            if not self.is_complete:
+                self.fail(ErrorCode.BACKEND_FAILED, f"{type(error).__name__}: {error}")
+        if not self.has_head and self.head_bytes > MAX_HEAD_BYTES:
+            self.fail(
+                ErrorCode.HEAD_TOO_LARGE, f"the response head is longer than {MAX_HEAD_BYTES} bytes"
+            )
+        self.wake()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        """Handle the end of the connection, which also ends a body without a stated length."""
+        self.is_reusable = False
+        if self.is_complete or self.error is not None:
+            return
+        if self.ends_at_close and error is None:
+            self.is_complete = True
+        elif self.has_head:
+            self.fail(ErrorCode.TRUNCATED, "the connection was closed during the response")
+        else:
+            self.fail(ErrorCode.BACKEND_FAILED, "the connection was closed before a response")
+        self.wake()
+
+    def fail(self, code: ErrorCode, message: str) -> None:
+        """End the response with an error, unless it has already ended."""
+        self.is_reusable = False
+        if not self.is_complete and self.error is None:
+            self.error = UnknownOutcomeError(code, message, step="serving.read", peer=self.peer)
+            self.wake()
+
+    def wake(self) -> None:
+        has_ended = self.is_complete or self.error is not None
+        if (
+            (has_ended or self.buffered_bytes >= self.wanted_bytes)
+            and self.waiter
+            and not self.waiter.done()
+        ):
+            self.waiter.set_result(None)
+
+    def on_message_begin(self) -> None:
+        # A second response to one request could be taken for the response to the next one.
+        if self.is_complete:
+            self.is_reusable = False
+
+    def on_header(self, name: bytes, value: bytes) -> None:
+        if not self.has_head:
+            self.headers.append((name.decode("latin-1"), decode_header(value)))
+
+    def on_headers_complete(self) -> None:
+        if self.has_head:
+            return
+        status = self.parser.get_status_code()
+        if status < 200:
+            self.headers.clear()
+            return
+        self.status = status
+        if self.belongs is not None and not self.belongs(self):
+            self.is_stray = True
+            self.headers.clear()
+            return
+        self.has_head = True
+        length = self.header("content-length")
+        self.length = int(length) if length else None
+        coding = self.header("transfer-encoding").lower()
+        if coding and coding.rpartition(",")[2].strip() != "chunked":
+            self.fail(ErrorCode.BACKEND_FAILED, f"unsupported transfer coding {coding[:40]!r}")
+        self.ends_at_close = (
+            not coding and self.length is None and status not in STATUSES_WITHOUT_BODY
+        )
+        if self.is_head_request:
+            # The parser doesn't know that a response to HEAD has no body, so the connection is not
+            # reused.
+            self.is_complete = True
+
+    def on_body(self, data: bytes) -> None:
+        if self.is_complete or self.is_stray:
+            return
+        self.chunks.append(data)
+        self.buffered_bytes += len(data)
+        if self.buffered_bytes >= MAX_INLINE_BYTES and not self.is_paused:
+            self.is_paused = True
+            self.transport.pause_reading()
+
+    def on_message_complete(self) -> None:
+        if self.is_stray:
+            self.is_stray = False
+            self.stray_count += 1
+            return
+        if self.has_head and not self.is_complete and self.error is None:
+            self.is_complete = True
+            self.is_reusable = self.parser.should_keep_alive() and not self.stray_count
+
+
+def decode_header(value: bytes) -> str:
+    """Return a header value that can be encoded as UTF-8, as CBOR and callers' responses require.
+
+    Values that are not valid UTF-8 are decoded as Latin-1, the charset of HTTP/1.0, and are
+    forwarded as UTF-8.
+    """
+    try:
+        return value.decode()
+    except UnicodeDecodeError:
+        return value.decode("latin-1")
--- a/src/marjoramtide/serving/_registrar.py
+++ b/src/marjoramtide/serving/_registrar.py
@@ -1,4 +1,4 @@
-"""Which backend server stands beside this node."""
+"""Tracks which backend server is registered at this node."""
 
 from collections.abc import Awaitable, Callable
 
@@ -6,86 +6,86 @@
 import structlog
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
-from marjoramtide.serving._ended_starts import EndedStarts
+from marjoramtide.serving._ended_incarnations import EndedIncarnations
 from marjoramtide.serving._registration import Registration, is_earlier
 
 log = structlog.get_logger()
 
-# Of an identity that another writer made up; the rest tells nothing more.
-LOGGED_CHARACTERS = 80
+# Longer identities, which only malformed requests contain, are truncated in logs.
+MAX_LOGGED_CHARS = 80
 
 
 class Registrar:
-    """Follows the registrations of the backend server beside this node, in any order.
+    """Processes heartbeats and departures of the backend server, in any order of arrival.
 
-    ``changed`` is called, without a pause in between, before a registration or a departure is
-    acknowledged: once the backend server knows that its leaving was heard, no new work reaches it.
+    ``on_change`` is called synchronously before a heartbeat or departure is acknowledged. After the
+    backend server has received the acknowledgement of its departure, no new request reaches it.
 
-    ``ask_identity`` reads from the backend server itself who it is; it returns an empty string
-    where that can't be learned.
+    ``fetch_identity`` asks the backend server itself for its identity; it returns an empty string
+    if that fails.
     """
 
     def __init__(
         self,
         service: str,
-        ask_identity: Callable[[], Awaitable[str]],
-        changed: Callable[[], None],
+        fetch_identity: Callable[[], Awaitable[str]],
+        on_change: Callable[[], None],
     ) -> None:
         self.service = service
-        self.ask_identity = ask_identity
-        self.changed = changed
+        self.fetch_identity = fetch_identity
+        self.on_change = on_change
         self.current: Registration | None = None
-        # Whether the last start that was registered has said that it leaves.
-        self.departed = False
-        self.ended = EndedStarts()
-        self.refused = 0
+        # Whether the last registered incarnation has announced its departure.
+        self.has_departed = False
+        self.ended = EndedIncarnations()
+        self.rejected_count = 0
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether a backend server is registered that takes new work."""
-        return self.current is not None and not self.current.draining
+        """Return whether a backend server is registered that accepts new requests."""
+        return self.current is not None and not self.current.is_draining
 
-    async def register(self, heard: Registration) -> None:
-        """Take one heartbeat; raises ``bad-request`` where it is of another service."""
-        if heard.service != self.service:
+    async def register(self, heartbeat: Registration) -> None:
+        """Process one heartbeat; raises ``bad-request`` if it is for another service."""
+        if heartbeat.service != self.service:
             raise MarjoramtideError(
                 ErrorCode.BAD_REQUEST,
-                f"this node serves {self.service!r}, not {heard.service!r}",
+                f"this node serves {self.service!r}, not {heartbeat.service!r}",
                 step="serving.register",
-                peer=heard.address,
+                peer=heartbeat.address,
             )
-        held = self.current
-        if held is not None and held.is_same_start(heard):
-            self._update(held, heard)
-        elif self.ended.include(heard):
-            self._pass_over(heard)
-        elif held is None:
-            self._take(heard)
-        elif await self._has_replaced(held, heard):
-            self._end(held)
-            self._take(heard)
-
-    def refuse(self, instance: str, reason: str) -> None:
-        """Count and log a heartbeat or departure that can't be read; it changes nothing."""
-        self.refused += 1
+        registered = self.current
+        if registered is not None and registered.is_same_incarnation(heartbeat):
+            self._update(registered, heartbeat)
+        elif self.ended.includes(heartbeat):
+            self._ignore(heartbeat)
+        elif registered is None:
+            self._set_current(heartbeat)
+        elif await self._supersedes(registered, heartbeat):
+            self._clear_current(registered)
+            self._set_current(heartbeat)
+
+    def reject_malformed(self, instance: str, reason: str) -> None:
+        """Count and log a malformed heartbeat or departure, which has no other effect."""
+        self.rejected_count += 1
         log.warning(
             "serving.registration_malformed",
             code=ErrorCode.BAD_REQUEST,
             step="serving.register",
-            instance=instance[:LOGGED_CHARACTERS],
+            instance=instance[:MAX_LOGGED_CHARS],
             reason=reason,
         )
 
-    def found(self, instance: str, slots: int) -> None:
-        """Take a backend server that is sound and states its identity, before its first heartbeat.
+    def note_discovered(self, instance: str, slots: int) -> None:
+        """Register a healthy backend server by its stated identity, before its first heartbeat.
 
-        Failure: all nodes lose power and start again. Their backend servers serve on, but the next
-        heartbeat of each comes up to an interval later, and until then nobody is served. Only a
-        node that has heard nothing yet goes by this: one that has knows more than the identity.
+        If all nodes restart after a power loss while their backend servers keep running, the next
+        heartbeats arrive up to one interval later, and no requests would be served until then. This
+        applies only if nothing has been received yet; heartbeats contain more than the identity.
         """
         if self.current is None and not self.ended and instance and slots > 0:
-            log.info("serving.found", instance=instance, slots=slots)
-            self._take(
+            log.info("serving.discovered", instance=instance, slots=slots)
+            self._set_current(
                 Registration(
                     instance=instance,
                     address="",
@@ -93,87 +93,110 @@
                     data_centre="",
                     software="",
                     slots=slots,
-                    draining=False,
+                    is_draining=False,
                     sequence=0,
-                    cold_left_s=None,
+                    cold_remaining_s=None,
                 )
             )
 
-    def depart(self, instance: str, born: int | None = None) -> None:
-        """Take the word that a backend server leaves, also before any heartbeat of it came.
+    def deregister(self, instance: str, start_time_ms: int | None = None) -> None:
+        """Process the departure of a backend server, which may arrive before any heartbeat.
 
-        A departure that doesn't tell of which start it is counts for the one that is registered:
-        idle until its next start, a server that did not leave harms callers less than new work for
-        one that did.
+        A departure without a start time is applied to the registered incarnation. A running server
+        that stays idle until its next start harms callers less than requests sent to one that has
+        left.
         """
-        held = self.current
-        is_late = held is not None and held.instance == instance and is_earlier(born, held.born)
-        log.info("serving.departed", instance=instance, born=born, late=is_late)
-        # Of the start that it tells, which may be a later one than the one that is registered: its
-        # first heartbeat may come after it, and must not bring it back.
-        self.ended.add(instance, born)
-        if held is not None and held.instance == instance and not is_late:
-            self.departed = True
-            self._end(held)
-
-    def misdirected(self, instance: str) -> None:
-        """Note that the backend server says it is ``instance``, not the registered one.
-
-        Its own heartbeat will tell the rest. Until then nothing is sent: what was registered is
-        gone, and its address may belong to another service by now.
+        registered = self.current
+        is_late = (
+            registered is not None
+            and registered.instance == instance
+            and is_earlier(start_time_ms, registered.start_time_ms)
+        )
+        log.info("serving.departed", instance=instance, start_time_ms=start_time_ms, late=is_late)
+        # The departure may be from a later incarnation than the registered one; if the first
+        # heartbeat of that incarnation arrives afterwards, it must not register the server again.
+        self.ended.add(instance, start_time_ms)
+        if registered is not None and registered.instance == instance and not is_late:
+            self.has_departed = True
+            self._clear_current(registered)
+
+    def note_misdirected(self, instance: str) -> None:
+        """Record that the server at the address states another identity than the registered one.
+
+        No requests are sent until the new server sends a heartbeat: the registered server is gone,
+        and its address may now belong to another service.
         """
-        held = self.current
-        if held is not None and instance and instance != held.instance:
-            log.warning("serving.replaced", instance=held.instance, found=instance)
-            self._end(held)
-
-    async def _has_replaced(self, held: Registration, heard: Registration) -> bool:
-        """Tell which of two starts is the later one, by asking whoever listens at the address.
-
-        Failure: a heartbeat that a cut held up arrives after its sender has crashed and a new start
-        has registered. Taken for news, it would have every request refused as meant for another
-        one, until the next heartbeat; identities alone don't tell which is older.
+        registered = self.current
+        if registered is not None and instance and instance != registered.instance:
+            log.warning("serving.replaced", instance=registered.instance, found=instance)
+            self._clear_current(registered)
+
+    async def _supersedes(self, registered: Registration, heartbeat: Registration) -> bool:
+        """Return whether a heartbeat of another incarnation replaces the registered one.
+
+        A heartbeat delayed by a network partition may arrive after its sender has crashed and a new
+        incarnation has registered. If it were accepted, every request would be rejected as
+        misdirected until the next heartbeat. Identities don't show which incarnation is newer, so
+        the server at the address is asked.
         """
-        if heard.instance == held.instance:
-            return held.precedes(heard) or self._pass_over(heard)
-        stated = await self.ask_identity()
-        if self.current is not held:
+        if heartbeat.instance == registered.instance:
+            return registered.precedes(heartbeat) or self._ignore(heartbeat)
+        stated_instance = await self.fetch_identity()
+        if self.current is not registered:
             return False
-        if stated == held.instance or (not stated and heard.precedes(held)):
-            return self._pass_over(heard)
-        # Where nobody answers, the newcomer is more likely to come up than the old one.
+        if stated_instance == registered.instance or (
+            not stated_instance and heartbeat.precedes(registered)
+        ):
+            return self._ignore(heartbeat)
+        # If the server doesn't respond, it is more likely that the new one is still starting.
         return True
 
-    def _pass_over(self, heard: Registration) -> bool:
-        """Leave aside a heartbeat of a start that has ended; never the one that is registered."""
-        log.info("serving.registration_late", instance=heard.instance, born=heard.born)
-        self.ended.add(heard.instance, heard.born)
+    def _ignore(self, heartbeat: Registration) -> bool:
+        """Ignore a heartbeat of an ended incarnation; returns false.
+
+        Must not be called for the registered incarnation.
+        """
+        log.info(
+            "serving.registration_late",
+            instance=heartbeat.instance,
+            start_time_ms=heartbeat.start_time_ms,
+        )
+        self.ended.add(heartbeat.instance, heartbeat.start_time_ms)
         return False
 
-    def _take(self, heard: Registration) -> None:
+    def _set_current(self, heartbeat: Registration) -> None:
         log.info(
             "serving.registered",
-            instance=heard.instance,
-            slots=heard.slots,
-            draining=heard.draining,
-            sequence=heard.sequence,
-            born=heard.born,
+            instance=heartbeat.instance,
+            slots=heartbeat.slots,
+            draining=heartbeat.is_draining,
+            sequence=heartbeat.sequence,
+            start_time_ms=heartbeat.start_time_ms,
         )
-        self.departed = False
-        self.current = heard
-        self.changed()
-
-    def _update(self, held: Registration, heard: Registration) -> None:
-        if heard.sequence <= held.sequence or (held.draining and not heard.draining):
-            # An older heartbeat that was overtaken. One that has said it is draining is held to it:
-            # the acknowledgement promised that nothing new would come.
+        self.has_departed = False
+        self.current = heartbeat
+        self.on_change()
+
+    def _update(self, registered: Registration, heartbeat: Registration) -> None:
+        if heartbeat.sequence <= registered.sequence or (
+            registered.is_draining and not heartbeat.is_draining
+        ):
+            # Either an older heartbeat that was overtaken, or a server that revokes its draining.
+            # Draining is final, because its acknowledgement promised that no new request follows.
             return
-        self.current = attrs.evolve(heard, born=held.born if heard.born is None else heard.born)
-        if heard.draining and not held.draining:
-            log.info("serving.draining", instance=heard.instance)
-        self.changed()
+        self.current = attrs.evolve(
+            heartbeat,
+            start_time_ms=(
+                registered.start_time_ms
+                if heartbeat.start_time_ms is None
+                else heartbeat.start_time_ms
+            ),
+        )
+        if heartbeat.is_draining and not registered.is_draining:
+            log.info("serving.draining", instance=heartbeat.instance)
+        self.on_change()
 
-    def _end(self, held: Registration) -> None:
-        self.ended.add(held.instance, held.born)
+    def _clear_current(self, registered: Registration) -> None:
+        self.ended.add(registered.instance, registered.start_time_ms)
         self.current = None
-        self.changed()
+        self.on_change()
--- a/src/marjoramtide/serving/_slot_queue.py
+++ b/src/marjoramtide/serving/_slot_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a slot of the backend server."""
+"""Queue of requests that wait for a slot of the backend server."""
 
 import asyncio
 from collections.abc import Callable, Iterable
@@ -10,10 +10,10 @@
 
 
 class SlotQueue:
-    """Wakes what waits as the admission gives slots, and refuses it once that is in vain.
+    """Wakes queued requests when they are admitted, and rejects those that expire.
 
-    Requests are known by their tickets. All that leaves the queue without a slot has certainly not
-    run. ``report`` returns the load at a time, which a refusal tells.
+    Requests are identified by tickets. A request that leaves the queue without a slot has certainly
+    not run. ``report`` returns the load report for a given time; rejections carry it.
     """
 
     def __init__(
@@ -26,67 +26,70 @@
         self.timer: asyncio.TimerHandle | None = None
 
     async def wait(self, ticket: int) -> None:
-        """Return when a ticket has a slot; raises ``NotRunError`` where it gets none."""
+        """Wait until a ticket gets a slot; raises ``NotRunError`` if it is rejected."""
         waiter = self.waiting[ticket] = asyncio.get_running_loop().create_future()
         self.schedule_expiry()
         try:
             await waiter
         except asyncio.CancelledError:
-            self.start(self.admission.withdraw(ticket, self.clock.monotonic()))
+            self.wake(self.admission.withdraw(ticket, self.clock.monotonic()))
             raise
         finally:
             self.waiting.pop(ticket, None)
 
-    def start(self, tickets: Iterable[int]) -> None:
-        """Wake the tickets that were given a slot."""
+    def wake(self, tickets: Iterable[int]) -> None:
+        """Wake the tickets that were admitted."""
         for ticket in tickets:
             waiter = self.waiting.get(ticket)
             if waiter is not None and not waiter.done():
                 waiter.set_result(None)
             elif waiter is None or waiter.cancelled():
-                # Cancelled in the same turn of the loop: without this the slot is never freed.
-                self.start(self.admission.withdraw(ticket, self.clock.monotonic()))
+                # The waiter was cancelled in the same iteration of the event loop; without this,
+                # its slot would never be freed.
+                self.wake(self.admission.withdraw(ticket, self.clock.monotonic()))
 
     def resume(self, now: float) -> None:
-        """Start what waited for the backend server's pace."""
-        started = self.admission.resume(now) if self.waiting else []
-        if started:
-            self.start(started)
+        """Wake requests that can start now that the backend server's speed or limit has changed."""
+        admitted = self.admission.resume(now) if self.waiting else []
+        if admitted:
+            self.wake(admitted)
             self.schedule_expiry()
 
     def schedule_expiry(self) -> None:
-        """Look again when the first ticket can no longer finish in time."""
-        due = self.admission.next_expiry()
+        """Set the timer for the next ticket that can no longer finish before its deadline."""
+        expires_at = self.admission.next_expiry()
         if self.timer is not None:
             self.timer.cancel()
             self.timer = None
-        if due is not None:
-            delay = max(0.0, due - self.clock.monotonic())
-            self.timer = asyncio.get_running_loop().call_later(delay, self.expire)
+        if expires_at is not None:
+            delay_s = max(0.0, expires_at - self.clock.monotonic())
+            self.timer = asyncio.get_running_loop().call_later(delay_s, self.reject_expired)
 
-    def expire(self) -> None:
-        """Refuse at once what can no longer finish in time."""
+    def reject_expired(self) -> None:
+        """Reject tickets that can no longer finish before their deadlines."""
         now = self.clock.monotonic()
         expired = self.admission.expire(now)
         retry_after_ms = self.admission.retry_after_ms(now) if expired else 0
-        reason = "it could no longer finish in time"
-        self.give_up(expired, ErrorCode.DEADLINE, reason, retry_after_ms)
-        self.start(self.admission.resume(now))
+        reason = "the request could no longer finish before its deadline"
+        self.reject_tickets(expired, ErrorCode.DEADLINE, reason, retry_after_ms)
+        self.wake(self.admission.resume(now))
         self.schedule_expiry()
 
-    def hand_back(self, code: ErrorCode = ErrorCode.DRAINING) -> None:
-        """Refuse all that waits, so that other nodes may take it.
+    def reject_all(self, code: ErrorCode = ErrorCode.DRAINING) -> None:
+        """Reject all queued requests, so that other nodes can serve them.
 
-        For a backend server that leaves: what waits for it would reach it seconds after it was told
-        that nothing new would.
+        Used when the backend server leaves or is evacuated: queued requests would otherwise reach
+        it seconds after it was promised no new work.
         """
-        self.give_up(self.admission.clear_queue(), code, "the backend server takes nothing more")
+        self.reject_tickets(
+            self.admission.clear_queue(), code, "the backend server takes no more requests"
+        )
         self.schedule_expiry()
 
-    def give_up(
+    def reject_tickets(
         self, tickets: list[int], code: ErrorCode, reason: str, retry_after_ms: int = 0
     ) -> None:
-        """Refuse tickets that the admission has dropped."""
+        """Reject tickets that the admission has already removed."""
         report = self.report(self.clock.monotonic()) if tickets else None
         for ticket in tickets:
             waiter = self.waiting.get(ticket)
@@ -101,14 +104,14 @@
                     )
                 )
 
-    def refuse(self, ticket: int, error: NotRunError) -> None:
-        """Refuse one ticket, where it still waits."""
+    def reject(self, ticket: int, error: NotRunError) -> None:
+        """Reject one ticket, if it is still queued."""
         waiter = self.waiting.get(ticket)
         if waiter is not None and not waiter.done():
             waiter.set_exception(error)
-            self.start(self.admission.withdraw(ticket, self.clock.monotonic()))
+            self.wake(self.admission.withdraw(ticket, self.clock.monotonic()))
 
     def close(self) -> None:
-        """Look no more."""
+        """Cancel the expiry timer."""
         if self.timer is not None:
             self.timer.cancel()
