--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -58,7 +58,7 @@
     member = make_membership(settings, MemoryStore(), SystemClock(), random.SystemRandom())
     # The announcements of the first members, without a store.
     member.core.add_seeds([f"{address_of(seed, network)}:7102" for seed in range(SEEDS)])
-    member.announcer.found = lambda announcements: None
+    member.announcer.on_announcements = lambda announcements: None
     return member
 
 
--- a/bench/fleet/_store_calls.py
+++ b/bench/fleet/_store_calls.py
@@ -9,7 +9,7 @@
 import aiohttp
 import attrs
 
-from marjoramtide.membership import ANNOUNCEMENTS
+from marjoramtide.membership import ANNOUNCEMENT_PREFIX
 
 KINDS = ("reads", "writes", "watches", "throttled")
 SAMPLE_S = 0.25
@@ -63,7 +63,7 @@
     async def announcements_bytes(self) -> int:
         """Return the size of the list that every node reads at its start."""
         url = f"http://{self.address}/v1/objects"
-        async with self.http.get(url, params={"prefix": ANNOUNCEMENTS}) as response:
+        async with self.http.get(url, params={"prefix": ANNOUNCEMENT_PREFIX}) as response:
             return len(await response.read())
 
     @asynccontextmanager
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -34,9 +34,9 @@
 from marjoramtide.evacuation._store_news import unpack_store_news
 from marjoramtide.exchange import LoadReport, ServerStatement
 from marjoramtide.membership import Member, decode_announcement
-from marjoramtide.membership._bulletin import MAGIC, BulletinCodec
+from marjoramtide.membership._bulletin import BULLETIN_MAGIC, BulletinCodec
 from marjoramtide.membership._member_state import MemberState
-from marjoramtide.membership._packet import AppliedSettings, Kind, Packet, Status
+from marjoramtide.membership._packet import AppliedSettings, Packet, PacketKind, Status
 from marjoramtide.membership._packet_codec import PacketCodec
 from marjoramtide.membership._packet_error import PacketError
 from marjoramtide.peers._codec import (
@@ -93,7 +93,7 @@
 STATING_REPORT = LoadReport(1, 5, statement=STATEMENT)
 STATING_REQUEST = attrs.evolve(REQUEST, statement=pack_statement(STATEMENT))
 PACKET = Packet(
-    kind=Kind.PING,
+    kind=PacketKind.PING,
     sender=1,
     sequence=2,
     sent_ms=3,
@@ -271,7 +271,7 @@
 def read_news(data: bytes) -> None:
     """Read a bulletin that a node with the key has signed, whatever is in it."""
     codec = BulletinCodec(KEY)
-    _, fields = codec.decode(MAGIC + codec.seal.close(data))
+    _, fields = codec.decode(BULLETIN_MAGIC + codec.authenticator.seal(data))
     if is_quarantine_news(fields):
         unpack_news(fields)
     elif is_store_news(fields):
--- a/bench/model/_model_directory.py
+++ b/bench/model/_model_directory.py
@@ -30,7 +30,7 @@
             found = self.by_service[service] = [
                 member
                 for member in self.known.values()
-                if member.service == service and member.state.takes_work()
+                if member.service == service and member.state.accepts_requests()
             ]
         return found
 
--- a/features/steps/node_tasks_steps.py
+++ b/features/steps/node_tasks_steps.py
@@ -10,7 +10,7 @@
 from marjoramtide.clock import ManualClock
 from marjoramtide.daemon._supervision import keep_running
 from marjoramtide.membership import Member
-from marjoramtide.membership._announcement import ANNOUNCEMENTS, announcement_of
+from marjoramtide.membership._announcement import ANNOUNCEMENT_PREFIX, announcement_of
 from marjoramtide.membership._announcer import Announcer
 from marjoramtide.serving import EndpointAnswer, Measurer
 from marjoramtide.settings import RouteSettings
@@ -106,7 +106,7 @@
     """Holds one announcement of somebody else, and counts the writes of the node."""
 
     def __init__(self, value: bytes) -> None:
-        self.other = StoredObject(ANNOUNCEMENTS + "other", value, 1)
+        self.other = StoredObject(ANNOUNCEMENT_PREFIX + "other", value, 1)
         self.writes = 0
 
     async def create(self, key: str, value: bytes, *, timeout: float = 2.0) -> StoredObject:
--- a/features/steps/passed_on_news_steps.py
+++ b/features/steps/passed_on_news_steps.py
@@ -24,7 +24,7 @@
 
         service.on_bulletin(hear)
     reader = context.services[other].self_member
-    context.services[number].passed_on_to = lambda teller: [reader]
+    context.services[number].relay_targets = lambda teller: [reader]
 
 
 @when("membership service {number:d} publishes news by way of membership service {relay:d}")
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -176,7 +176,7 @@
             self.clock,
             rng,
             self.metrics,
-            lambda: self.membership.announced,
+            lambda: self.membership.announced_count,
         )
         self.ingress = Ingress(
             self.name,
@@ -204,7 +204,7 @@
             rng,
         )
         self.membership.on_bulletin(self.news.take)
-        self.membership.passed_on_to = self.news.passed_on_to
+        self.membership.relay_targets = self.news.passed_on_to
         self.serving.pace_listener = self.news.tell_load
         self.claims.witnesses = self.news.tell_claim
         self.drained_by_operator = False
--- a/src/marjoramtide/membership/__init__.py
+++ b/src/marjoramtide/membership/__init__.py
@@ -1,7 +1,7 @@
 """Which nodes there are, and in which state."""
 
 from marjoramtide.membership._announcement import (
-    ANNOUNCEMENTS,
+    ANNOUNCEMENT_PREFIX,
     Announcement,
     decode_announcement,
 )
@@ -18,7 +18,7 @@
 from marjoramtide.membership._swim_options import SwimOptions
 
 __all__ = [
-    "ANNOUNCEMENTS",
+    "ANNOUNCEMENT_PREFIX",
     "MAX_DATAGRAM_BYTES",
     "Announcement",
     "Directory",
--- a/src/marjoramtide/membership/_announcement.py
+++ b/src/marjoramtide/membership/_announcement.py
@@ -10,7 +10,7 @@
 from marjoramtide.membership._member import Member
 from marjoramtide.settings import check_address
 
-ANNOUNCEMENTS = "announcements/"
+ANNOUNCEMENT_PREFIX = "announcements/"
 # Above any name that a node may have, since its identity must fit a datagram.
 MOST_CHARACTERS = 400
 NAMES: Any = [attrs.validators.min_len(1), attrs.validators.max_len(MOST_CHARACTERS)]
@@ -31,7 +31,7 @@
 
     @property
     def key(self) -> str:
-        return ANNOUNCEMENTS + self.node
+        return ANNOUNCEMENT_PREFIX + self.node
 
     def encode(self) -> bytes:
         return json.dumps(attrs.asdict(self), separators=(",", ":")).encode()
--- a/src/marjoramtide/membership/_announcer.py
+++ b/src/marjoramtide/membership/_announcer.py
@@ -9,7 +9,7 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.membership._announcement import (
-    ANNOUNCEMENTS,
+    ANNOUNCEMENT_PREFIX,
     Announcement,
     announcement_of,
     decode_announcement,
@@ -41,9 +41,9 @@
 class Announcer:
     """The only part of membership that uses the store.
 
-    ``found`` is called with all announcements after each read. Reads are spread so that the whole
-    fleet makes about one a second at most (``REREAD_PER_MEMBER_S`` for each member), whatever its
-    size; a node that knows no other member reads more often.
+    ``on_announcements`` is called with all announcements after each read. Reads are spread so that
+    the whole fleet makes about one a second at most (``REREAD_PER_MEMBER_S`` for each member),
+    whatever its size; a node that knows no other member reads more often.
     """
 
     def __init__(
@@ -53,14 +53,14 @@
         rng: random.Random,
         member: Callable[[], Member],
         member_count: Callable[[], int],
-        found: Callable[[list[Announcement]], None],
+        on_announcements: Callable[[list[Announcement]], None],
     ) -> None:
         self.store = store
         self.clock = clock
         self.rng = rng
         self.member = member
         self.member_count = member_count
-        self.found = found
+        self.on_announcements = on_announcements
         self.version: int | None = None
         self.refreshed_at = 0.0
         self.failures = 0
@@ -144,7 +144,7 @@
         if self.version is None or self.clock.monotonic() - self.refreshed_at > REFRESH_S:
             await self._write()
         announcements = await self._read_all()
-        self.found([decoded for _, decoded in announcements])
+        self.on_announcements([decoded for _, decoded in announcements])
         await self._remove_abandoned(announcements)
 
     async def _write_again(self) -> None:
@@ -172,13 +172,13 @@
         the other. Otherwise the addresses in it are tried. Where one of them answers, gossip tells
         of the rest; a node that still knows nobody reads the list as it is now.
         """
-        lately = _readable(await self.store.list_lately(ANNOUNCEMENTS))
+        lately = _readable(await self.store.list_lately(ANNOUNCEMENT_PREFIX))
         own = self._own().key
         if any(item.key == own for item, _ in lately):
             return lately
-        self.found([decoded for _, decoded in lately])
+        self.on_announcements([decoded for _, decoded in lately])
         await self.clock.sleep(HEARD_OF_S)
-        return _readable(await self.store.list(ANNOUNCEMENTS)) if self._is_alone() else lately
+        return _readable(await self.store.list(ANNOUNCEMENT_PREFIX)) if self._is_alone() else lately
 
     async def _write(self) -> None:
         own = self._own()
--- a/src/marjoramtide/membership/_datagram_seal.py
+++ b/src/marjoramtide/membership/_datagram_authenticator.py
@@ -9,7 +9,7 @@
 MAC_BYTES = 16
 
 
-class DatagramSeal:
+class DatagramAuthenticator:
     """Puts a keyed BLAKE2b (RFC 7693) of 16 bytes before a body, and checks it.
 
     ``purpose`` keeps what is sealed for one use from being taken for another.
@@ -22,7 +22,7 @@
         """Return the authentication code of ``body``."""
         return hashlib.blake2b(body, digest_size=MAC_BYTES, key=self.key).digest()
 
-    def close(self, body: bytes) -> bytes:
+    def seal(self, body: bytes) -> bytes:
         """Return the body behind its code."""
         return self.mac(body) + body
 
--- a/src/marjoramtide/membership/_disseminator.py
+++ b/src/marjoramtide/membership/_disseminator.py
@@ -8,7 +8,7 @@
 from marjoramtide.membership._member_entry import MemberEntry
 from marjoramtide.membership._member_view import MemberView
 from marjoramtide.membership._news_queue import NewsQueue
-from marjoramtide.membership._packet import AppliedSettings, Kind, Record, Status
+from marjoramtide.membership._packet import AppliedSettings, PacketKind, Record, Status
 from marjoramtide.membership._packet_codec import record_size, status_size
 from marjoramtide.membership._packet_sender import PacketSender
 from marjoramtide.membership._swim_options import SwimOptions
@@ -102,7 +102,7 @@
                 return
             statuses, revisions = self.content(target)
             self.sender.send(
-                Kind.GOSSIP,
+                PacketKind.GOSSIP,
                 target.member.gossip_address,
                 target.key,
                 statuses=statuses,
@@ -157,7 +157,7 @@
             if not self.answer_budget.take(sum(map(record_size, batch)) + 150, now):
                 return
             self.sender.send(
-                Kind.GOSSIP, address, destination, number=int(asked_for), records=batch
+                PacketKind.GOSSIP, address, destination, number=int(asked_for), records=batch
             )
 
 
--- a/src/marjoramtide/membership/_failure_detector.py
+++ b/src/marjoramtide/membership/_failure_detector.py
@@ -8,7 +8,7 @@
 from marjoramtide.membership._gossip_counters import GossipCounters
 from marjoramtide.membership._member_entry import MemberEntry
 from marjoramtide.membership._member_view import MemberView
-from marjoramtide.membership._packet import Kind, Packet
+from marjoramtide.membership._packet import Packet, PacketKind
 from marjoramtide.membership._packet_sender import PacketSender
 from marjoramtide.membership._probe import Probe, Relay
 from marjoramtide.membership._swim_options import SwimOptions
@@ -102,7 +102,7 @@
         """Send one ping with news on it."""
         statuses, revisions = self.news.content(entry)
         self.sender.send(
-            Kind.PING,
+            PacketKind.PING,
             entry.member.gossip_address,
             entry.key,
             number=number,
@@ -119,7 +119,7 @@
         """Take a confirmation; return whether it answers a probe of this node."""
         relay = self.relays.pop(packet.number, None)
         if relay is not None and relay.target == packet.sender:
-            self._answer_relay(Kind.ACK, relay)
+            self._answer_relay(PacketKind.ACK, relay)
             return True
         probe = self.probes.get(packet.number)
         if probe is None or packet.sender not in (probe.target, *probe.helpers):
@@ -181,7 +181,7 @@
             probe.helpers.add(helper.key)
             probe.missing.add(helper.key)
             self.sender.send(
-                Kind.PING_REQUEST,
+                PacketKind.PING_REQUEST,
                 helper.member.gossip_address,
                 helper.key,
                 number=number,
@@ -208,9 +208,9 @@
         for number, relay in list(self.relays.items()):
             if now >= relay.expires:
                 del self.relays[number]
-                self._answer_relay(Kind.NACK, relay)
+                self._answer_relay(PacketKind.NACK, relay)
 
-    def _answer_relay(self, kind: Kind, relay: Relay) -> None:
+    def _answer_relay(self, kind: PacketKind, relay: Relay) -> None:
         requester = self.view.entries.get(relay.requester)
         if requester is not None:
             self.sender.send(
--- a/src/marjoramtide/membership/_member_state.py
+++ b/src/marjoramtide/membership/_member_state.py
@@ -13,6 +13,6 @@
     SUSPECT = "suspect"
     DEAD = "dead"
 
-    def takes_work(self) -> bool:
+    def accepts_requests(self) -> bool:
         """Tell whether new requests may be sent to a member in this state."""
         return self in (MemberState.READY, MemberState.SUSPECT)
--- a/src/marjoramtide/membership/_member_view.py
+++ b/src/marjoramtide/membership/_member_view.py
@@ -105,7 +105,7 @@
             found = [
                 entry.member
                 for entry in entries
-                if entry.member.state.takes_work()
+                if entry.member.state.accepts_requests()
                 and entry.member.data_centre not in self.evacuated
             ]
             if service in self.by_service:
--- a/src/marjoramtide/membership/_membership_service.py
+++ b/src/marjoramtide/membership/_membership_service.py
@@ -11,7 +11,7 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.membership._announcement import Announcement
 from marjoramtide.membership._announcer import Announcer
-from marjoramtide.membership._bulletin import MAGIC, RELAYED, BulletinCodec
+from marjoramtide.membership._bulletin import BULLETIN_MAGIC, RELAY_MAGIC, BulletinCodec
 from marjoramtide.membership._directory import Directory
 from marjoramtide.membership._drop_log import DropLog
 from marjoramtide.membership._gossip_counters import GossipCounters
@@ -50,14 +50,14 @@
         self.bulletins = bulletins
         self.bulletin_listener: Callable[[Member, list[Any]], None] | None = None
         # To whom news of a member is passed on.
-        self.passed_on_to: Callable[[Member], Iterable[Member]] = lambda teller: ()
+        self.relay_targets: Callable[[Member], Iterable[Member]] = lambda teller: ()
         self.clock = clock
         self.listeners: list[Callable[[Member], None]] = []
         self.drop_log = DropLog()
         # Whether the announcements that were read last are of this node alone.
         self.is_alone = False
         # How many nodes have announced themselves, as was read last.
-        self.announced = 0
+        self.announced_count = 0
         self.destinations: dict[str, tuple[str, int]] = {}
         self.transport: asyncio.DatagramTransport | None = None
         self.protocol: GossipProtocol | None = None
@@ -171,7 +171,7 @@
             await self.clock.sleep(self.core.options.tick_s)
 
     def _receive(self, data: bytes, address: str) -> None:
-        if data.startswith((MAGIC, RELAYED)):
+        if data.startswith((BULLETIN_MAGIC, RELAY_MAGIC)):
             self._take_bulletin(data, address)
             return
         self.core.receive(data, address, self.clock.monotonic(), self.clock.wall())
@@ -188,8 +188,8 @@
             return
         # Passed on only for the member that speaks: whoever has seen such a datagram could send it
         # again, and have it multiplied.
-        if data.startswith(RELAYED) and entry.member.gossip_address == address:
-            self._send_all(self.bulletins.passed_on(data), self.passed_on_to(entry.member))
+        if data.startswith(RELAY_MAGIC) and entry.member.gossip_address == address:
+            self._send_all(self.bulletins.passed_on(data), self.relay_targets(entry.member))
         if self.bulletin_listener is not None:
             self.bulletin_listener(entry.member, fields)
 
@@ -231,7 +231,7 @@
         # the fleet that both sides have forgotten after a long cut.
         known = {member.gossip_address for member in self.members()}
         addresses = [item.gossip_address for item in announcements]
-        self.announced = len(set(addresses))
+        self.announced_count = len(set(addresses))
         self.core.add_seeds([address for address in addresses if address not in known])
         self.is_alone = len(known) < 2 and not self.core.seeds
         self.core.seek(self.clock.monotonic(), self.clock.wall())
--- a/src/marjoramtide/membership/_packet.py
+++ b/src/marjoramtide/membership/_packet.py
@@ -15,7 +15,7 @@
 )
 
 
-class Kind(IntEnum):
+class PacketKind(IntEnum):
     """What the receiver of a datagram is to do."""
 
     PING = 1
@@ -64,7 +64,7 @@
     ``view_digest`` sums up the sender's view, ``status`` and ``settings`` are the sender's own.
     """
 
-    kind: Kind
+    kind: PacketKind
     sender: int
     sequence: int
     sent_ms: int
--- a/src/marjoramtide/membership/_packet_codec.py
+++ b/src/marjoramtide/membership/_packet_codec.py
@@ -5,17 +5,17 @@
 
 import cbor2
 
-from marjoramtide.membership._datagram_seal import (
+from marjoramtide.membership._datagram_authenticator import (
     MAC_BYTES,
     MAX_DATAGRAM_BYTES,
-    DatagramSeal,
+    DatagramAuthenticator,
 )
 from marjoramtide.membership._health import Health
 from marjoramtide.membership._packet import (
     DECLARED_STATES,
     AppliedSettings,
-    Kind,
     Packet,
+    PacketKind,
     Record,
     Status,
 )
@@ -36,24 +36,24 @@
     """
 
     def __init__(self, key: str) -> None:
-        self.seal = DatagramSeal(key, b"mt-membership")
+        self.authenticator = DatagramAuthenticator(key, b"mt-membership")
 
     def mac(self, body: bytes) -> bytes:
         """Return the authentication code of ``body``."""
-        return self.seal.mac(body)
+        return self.authenticator.mac(body)
 
     def encode(self, packet: Packet) -> bytes:
         """Return the datagram; raises ``ValueError`` where it would be too large."""
         body = cbor2.dumps(_to_wire(packet))
         if len(body) + MAC_BYTES > MAX_DATAGRAM_BYTES:
             raise ValueError(f"datagram of {len(body) + MAC_BYTES} bytes")
-        return self.seal.close(body)
+        return self.authenticator.seal(body)
 
     def decode(self, data: bytes) -> Packet:
         """Return the packet; raises ``PacketError`` for all that this fleet did not send."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise PacketError(DropCode.OVERSIZED, f"{len(data)} bytes")
-        body = self.seal.open(data)
+        body = self.authenticator.open(data)
         try:
             return _from_wire(cbor2.loads(body))
         except _MALFORMED as error:
@@ -122,7 +122,7 @@
     incarnation, code, revision, digest = own
     body = _mapping(body)
     return Packet(
-        kind=Kind(kind),
+        kind=PacketKind(kind),
         sender=_number(sender),
         sequence=_number(sequence),
         sent_ms=_number(sent_ms),
--- a/src/marjoramtide/membership/_packet_sender.py
+++ b/src/marjoramtide/membership/_packet_sender.py
@@ -5,7 +5,7 @@
 from marjoramtide.membership._gossip_counters import GossipCounters
 from marjoramtide.membership._member_entry import MemberEntry
 from marjoramtide.membership._member_view import MemberView
-from marjoramtide.membership._packet import Kind, Packet
+from marjoramtide.membership._packet import Packet, PacketKind
 from marjoramtide.membership._packet_codec import PacketCodec
 
 
@@ -27,7 +27,7 @@
         self.sequence = 0
         self.wall = 0.0
 
-    def send(self, kind: Kind, address: str, destination: int, **body: Any) -> int:
+    def send(self, kind: PacketKind, address: str, destination: int, **body: Any) -> int:
         """Queue a datagram and return its size; ``body`` holds the other fields of ``Packet``."""
         self.sequence += 1
         packet = Packet(
--- a/src/marjoramtide/membership/_swim_core.py
+++ b/src/marjoramtide/membership/_swim_core.py
@@ -15,7 +15,7 @@
 from marjoramtide.membership._member_state import MemberState
 from marjoramtide.membership._member_view import MemberView
 from marjoramtide.membership._membership_event import EventKind, MembershipEvent
-from marjoramtide.membership._packet import AppliedSettings, Kind, Packet, Record, Status
+from marjoramtide.membership._packet import AppliedSettings, Packet, PacketKind, Record, Status
 from marjoramtide.membership._packet_codec import MAX_DIGEST_CHARACTERS, PacketCodec
 from marjoramtide.membership._packet_error import DropCode, PacketError
 from marjoramtide.membership._packet_sender import PacketSender
@@ -121,7 +121,7 @@
 
     def try_address(self, address: str) -> None:
         """Ping whoever listens at a gossip address, to find a part of the fleet not yet known."""
-        self.sender.send(Kind.PING, address, 0, number=self.detector.next_number())
+        self.sender.send(PacketKind.PING, address, 0, number=self.detector.next_number())
 
     def set_state(self, state: MemberState) -> None:
         """Change this node's own state and tell some members at once."""
@@ -158,7 +158,7 @@
         live = [entry for entry in self.view.live() if entry is not self.own]
         for entry in self.rng.sample(live, min(len(live), LEAVE_FANOUT)):
             self.sender.send(
-                Kind.GOSSIP,
+                PacketKind.GOSSIP,
                 entry.member.gossip_address,
                 entry.key,
                 statuses=[self.own.status()],
@@ -283,7 +283,9 @@
             entry = self.view.entries.get(key)
             if entry is None or _is_answered(entry, claim):
                 continue
-            self.sender.send(Kind.GOSSIP, entry.member.gossip_address, entry.key, statuses=[claim])
+            self.sender.send(
+                PacketKind.GOSSIP, entry.member.gossip_address, entry.key, statuses=[claim]
+            )
             self.detector.probe(entry, now)
 
     # Finding the others
@@ -339,7 +341,7 @@
         self.counters.syncs += 1
         salt = self.rng.getrandbits(SALT_BITS)
         self.sender.send(
-            Kind.SYNC,
+            PacketKind.SYNC,
             address,
             key,
             number=salt << 1 | (not answer),
@@ -383,7 +385,7 @@
     def _redirect(self, packet: Packet, address: str) -> None:
         # The sender means an earlier process at this address. An answer in its name would keep the
         # dead identity alive for ever; the own record lets the sender replace it at once.
-        if packet.kind is Kind.PING:
+        if packet.kind is PacketKind.PING:
             self.news.send_records(address, packet.sender, [self.own], self._now())
         raise PacketError(DropCode.MISADDRESSED, "meant for another member")
 
@@ -400,32 +402,32 @@
             self._hear_record(record, packet, address)
         self._act(packet, address, now)
         self._want(missing, packet.sender, address, now)
-        if packet.kind in (Kind.PING, Kind.ACK):
+        if packet.kind in (PacketKind.PING, PacketKind.ACK):
             self._compare(packet, address, now)
 
     def _act(self, packet: Packet, address: str, now: float) -> None:
         match packet.kind:
-            case Kind.PING:
+            case PacketKind.PING:
                 statuses, revisions = self.news.content(self.view.entries.get(packet.sender))
                 self.sender.send(
-                    Kind.ACK,
+                    PacketKind.ACK,
                     address,
                     packet.sender,
                     number=packet.number,
                     statuses=statuses,
                     revisions=revisions,
                 )
-            case Kind.ACK:
+            case PacketKind.ACK:
                 self.detector.on_ack(packet, now)
                 if self.learning and packet.number > self.learning_after:
                     self.learned_from = self.learned_from or now
-            case Kind.NACK:
+            case PacketKind.NACK:
                 self.detector.on_nack(packet)
-            case Kind.PING_REQUEST:
+            case PacketKind.PING_REQUEST:
                 self.detector.on_request(packet, now)
-            case Kind.SYNC:
+            case PacketKind.SYNC:
                 self._answer_sync(packet, address, now)
-            case Kind.WANT:
+            case PacketKind.WANT:
                 known = [self.view.entries[key] for key in packet.keys if key in self.view.entries]
                 self.news.send_records(address, packet.sender, known, now, asked_for=True)
 
@@ -442,7 +444,7 @@
         keys = keys[:MAX_WANTED_KEYS]
         if keys:
             self.wanted.update(dict.fromkeys(keys, now))
-            self.sender.send(Kind.WANT, address, sender, keys=tuple(keys))
+            self.sender.send(PacketKind.WANT, address, sender, keys=tuple(keys))
 
     # News
 
@@ -454,7 +456,7 @@
         if entry.health is Health.LEFT:
             if packet.status.health is Health.LEFT:
                 return  # the goodbye is sent twice
-            self.sender.send(Kind.GOSSIP, address, packet.sender, statuses=[entry.status()])
+            self.sender.send(PacketKind.GOSSIP, address, packet.sender, statuses=[entry.status()])
             raise PacketError(DropCode.SENDER_GONE, "the sender has left or was replaced")
         self._hear_status(packet.status, missing)
         if self.view.merge_settings(entry.key, packet.settings, self._now()):
--- a/src/marjoramtide/settings/sync/_tree_store.py
+++ b/src/marjoramtide/settings/sync/_tree_store.py
@@ -8,7 +8,7 @@
 
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
-from marjoramtide.membership import ANNOUNCEMENTS, Announcement, decode_announcement
+from marjoramtide.membership import ANNOUNCEMENT_PREFIX, Announcement, decode_announcement
 from marjoramtide.settings._envelope import Envelope, decode_envelope
 from marjoramtide.settings.sync._backoff import backoff
 from marjoramtide.settings.sync._own_tree_source import OwnTreeSource
@@ -81,7 +81,7 @@
     async def announced(self) -> list[Announcement]:
         """Return the nodes that announced themselves; raises what the store does."""
         found = []
-        for item in await self.store.list(ANNOUNCEMENTS):
+        for item in await self.store.list(ANNOUNCEMENT_PREFIX):
             try:
                 found.append(decode_announcement(item.key, item.value))
             except MarjoramtideError as error:
