--- a/features/steps/announcements_steps.py
+++ b/features/steps/announcements_steps.py
@@ -152,7 +152,7 @@
         Member(f"n{number}", "s", "r", "d", address, address, address)
         for number, address in enumerate(addresses)
     ]
-    context.membership._found([announcement_of(member, 0.0) for member in members])
+    context.membership._on_announcements([announcement_of(member, 0.0) for member in members])
 
 
 @then("it has sent pings to {count:d} of them")
--- a/features/steps/gossip_datagrams_steps.py
+++ b/features/steps/gossip_datagrams_steps.py
@@ -43,7 +43,9 @@
     stranger = Network(99).start_node("stranger", address="10.9.9.9:7100").core
     stranger.own.key = 12345
     sender = node_of(context, 2).core
-    sender.news.send_records(node_of(context, 1).address, 0, [stranger.own], network.clock.now)
+    sender.disseminator.send_records(
+        node_of(context, 1).address, 0, [stranger.own], network.clock.now
+    )
     return sender.drain()[-1][1]
 
 
@@ -103,7 +105,7 @@
 def send_recorded(context: Any, number: int, seconds: int) -> None:
     network, sender = context.network, node_of(context, number)
     held, network.blocked = network.blocked, lambda source, target: True
-    sender.core.try_address("10.0.0.99:7100")
+    sender.core.ping_address("10.0.0.99:7100")
     network.flush(sender)
     data = network.sent[-1][2]
     network.blocked = held
--- a/features/steps/membership_lone_steps.py
+++ b/features/steps/membership_lone_steps.py
@@ -22,12 +22,12 @@
 @when("it has news of all of them and ticks for {seconds:d} seconds")
 def tick_alone(context: Any, seconds: int) -> None:
     core = context.lone
-    core.learning = False
+    core.is_catching_up = False
     for entry in core.view.live():
         settings = AppliedSettings(2**40 + entry.key % 3, "f" * 64)
         core.view.merge_settings(entry.key, settings, 0.0)
-        core.news.revisions.put(entry.key)
-        core.news.statuses.put(entry.key, entry.key)
+        core.disseminator.revisions.put(entry.key)
+        core.disseminator.statuses.put(entry.key, entry.key)
     context.sizes = []
     for tick in range(10 * seconds):
         core.tick(2000 + tick / 10, 2000 + tick / 10)
--- a/features/steps/membership_service_steps.py
+++ b/features/steps/membership_service_steps.py
@@ -137,9 +137,9 @@
 
 
 @when("membership service {number:d} tries the address of membership service {other:d}")
-def try_address(context: Any, number: int, other: int) -> None:
+def ping_address(context: Any, number: int, other: int) -> None:
     core = context.services[number].core
-    core.try_address(context.services[other].self_member.gossip_address)
+    core.ping_address(context.services[other].self_member.gossip_address)
 
 
 @when("membership service {number:d} stops as planned")
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -18,7 +18,7 @@
     "a membership network with seed {seed:d} and {count:d} nodes that forget after {age:d} seconds"
 )
 def start_forgetful_network(context: Any, seed: int, count: int, age: int) -> None:
-    start_nodes(context, seed, count, SwimOptions(forget_s=age))
+    start_nodes(context, seed, count, SwimOptions(dead_retention_s=age))
 
 
 @given("two more nodes, of which the second finds the first before it looks for the others")
@@ -28,7 +28,7 @@
     second = network.start_node("node-3")
     second.core.add_seeds([first.address])
     for finder, found in ((second, first), (first, second)):
-        finder.core.try_address(found.address)
+        finder.core.ping_address(found.address)
         network.inject(finder.core.drain()[0][1], finder.address, found)
 
 
--- a/features/steps/passed_on_news_steps.py
+++ b/features/steps/passed_on_news_steps.py
@@ -16,11 +16,11 @@
 
 @given("membership service {number:d} passes news on to membership service {other:d}")
 def given_relay(context: Any, number: int, other: int) -> None:
-    context.news = defaultdict(list)
+    context.disseminator = defaultdict(list)
     for place, service in enumerate(context.services):
 
         def hear(member: Member, fields: list[Any], place: int = place) -> None:
-            context.news[place].append((member.node, fields))
+            context.disseminator[place].append((member.node, fields))
 
         service.on_bulletin(hear)
     reader = context.services[other].self_member
@@ -41,7 +41,7 @@
     async def send() -> None:
         teller, other = context.services[0], context.services[number]
         sender = teller.core.own.key
-        data = teller.bulletins.to_pass_on(teller.bulletins.encode(sender, NEWS))
+        data = teller.bulletin_codec.as_relay_request(teller.bulletin_codec.encode(sender, NEWS))
         other._send(context.services[relay].self_member.gossip_address, data)
         await asyncio.sleep(0)
 
@@ -55,10 +55,10 @@
 def then_heard(context: Any, seconds: int, relay: int, reader: int, teller: int) -> None:
     heard = [(context.services[teller].self_member.node, NEWS)]
     places = (relay, reader)
-    wait_for(context, lambda: all(context.news[place] for place in places), seconds)
-    assert all(context.news[place] == heard for place in places), context.news
+    wait_for(context, lambda: all(context.disseminator[place] for place in places), seconds)
+    assert all(context.disseminator[place] == heard for place in places), context.disseminator
 
 
 @then("membership service {number:d} has heard it once")
 def then_once(context: Any, number: int) -> None:
-    assert len(context.news[number]) == 1, context.news
+    assert len(context.disseminator[number]) == 1, context.disseminator
--- a/src/marjoramtide/membership/_announcement.py
+++ b/src/marjoramtide/membership/_announcement.py
@@ -12,21 +12,21 @@
 
 ANNOUNCEMENT_PREFIX = "announcements/"
 # Above any name that a node may have, since its identity must fit a datagram.
-MOST_CHARACTERS = 400
-NAMES: Any = [attrs.validators.min_len(1), attrs.validators.max_len(MOST_CHARACTERS)]
+MAX_NAME_CHARACTERS = 400
+NAME_VALIDATORS: Any = [attrs.validators.min_len(1), attrs.validators.max_len(MAX_NAME_CHARACTERS)]
 
 
 @attrs.frozen(slots=True)
 class Announcement:
     """A node's identity and addresses; ``refreshed`` is its wall clock in seconds."""
 
-    node: str = attrs.field(validator=NAMES)
-    service: str = attrs.field(validator=NAMES)
-    region: str = attrs.field(validator=NAMES)
-    data_centre: str = attrs.field(validator=NAMES)
-    peer_address: str = attrs.field(validator=NAMES)
+    node: str = attrs.field(validator=NAME_VALIDATORS)
+    service: str = attrs.field(validator=NAME_VALIDATORS)
+    region: str = attrs.field(validator=NAME_VALIDATORS)
+    data_centre: str = attrs.field(validator=NAME_VALIDATORS)
+    peer_address: str = attrs.field(validator=NAME_VALIDATORS)
     gossip_address: str = attrs.field(validator=check_address)
-    operators_address: str = attrs.field(validator=NAMES)
+    operators_address: str = attrs.field(validator=NAME_VALIDATORS)
     refreshed: float
 
     @property
@@ -56,13 +56,13 @@
     try:
         announcement = read_as(Announcement, read_json(value))
     except MalformedError as error:
-        raise not_an_announcement(key, str(error)) from error
+        raise announcement_error(key, str(error)) from error
     if announcement.key != key:
-        raise not_an_announcement(key, f"it is that of {announcement.node[:MOST_CHARACTERS]!r}")
+        raise announcement_error(key, f"it is that of {announcement.node[:MAX_NAME_CHARACTERS]!r}")
     return announcement
 
 
-def not_an_announcement(key: str, reason: str) -> MarjoramtideError:
+def announcement_error(key: str, reason: str) -> MarjoramtideError:
     return MarjoramtideError(
         ErrorCode.BAD_FRAME, f"not an announcement: {reason}", step="membership.announce", peer=key
     )
--- a/src/marjoramtide/membership/_announcer.py
+++ b/src/marjoramtide/membership/_announcer.py
@@ -20,22 +20,22 @@
 log = structlog.get_logger()
 
 REFRESH_S = 3600.0
-ABANDONED_S = 3 * REFRESH_S
-REREAD_FLOOR_S = 300.0
+ABANDONED_AFTER_S = 3 * REFRESH_S
+MIN_REREAD_INTERVAL_S = 300.0
 REREAD_PER_MEMBER_S = 1.0
-ALONE_REREAD_S = 10.0
-RETRY_FIRST_S = 0.5
-RETRY_LAST_S = 30.0
-MAX_REMOVALS = 2
+ALONE_REREAD_INTERVAL_S = 10.0
+RETRY_BASE_S = 0.5
+RETRY_MAX_S = 30.0
+MAX_REMOVALS_PER_READ = 2
 # How long the addresses of a list that may be old have to answer, in seconds: three are tried each
 # 0.2 s, and those that run answer within milliseconds.
-HEARD_OF_S = 0.4
+SEED_REPLY_WAIT_S = 0.4
 STOP_TIMEOUT_S = 2.0
 # After the store has come back from a copy the nodes write their announcements again over this
 # time, in seconds, and over a second for as many nodes as its rate of writes allows, if that is
 # longer.
-WRITTEN_AGAIN_S = 1.5
-WRITTEN_AGAIN_PER_S = 200.0
+REWRITE_SPREAD_S = 1.5
+REWRITES_PER_S = 200.0
 
 
 class Announcer:
@@ -64,22 +64,26 @@
         self.version: int | None = None
         self.refreshed_at = 0.0
         self.failures = 0
-        self.lost = asyncio.Event()
+        self.rewrite_needed = asyncio.Event()
 
     async def run(self) -> None:
         """Announce, read, and refresh both rarely until cancelled; a store outage is waited out."""
         while True:
             try:
-                await self._write_again() if self.lost.is_set() else await self._round()
+                (
+                    await self._rewrite()
+                    if self.rewrite_needed.is_set()
+                    else await self._announce_and_read()
+                )
                 self.failures = 0
-                await self._rest()
+                await self._wait_for_next_round()
             except MarjoramtideError as error:
                 self.failures += 1
                 if self.failures == 1:
                     log.warning(
                         "announcement-delayed", code=error.code, step=error.step, error=str(error)
                     )
-                await self.clock.sleep(self._retry_pause())
+                await self.clock.sleep(self._retry_delay_s())
             except Exception:
                 # Whatever an object in the store may hold, a node that no longer announces itself
                 # or reads would be unknown to those that start after it, and they to it.
@@ -87,12 +91,12 @@
                 log.exception(
                     "announcement-failed", code=ErrorCode.INTERNAL, step="membership.announce"
                 )
-                await self.clock.sleep(self._retry_pause())
+                await self.clock.sleep(self._retry_delay_s())
 
-    def may_be_lost(self, epoch: int) -> None:
+    def on_store_epoch(self, epoch: int) -> None:
         """Write the announcement again: the store has come back from a copy that may lack it."""
         self.version = None
-        self.lost.set()
+        self.rewrite_needed.set()
 
     async def withdraw(self) -> None:
         """Remove the announcement, for a planned stop; where the store is down it stays."""
@@ -106,39 +110,40 @@
     def _own(self) -> Announcement:
         return announcement_of(self.member(), self.clock.wall())
 
-    async def _rest(self) -> None:
+    async def _wait_for_next_round(self) -> None:
         was_alone = self._is_alone()
-        await self._sleep(self._pause())
+        await self._sleep(self._reread_delay_s())
         # At its first read every node is alone. Without this all nodes of a fleet that starts at
         # once would read the list of all again within 15 s; by now gossip has told of the others.
         if was_alone and not self._is_alone():
-            await self._sleep(self._pause())
+            await self._sleep(self._reread_delay_s())
 
     async def _sleep(self, seconds: float) -> None:
         """Wait for some seconds, or until the announcement may be lost."""
-        works = [
-            asyncio.ensure_future(work) for work in (self.clock.sleep(seconds), self.lost.wait())
+        waits = [
+            asyncio.ensure_future(work)
+            for work in (self.clock.sleep(seconds), self.rewrite_needed.wait())
         ]
         try:
-            await asyncio.wait(works, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for work in works:
+            for work in waits:
                 work.cancel()
 
     def _is_alone(self) -> bool:
         return self.member_count() < 2
 
-    def _pause(self) -> float:
-        usual = max(REREAD_FLOOR_S, REREAD_PER_MEMBER_S * self.member_count())
-        pause = ALONE_REREAD_S if self._is_alone() else usual
-        return pause * self.rng.uniform(0.5, 1.5)
+    def _reread_delay_s(self) -> float:
+        usual_s = max(MIN_REREAD_INTERVAL_S, REREAD_PER_MEMBER_S * self.member_count())
+        delay_s = ALONE_REREAD_INTERVAL_S if self._is_alone() else usual_s
+        return delay_s * self.rng.uniform(0.5, 1.5)
 
-    def _retry_pause(self) -> float:
+    def _retry_delay_s(self) -> float:
         # Full jitter: after an outage the whole fleet would otherwise come back in step.
-        longest = min(RETRY_LAST_S, RETRY_FIRST_S * 2 ** min(self.failures, 10))
-        return self.rng.uniform(RETRY_FIRST_S / 2, longest)
+        longest_s = min(RETRY_MAX_S, RETRY_BASE_S * 2 ** min(self.failures, 10))
+        return self.rng.uniform(RETRY_BASE_S / 2, longest_s)
 
-    async def _round(self) -> None:
+    async def _announce_and_read(self) -> None:
         # Written before the list is read: of two nodes that start at once in an empty fleet, at
         # least one then finds the other.
         if self.version is None or self.clock.monotonic() - self.refreshed_at > REFRESH_S:
@@ -147,20 +152,20 @@
         self.on_announcements([decoded for _, decoded in announcements])
         await self._remove_abandoned(announcements)
 
-    async def _write_again(self) -> None:
+    async def _rewrite(self) -> None:
         """Write the announcement again, at a moment that differs from node to node.
 
         The list is not read: who runs is known by gossip.
         """
-        spread_s = max(WRITTEN_AGAIN_S, self.member_count() / WRITTEN_AGAIN_PER_S)
+        spread_s = max(REWRITE_SPREAD_S, self.member_count() / REWRITES_PER_S)
         await self.clock.sleep(self.rng.uniform(0, spread_s))
-        self.lost.clear()
+        self.rewrite_needed.clear()
         if self.version is not None:
             return
         try:
             await self._write()
         except MarjoramtideError:
-            self.lost.set()
+            self.rewrite_needed.set()
             raise
         log.info("announcement-written-again", step="membership.announce")
 
@@ -172,13 +177,17 @@
         the other. Otherwise the addresses in it are tried. Where one of them answers, gossip tells
         of the rest; a node that still knows nobody reads the list as it is now.
         """
-        lately = _readable(await self.store.list_lately(ANNOUNCEMENT_PREFIX))
+        cached = _decode_announcements(await self.store.list_lately(ANNOUNCEMENT_PREFIX))
         own = self._own().key
-        if any(item.key == own for item, _ in lately):
-            return lately
-        self.on_announcements([decoded for _, decoded in lately])
-        await self.clock.sleep(HEARD_OF_S)
-        return _readable(await self.store.list(ANNOUNCEMENT_PREFIX)) if self._is_alone() else lately
+        if any(item.key == own for item, _ in cached):
+            return cached
+        self.on_announcements([decoded for _, decoded in cached])
+        await self.clock.sleep(SEED_REPLY_WAIT_S)
+        return (
+            _decode_announcements(await self.store.list(ANNOUNCEMENT_PREFIX))
+            if self._is_alone()
+            else cached
+        )
 
     async def _write(self) -> None:
         own = self._own()
@@ -209,10 +218,10 @@
             if found.node != own.node
             and (
                 found.gossip_address == own.gossip_address
-                or own.refreshed - found.refreshed > ABANDONED_S
+                or own.refreshed - found.refreshed > ABANDONED_AFTER_S
             )
         ]
-        for item in abandoned[:MAX_REMOVALS]:
+        for item in abandoned[:MAX_REMOVALS_PER_READ]:
             try:
                 await self.store.delete(item.key, item.version)
             except MarjoramtideError as error:
@@ -220,12 +229,14 @@
                     raise
 
 
-def _readable(stored: Iterable[StoredObject]) -> list[tuple[StoredObject, Announcement]]:
+def _decode_announcements(
+    stored: Iterable[StoredObject],
+) -> list[tuple[StoredObject, Announcement]]:
     """Return the objects that are announcements, each with what it announces."""
-    return [(item, decoded) for item in stored if (decoded := _decoded(item))]
+    return [(item, decoded) for item in stored if (decoded := _try_decode(item))]
 
 
-def _decoded(item: StoredObject) -> Announcement | None:
+def _try_decode(item: StoredObject) -> Announcement | None:
     try:
         return decode_announcement(item.key, item.value)
     except MarjoramtideError as error:
--- a/src/marjoramtide/membership/_bulletin.py
+++ b/src/marjoramtide/membership/_bulletin.py
@@ -31,11 +31,11 @@
         """Return the datagram; ``sender`` is the key that stands for the sending member."""
         return BULLETIN_MAGIC + self.authenticator.seal(cbor2.dumps([sender, *fields]))
 
-    def to_pass_on(self, data: bytes) -> bytes:
+    def as_relay_request(self, data: bytes) -> bytes:
         """Return a datagram for a member that is to pass it on."""
         return RELAY_MAGIC + data[len(BULLETIN_MAGIC) :]
 
-    def passed_on(self, data: bytes) -> bytes:
+    def as_bulletin(self, data: bytes) -> bytes:
         """Return such a datagram as that member sends it to others."""
         return BULLETIN_MAGIC + data[len(RELAY_MAGIC) :]
 
--- a/src/marjoramtide/membership/_drop_log.py
+++ b/src/marjoramtide/membership/_drop_log.py
@@ -16,20 +16,20 @@
     """
 
     def __init__(self) -> None:
-        self.last: dict[DropCode, float] = {}
-        self.held: dict[DropCode, int] = {}
+        self.last_logged_at: dict[DropCode, float] = {}
+        self.suppressed: dict[DropCode, int] = {}
 
     def add(self, code: DropCode, address: str, message: str, now: float) -> None:
         """Count a drop, and write a line if one is due."""
-        self.held[code] = self.held.get(code, 0) + 1
-        if now - self.last.get(code, -INTERVAL_S) < INTERVAL_S:
+        self.suppressed[code] = self.suppressed.get(code, 0) + 1
+        if now - self.last_logged_at.get(code, -INTERVAL_S) < INTERVAL_S:
             return
-        self.last[code] = now
+        self.last_logged_at[code] = now
         log.warning(
             "datagram-dropped",
             code=code,
             step="membership.receive",
             peer=address,
             error=message,
-            count=self.held.pop(code),
+            count=self.suppressed.pop(code),
         )
--- a/src/marjoramtide/membership/_failure_detector.py
+++ b/src/marjoramtide/membership/_failure_detector.py
@@ -3,14 +3,14 @@
 import random
 from collections.abc import Callable
 
-from marjoramtide.membership._awareness import Awareness
 from marjoramtide.membership._disseminator import Disseminator
 from marjoramtide.membership._gossip_counters import GossipCounters
+from marjoramtide.membership._local_health import LocalHealth
 from marjoramtide.membership._member_entry import MemberEntry
 from marjoramtide.membership._member_view import MemberView
 from marjoramtide.membership._packet import Packet, PacketKind
 from marjoramtide.membership._packet_sender import PacketSender
-from marjoramtide.membership._probe import Probe, Relay
+from marjoramtide.membership._probe import Probe, RelayedProbe
 from marjoramtide.membership._swim_options import SwimOptions
 
 MAX_PROBES = 64
@@ -29,24 +29,24 @@
         self,
         view: MemberView,
         sender: PacketSender,
-        news: Disseminator,
+        disseminator: Disseminator,
         options: SwimOptions,
         rng: random.Random,
         counters: GossipCounters,
-        accuse: Callable[[MemberEntry], None],
+        on_probe_failed: Callable[[MemberEntry], None],
     ) -> None:
         self.view = view
         self.sender = sender
-        self.news = news
+        self.disseminator = disseminator
         self.options = options
         self.rng = rng
         self.counters = counters
-        self.accuse = accuse
-        self.awareness = Awareness(options.awareness_limit)
+        self.on_probe_failed = on_probe_failed
+        self.local_health = LocalHealth(options.local_health_max)
         self.probes: dict[int, Probe] = {}
-        self.probed: set[int] = set()
-        self.relays: dict[int, Relay] = {}
-        self.order: list[int] = []
+        self.active_targets: set[int] = set()
+        self.relayed_probes: dict[int, RelayedProbe] = {}
+        self.probe_order: list[int] = []
         self.last_number = rng.getrandbits(31)
         self.next_probe_at = 0.0
         self.next_dead_probe_at = 0.0
@@ -54,10 +54,10 @@
     def reset(self, now: float) -> None:
         """Forget all probes under way: their answers can't be told from missed ones."""
         self.probes.clear()
-        self.probed.clear()
-        self.relays.clear()
+        self.active_targets.clear()
+        self.relayed_probes.clear()
         self.next_probe_at = now
-        self.awareness.score = self.awareness.limit
+        self.local_health.score = self.local_health.limit
 
     def postpone(self, gap: float) -> None:
         """Give the probes under way more time."""
@@ -67,40 +67,40 @@
 
     def tick(self, now: float) -> None:
         """Bring probes under way on and start the next one."""
-        self._expire_relays(now)
+        self._expire_relayed_probes(now)
         for number, probe in list(self.probes.items()):
             if now >= probe.fails_at:
-                self._fail(number, probe)
-            elif now >= probe.indirect_at and not probe.asked_helpers:
+                self._fail_probe(number, probe)
+            elif now >= probe.indirect_at and not probe.has_asked_helpers:
                 self._ask_helpers(number, probe)
         if now >= self.next_probe_at:
-            self.next_probe_at = now + self.options.probe_interval_s * self.awareness.multiplier
+            self.next_probe_at = now + self.options.probe_interval_s * self.local_health.multiplier
             entry = self._next_target()
             if entry is not None:
                 self.probe(entry, now)
         if now >= self.next_dead_probe_at:
             spread = self.rng.uniform(0.5, 1.5)
             self.next_dead_probe_at = now + self.options.dead_probe_interval_s * spread
-            self._try_dead()
+            self._ping_dead_member()
 
     def probe(self, entry: MemberEntry, now: float) -> None:
         """Start a probe of a member, unless one is under way."""
-        if entry.key in self.probed or len(self.probes) >= MAX_PROBES:
+        if entry.key in self.active_targets or len(self.probes) >= MAX_PROBES:
             return
-        patience = self.awareness.multiplier
+        timeout_multiplier = self.local_health.multiplier
         number = self.next_number()
         self.probes[number] = Probe(
             target=entry.key,
-            indirect_at=now + self.options.probe_timeout_s * patience,
-            fails_at=now + self.options.probe_limit_s * patience,
+            indirect_at=now + self.options.probe_timeout_s * timeout_multiplier,
+            fails_at=now + self.options.probe_total_timeout_s * timeout_multiplier,
         )
-        self.probed.add(entry.key)
+        self.active_targets.add(entry.key)
         self.counters.probes += 1
         self.ping(entry, number)
 
     def ping(self, entry: MemberEntry, number: int) -> None:
         """Send one ping with news on it."""
-        statuses, revisions = self.news.content(entry)
+        statuses, revisions = self.disseminator.take_piggyback(entry)
         self.sender.send(
             PacketKind.PING,
             entry.member.gossip_address,
@@ -117,59 +117,59 @@
 
     def on_ack(self, packet: Packet, now: float) -> bool:
         """Take a confirmation; return whether it answers a probe of this node."""
-        relay = self.relays.pop(packet.number, None)
+        relay = self.relayed_probes.pop(packet.number, None)
         if relay is not None and relay.target == packet.sender:
-            self._answer_relay(PacketKind.ACK, relay)
+            self._reply_to_requester(PacketKind.ACK, relay)
             return True
         probe = self.probes.get(packet.number)
         if probe is None or packet.sender not in (probe.target, *probe.helpers):
             return False
-        self._end(packet.number, probe)
-        self.awareness.add(-1)
+        self._remove_probe(packet.number, probe)
+        self.local_health.add(-1)
         entry = self.view.entries.get(probe.target)
         if entry is not None:
-            self.view.doubt(entry, False, now)
+            self.view.set_locally_suspect(entry, False, now)
         return True
 
     def on_nack(self, packet: Packet) -> None:
         """Take a helper's word that it could not reach the target either."""
         probe = self.probes.get(packet.number)
         if probe is not None:
-            probe.missing.discard(packet.sender)
+            probe.silent_helpers.discard(packet.sender)
 
-    def on_request(self, packet: Packet, now: float) -> None:
+    def on_ping_request(self, packet: Packet, now: float) -> None:
         """Probe a member for another node."""
         entry = self.view.entries.get(packet.keys[0]) if packet.keys else None
-        if entry is None or len(self.relays) >= MAX_RELAYS:
+        if entry is None or len(self.relayed_probes) >= MAX_RELAYS:
             return
         number = self.next_number()
-        self.relays[number] = Relay(
+        self.relayed_probes[number] = RelayedProbe(
             requester=packet.sender,
             number=packet.number,
             target=entry.key,
-            expires=now + self.options.probe_timeout_s * NACK_SHARE,
+            expires_at=now + self.options.probe_timeout_s * NACK_SHARE,
         )
         self.ping(entry, number)
 
     def _next_target(self) -> MemberEntry | None:
         for _ in range(2):
-            while self.order:
-                entry = self.view.entries.get(self.order.pop())
+            while self.probe_order:
+                entry = self.view.entries.get(self.probe_order.pop())
                 if entry and not entry.health.is_gone:
                     return entry
-            self.order = self.view.neighbourhood(self.sender.own).probe_round(self.rng)
+            self.probe_order = self.view.peer_sampler(self.sender.own).probe_round(self.rng)
         return None
 
-    def _try_dead(self) -> None:
+    def _ping_dead_member(self) -> None:
         # Without this a region that was cut off stays "dead" for the other one for ever after the
         # link is back, since neither side probes the dead. One datagram at a time is enough: a
         # single answer lets the two sides compare their views.
-        dead = [entry for entry in self.view.gone.values() if entry.is_tried()]
+        dead = [entry for entry in self.view.gone.values() if entry.can_return()]
         if dead:
             self.ping(self.rng.choice(dead), self.next_number())
 
     def _ask_helpers(self, number: int, probe: Probe) -> None:
-        probe.asked_helpers = True
+        probe.has_asked_helpers = True
         candidates = [
             entry
             for entry in self.rng.sample(
@@ -179,7 +179,7 @@
         ][: self.options.indirect_probes]
         for helper in candidates:
             probe.helpers.add(helper.key)
-            probe.missing.add(helper.key)
+            probe.silent_helpers.add(helper.key)
             self.sender.send(
                 PacketKind.PING_REQUEST,
                 helper.member.gossip_address,
@@ -188,29 +188,29 @@
                 keys=(probe.target,),
             )
 
-    def _fail(self, number: int, probe: Probe) -> None:
-        self._end(number, probe)
+    def _fail_probe(self, number: int, probe: Probe) -> None:
+        self._remove_probe(number, probe)
         self.counters.failed_probes += 1
         # Helpers that said nothing at all point at this node's own link or load; helpers that
         # answered that they could not reach the target either point at the target.
-        self.awareness.add(len(probe.missing) if probe.helpers else 1)
+        self.local_health.add(len(probe.silent_helpers) if probe.helpers else 1)
         entry = self.view.entries.get(probe.target)
         if entry is not None and not entry.health.is_gone:
-            self.accuse(entry)
-            places = self.view.neighbourhood(self.sender.own)
-            self.order += places.beside(entry.member, self.rng)
+            self.on_probe_failed(entry)
+            sampler = self.view.peer_sampler(self.sender.own)
+            self.probe_order += sampler.in_same_data_centre(entry.member, self.rng)
 
-    def _end(self, number: int, probe: Probe) -> None:
+    def _remove_probe(self, number: int, probe: Probe) -> None:
         del self.probes[number]
-        self.probed.discard(probe.target)
+        self.active_targets.discard(probe.target)
 
-    def _expire_relays(self, now: float) -> None:
-        for number, relay in list(self.relays.items()):
-            if now >= relay.expires:
-                del self.relays[number]
-                self._answer_relay(PacketKind.NACK, relay)
+    def _expire_relayed_probes(self, now: float) -> None:
+        for number, relay in list(self.relayed_probes.items()):
+            if now >= relay.expires_at:
+                del self.relayed_probes[number]
+                self._reply_to_requester(PacketKind.NACK, relay)
 
-    def _answer_relay(self, kind: PacketKind, relay: Relay) -> None:
+    def _reply_to_requester(self, kind: PacketKind, relay: RelayedProbe) -> None:
         requester = self.view.entries.get(relay.requester)
         if requester is not None:
             self.sender.send(
--- a/src/marjoramtide/membership/_awareness.py
+++ b/src/marjoramtide/membership/_local_health.py
@@ -4,7 +4,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Awareness:
+class LocalHealth:
     """Local health multiplier (Lifeguard, 2018, section IV-A).
 
     Failed probes and missing answers of helpers are signs that this node is the slow one: it then
--- a/src/marjoramtide/membership/_member_entry.py
+++ b/src/marjoramtide/membership/_member_entry.py
@@ -25,11 +25,11 @@
     identity: bytes
     declared: MemberState
     health: Health = Health.ALIVE
-    doubted: bool = False
+    is_locally_suspect: bool = False
     gone_at: float = 0.0
     suspicion: Suspicion | None = None
-    summand: int = 0
-    counted: int = 0
+    state_hash: int = 0
+    digest_contribution: int = 0
 
     def status(self, accuser: int = 0) -> Status:
         return Status(
@@ -46,7 +46,7 @@
     def record(self) -> Record:
         return Record(self.identity, self.status(), self.settings())
 
-    def is_tried(self) -> bool:
+    def can_return(self) -> bool:
         """Tell whether a member that is gone may come back under this identity."""
         return self.health is Health.DEAD
 
@@ -57,14 +57,14 @@
         """
         if self.health.is_gone:
             return MemberState.DEAD
-        doubtful = self.health is Health.SUSPECT or self.doubted
+        doubtful = self.health is Health.SUSPECT or self.is_locally_suspect
         return (
             MemberState.SUSPECT
             if doubtful and self.declared is MemberState.READY
             else self.declared
         )
 
-    def refresh(self) -> None:
+    def update_state_hash(self) -> None:
         """Recompute ``summand``, the hash of what this node holds of a member that runs.
 
         Suspicion is left out, being short-lived. A member that is gone keeps the hash of the state
@@ -72,7 +72,7 @@
         """
         member = self.member
         text = f"{self.key},{member.incarnation},{self.declared},{member.revision}"
-        self.summand = xxhash.xxh3_64_intdigest(text.encode())
+        self.state_hash = xxhash.xxh3_64_intdigest(text.encode())
 
 
 def make_entry(member: Member, declared: MemberState, health: Health) -> MemberEntry:
--- a/src/marjoramtide/membership/_member_view.py
+++ b/src/marjoramtide/membership/_member_view.py
@@ -7,8 +7,8 @@
 from marjoramtide.membership._health import Health
 from marjoramtide.membership._member import Member
 from marjoramtide.membership._member_entry import MemberEntry, make_entry
-from marjoramtide.membership._neighbourhood import Neighbourhood, make_neighbourhood
 from marjoramtide.membership._packet import AppliedSettings, Status
+from marjoramtide.membership._peer_sampler import PeerSampler, make_peer_sampler
 
 
 class MemberView:
@@ -27,16 +27,16 @@
         self.gone: dict[int, MemberEntry] = {}
         self.digest = 0
         self.changes: list[Member] = []
-        self.working: dict[str, list[Member]] = {}
-        self.present: list[Member] | None = None
-        self.live_entries: list[MemberEntry] | None = None
-        self.live_places: Neighbourhood | None = None
+        self.available_cache: dict[str, list[Member]] = {}
+        self.members_cache: list[Member] | None = None
+        self.live_cache: list[MemberEntry] | None = None
+        self.cached_sampler: PeerSampler | None = None
         self.evacuated: frozenset[str] = frozenset()
 
     def set_evacuated(self, data_centres: frozenset[str]) -> None:
         """Have members in these data centres take no work, whatever they say of themselves."""
         self.evacuated = data_centres
-        self.working.clear()
+        self.available_cache.clear()
 
     def add(self, member: Member, status: Status, now: float) -> MemberEntry:
         """Add a member that is not known yet."""
@@ -46,8 +46,8 @@
         self.entries[entry.key] = entry
         self.by_address[member.gossip_address] = entry.key
         self.by_service[member.service][entry.key] = entry
-        self.live_entries = None
-        self._changed(entry, now)
+        self.live_cache = None
+        self._on_entry_changed(entry, now)
         return entry
 
     def merge_status(self, status: Status, now: float) -> bool:
@@ -58,8 +58,8 @@
         entry.member = attrs.evolve(entry.member, incarnation=status.incarnation)
         entry.declared = status.declared
         entry.health = status.health
-        entry.doubted = False
-        self._changed(entry, now)
+        entry.is_locally_suspect = False
+        self._on_entry_changed(entry, now)
         return True
 
     def merge_settings(self, key: int, settings: AppliedSettings, now: float) -> bool:
@@ -70,14 +70,14 @@
         entry.member = attrs.evolve(
             entry.member, revision=settings.revision, digest=settings.digest
         )
-        self._changed(entry, now)
+        self._on_entry_changed(entry, now)
         return True
 
-    def doubt(self, entry: MemberEntry, doubted: bool, now: float) -> None:
+    def set_locally_suspect(self, entry: MemberEntry, is_locally_suspect: bool, now: float) -> None:
         """Set or clear this node's own passive sign of failure."""
-        if entry.doubted is not doubted:
-            entry.doubted = doubted
-            self._changed(entry, now)
+        if entry.is_locally_suspect is not is_locally_suspect:
+            entry.is_locally_suspect = is_locally_suspect
+            self._on_entry_changed(entry, now)
 
     def remove(self, key: int) -> None:
         """Drop an entry without a trace."""
@@ -87,19 +87,19 @@
         self.by_service[entry.member.service].pop(key, None)
         if self.by_address.get(entry.member.gossip_address) == key:
             del self.by_address[entry.member.gossip_address]
-        self.digest ^= entry.counted
-        self.live_entries = None
-        self._drop_caches(entry)
+        self.digest ^= entry.digest_contribution
+        self.live_cache = None
+        self._invalidate_caches(entry)
 
     def members(self) -> list[Member]:
         """Return all members that are not known to be dead."""
-        if self.present is None:
-            self.present = [entry.member for entry in self.live()]
-        return self.present
+        if self.members_cache is None:
+            self.members_cache = [entry.member for entry in self.live()]
+        return self.members_cache
 
     def members_of(self, service: str) -> list[Member]:
         """Return the members of a service that may take work."""
-        found = self.working.get(service)
+        found = self.available_cache.get(service)
         if found is None:
             entries = self.by_service[service].values() if service in self.by_service else ()
             found = [
@@ -109,7 +109,7 @@
                 and entry.member.data_centre not in self.evacuated
             ]
             if service in self.by_service:
-                self.working[service] = found
+                self.available_cache[service] = found
         return found
 
     def alive_count(self) -> int:
@@ -117,52 +117,50 @@
 
     def live(self) -> list[MemberEntry]:
         """Return the entries that are not gone, to choose from."""
-        if self.live_entries is None:
-            self.live_places = None
-            self.live_entries = [
-                entry for entry in self.entries.values() if not entry.health.is_gone
-            ]
-        return self.live_entries
+        if self.live_cache is None:
+            self.cached_sampler = None
+            self.live_cache = [entry for entry in self.entries.values() if not entry.health.is_gone]
+        return self.live_cache
 
-    def neighbourhood(self, own: MemberEntry) -> Neighbourhood:
+    def peer_sampler(self, own: MemberEntry) -> PeerSampler:
         """Return the live entries but one's own, apart by whether they share its data centre."""
-        if self.live_entries is None or self.live_places is None:
+        if self.live_cache is None or self.cached_sampler is None:
             others = [entry for entry in self.live() if entry is not own]
-            self.live_places = make_neighbourhood(others, own.member)
-        return self.live_places
+            self.cached_sampler = make_peer_sampler(others, own.member)
+        return self.cached_sampler
 
-    def _changed(self, entry: MemberEntry, now: float) -> None:
+    def _on_entry_changed(self, entry: MemberEntry, now: float) -> None:
         key = entry.key
         state = entry.visible_state()
         if state is not entry.member.state:
             entry.member = attrs.evolve(entry.member, state=state)
-        self._count(entry)
+        self._update_digest(entry)
         if entry.health.is_gone and key not in self.gone:
             entry.gone_at = now
             self.gone[key] = entry
-            self.live_entries = None
+            self.live_cache = None
         elif not entry.health.is_gone and key in self.gone:
             del self.gone[key]
-            self.live_entries = None
+            self.live_cache = None
         if entry.health is Health.SUSPECT:
             self.suspects[key] = entry
         else:
             entry.suspicion = None
             self.suspects.pop(key, None)
-        self._drop_caches(entry)
+        self._invalidate_caches(entry)
         self.changes.append(entry.member)
 
-    def _count(self, entry: MemberEntry) -> None:
+    def _update_digest(self, entry: MemberEntry) -> None:
         # Members that are gone don't count: nodes forget them at different moments, which is no
         # difference worth pulling for.
-        self.digest ^= entry.counted
-        entry.refresh()
-        entry.counted = 0 if entry.health.is_gone else entry.summand
-        self.digest ^= entry.counted
-
-    def _drop_caches(self, entry: MemberEntry) -> None:
-        self.working.pop(entry.member.service, None)
-        self.present = None
+        self.digest ^= entry.digest_contribution
+        entry.update_state_hash()
+        entry.digest_contribution = 0 if entry.health.is_gone else entry.state_hash
+        self.digest ^= entry.digest_contribution
+
+    def _invalidate_caches(self, entry: MemberEntry) -> None:
+        self.available_cache.pop(entry.member.service, None)
+        self.members_cache = None
 
 
 def _supersedes(status: Status, entry: MemberEntry) -> bool:
--- a/src/marjoramtide/membership/_membership_service.py
+++ b/src/marjoramtide/membership/_membership_service.py
@@ -29,7 +29,7 @@
 
 log = structlog.get_logger()
 
-LEAVE_PAUSE_S = 0.1
+LEAVE_REPEAT_DELAY_S = 0.1
 
 
 class MembershipService(Directory):
@@ -41,13 +41,13 @@
     def __init__(
         self,
         core: SwimCore,
-        bulletins: BulletinCodec,
+        bulletin_codec: BulletinCodec,
         store: ObjectStore,
         clock: Clock,
         rng: random.Random,
     ) -> None:
         self.core = core
-        self.bulletins = bulletins
+        self.bulletin_codec = bulletin_codec
         self.bulletin_listener: Callable[[Member, list[Any]], None] | None = None
         # To whom news of a member is passed on.
         self.relay_targets: Callable[[Member], Iterable[Member]] = lambda teller: ()
@@ -63,9 +63,14 @@
         self.protocol: GossipProtocol | None = None
         self.tasks: list[asyncio.Task[None]] = []
         self.announcer = Announcer(
-            store, clock, rng, lambda: self.self_member, core.view.alive_count, self._found
+            store,
+            clock,
+            rng,
+            lambda: self.self_member,
+            core.view.alive_count,
+            self._on_announcements,
         )
-        store.on_epoch(self.announcer.may_be_lost)
+        store.on_epoch(self.announcer.on_store_epoch)
 
     # Directory
 
@@ -114,9 +119,9 @@
 
         Each of ``relays`` passes it on to those of its data centre.
         """
-        data = self.bulletins.encode(member_key(self.self_member.node), fields)
+        data = self.bulletin_codec.encode(member_key(self.self_member.node), fields)
         self._send_all(data, readers)
-        self._send_all(self.bulletins.to_pass_on(data), relays)
+        self._send_all(self.bulletin_codec.as_relay_request(data), relays)
 
     def on_bulletin(self, listener: Callable[[Member, list[Any]], None]) -> None:
         """Call ``listener`` with the news that other members publish."""
@@ -148,7 +153,7 @@
         if leave and self.transport is not None:
             self.core.leave()
             self._flush()
-            await self.clock.sleep(LEAVE_PAUSE_S)
+            await self.clock.sleep(LEAVE_REPEAT_DELAY_S)
             self.core.leave()
             self._flush()
         for task in self.tasks:
@@ -172,14 +177,14 @@
 
     def _receive(self, data: bytes, address: str) -> None:
         if data.startswith((BULLETIN_MAGIC, RELAY_MAGIC)):
-            self._take_bulletin(data, address)
+            self._receive_bulletin(data, address)
             return
         self.core.receive(data, address, self.clock.monotonic(), self.clock.wall())
         self._flush()
 
-    def _take_bulletin(self, data: bytes, address: str) -> None:
+    def _receive_bulletin(self, data: bytes, address: str) -> None:
         try:
-            sender, fields = self.bulletins.decode(data)
+            sender, fields = self.bulletin_codec.decode(data)
         except PacketError as error:
             self.drop_log.add(error.code, address, str(error), self.clock.monotonic())
             return
@@ -189,7 +194,7 @@
         # Passed on only for the member that speaks: whoever has seen such a datagram could send it
         # again, and have it multiplied.
         if data.startswith(RELAY_MAGIC) and entry.member.gossip_address == address:
-            self._send_all(self.bulletins.passed_on(data), self.relay_targets(entry.member))
+            self._send_all(self.bulletin_codec.as_bulletin(data), self.relay_targets(entry.member))
         if self.bulletin_listener is not None:
             self.bulletin_listener(entry.member, fields)
 
@@ -204,8 +209,8 @@
         for event in events:
             write = log.error if event.kind is EventKind.SUPERSEDED else log.info
             write(f"membership-{event.kind}", step="membership", detail=event.detail)
-        drops, self.core.drops = self.core.drops, []
-        for code, address, message in drops:
+        dropped_datagrams, self.core.dropped_datagrams = self.core.dropped_datagrams, []
+        for code, address, message in dropped_datagrams:
             self.drop_log.add(code, address, message, self.clock.monotonic())
 
     def _send_all(self, data: bytes, readers: Iterable[Member]) -> None:
@@ -226,7 +231,7 @@
             except Exception:  # a fault in another part must not stop the failure detector
                 log.exception("listener-failed", code=ErrorCode.INTERNAL, member=member.node)
 
-    def _found(self, announcements: list[Announcement]) -> None:
+    def _on_announcements(self, announcements: list[Announcement]) -> None:
         # Members that are known need no seed, so what is tried here are newcomers, and a part of
         # the fleet that both sides have forgotten after a long cut.
         known = {member.gossip_address for member in self.members()}
@@ -234,7 +239,7 @@
         self.announced_count = len(set(addresses))
         self.core.add_seeds([address for address in addresses if address not in known])
         self.is_alone = len(known) < 2 and not self.core.seeds
-        self.core.seek(self.clock.monotonic(), self.clock.wall())
+        self.core.try_seeds_now(self.clock.monotonic(), self.clock.wall())
         self._flush()
 
 
@@ -266,9 +271,9 @@
     )
     _check_size(member)
     # The protocol draws many numbers; none of them is a secret, so a fast generator will do.
-    fast = random.Random(rng.getrandbits(64))
-    core = SwimCore(member, PacketCodec(node_settings.key), fast, options)
-    return MembershipService(core, BulletinCodec(node_settings.key), store, clock, fast)
+    fast_rng = random.Random(rng.getrandbits(64))
+    core = SwimCore(member, PacketCodec(node_settings.key), fast_rng, options)
+    return MembershipService(core, BulletinCodec(node_settings.key), store, clock, fast_rng)
 
 
 def _check_size(member: Member) -> None:
--- a/src/marjoramtide/membership/_packet.py
+++ b/src/marjoramtide/membership/_packet.py
@@ -24,7 +24,7 @@
     PING_REQUEST = 4
     GOSSIP = 5
     SYNC = 6
-    WANT = 7
+    RECORD_REQUEST = 7
 
 
 @attrs.frozen(slots=True)
--- a/src/marjoramtide/membership/_probe.py
+++ b/src/marjoramtide/membership/_probe.py
@@ -14,16 +14,16 @@
     target: int
     indirect_at: float
     fails_at: float
-    asked_helpers: bool = False
+    has_asked_helpers: bool = False
     helpers: set[int] = attrs.field(factory=set)
-    missing: set[int] = attrs.field(factory=set)
+    silent_helpers: set[int] = attrs.field(factory=set)
 
 
 @attrs.frozen(slots=True)
-class Relay:
+class RelayedProbe:
     """A probe made for another member: whom to tell, under which number, until when."""
 
     requester: int
     number: int
     target: int
-    expires: float
+    expires_at: float
--- a/src/marjoramtide/membership/_replay_guard.py
+++ b/src/marjoramtide/membership/_replay_guard.py
@@ -4,7 +4,7 @@
 from marjoramtide.membership._packet_error import DropCode, PacketError
 from marjoramtide.membership._replay_window import ReplayWindow
 
-KEPT_WINDOWS = 3
+WINDOW_RETENTION_FACTOR = 3
 
 
 class ReplayGuard:
@@ -15,9 +15,9 @@
     longer than that age, so there is no moment at which neither does.
     """
 
-    def __init__(self, own_key: int, time_window_s: float) -> None:
+    def __init__(self, own_key: int, max_datagram_age_s: float) -> None:
         self.own_key = own_key
-        self.time_window_s = time_window_s
+        self.max_datagram_age_s = max_datagram_age_s
         self.windows: dict[int, tuple[ReplayWindow, float]] = {}
 
     def check(self, packet: Packet, now: float, wall: float) -> None:
@@ -25,14 +25,14 @@
         if packet.sender == self.own_key:
             raise PacketError(DropCode.REPLAYED, "this node's own datagram")
         age = wall - packet.sent_ms / 1000
-        if abs(age) > self.time_window_s:
+        if abs(age) > self.max_datagram_age_s:
             raise PacketError(DropCode.OUT_OF_TIME, f"sent {age:.0f} s ago by the sender's clock")
         window, _ = self.windows.get(packet.sender) or (ReplayWindow(), 0.0)
         self.windows[packet.sender] = (window, now)
         if not window.accept(packet.sequence):
             raise PacketError(DropCode.REPLAYED, f"sequence {packet.sequence} seen before")
 
-    def forget_old(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Drop the windows of senders not heard for long."""
-        oldest = now - KEPT_WINDOWS * self.time_window_s
+        oldest = now - WINDOW_RETENTION_FACTOR * self.max_datagram_age_s
         self.windows = {key: pair for key, pair in self.windows.items() if pair[1] > oldest}
--- a/src/marjoramtide/membership/_replay_window.py
+++ b/src/marjoramtide/membership/_replay_window.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-WINDOW = 512
+WINDOW_SIZE = 512
 
 
 @attrs.define(slots=True, eq=False, repr=False)
@@ -19,10 +19,12 @@
         """Return whether ``sequence`` is new, and remember it."""
         ahead = sequence - self.newest
         if ahead > 0:
-            self.seen = ((self.seen << ahead) | 1) & ((1 << WINDOW) - 1) if ahead < WINDOW else 1
+            self.seen = (
+                ((self.seen << ahead) | 1) & ((1 << WINDOW_SIZE) - 1) if ahead < WINDOW_SIZE else 1
+            )
             self.newest = sequence
             return True
-        if -ahead >= WINDOW or self.seen >> -ahead & 1:
+        if -ahead >= WINDOW_SIZE or self.seen >> -ahead & 1:
             return False
         self.seen |= 1 << -ahead
         return True
--- a/src/marjoramtide/membership/_suspicion.py
+++ b/src/marjoramtide/membership/_suspicion.py
@@ -13,7 +13,7 @@
     ``confirmations`` further accusers the time falls to ``shortest_s``.
     """
 
-    started: float
+    started_at: float
     shortest_s: float
     longest_s: float
     confirmations: int
@@ -30,8 +30,8 @@
     def deadline(self) -> float:
         """Return when the suspicion is believed, in seconds of the monotonic clock."""
         if self.confirmations < 1:  # too few members for a second accuser
-            return self.started + self.shortest_s
+            return self.started_at + self.shortest_s
         extra = max(0, len(self.accusers) - 1)
         share = math.log(extra + 1) / math.log(self.confirmations + 1)
         wait = self.longest_s - (self.longest_s - self.shortest_s) * share
-        return self.started + max(self.shortest_s, wait)
+        return self.started_at + max(self.shortest_s, wait)
--- a/src/marjoramtide/membership/_swim_core.py
+++ b/src/marjoramtide/membership/_swim_core.py
@@ -5,7 +5,7 @@
 import attrs
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
-from marjoramtide.membership._disseminator import MAX_WANTED_KEYS, Disseminator
+from marjoramtide.membership._disseminator import MAX_REQUESTED_KEYS, Disseminator
 from marjoramtide.membership._failure_detector import FailureDetector
 from marjoramtide.membership._gossip_counters import GossipCounters
 from marjoramtide.membership._health import Health
@@ -24,29 +24,29 @@
 from marjoramtide.membership._swim_options import SwimOptions
 from marjoramtide.membership._view_filter import ViewFilter
 
-STALL_S = 0.5
+STALL_THRESHOLD_S = 0.5
 SALT_BITS = 31
-LEARNING_FLOOR_S = 1.0
-LEARNING_S = 5.0
-SEEDS_TRIED = 3
+MIN_CATCH_UP_S = 1.0
+MAX_CATCH_UP_S = 5.0
+SEEDS_PER_ATTEMPT = 3
 SEED_INTERVAL_S = 1.0
 # Between two tries of a node in its first second, also where it knows somebody: three datagrams of
 # 100 bytes each. The others of a fleet that starts at once come up within some tenths of a second.
 # Measured in memory, until all of 75 that come up within 0.2 s know all: 0.6 s in the middle of
 # eight runs and 0.7 s at worst; with the usual interval 1.25 s and 1.5 s.
-NEW_INTERVAL_S = 0.2
-NEW_FOR_S = 1.0
+STARTUP_SEED_INTERVAL_S = 0.2
+STARTUP_S = 1.0
 # For how long after a member has gone its address is tried for a successor, and between two tries
 # of one node, in seconds. A process that is started again is up after a second or two.
-SUCCESSOR_FOR_S = 30.0
+SUCCESSOR_SEARCH_S = 30.0
 SUCCESSOR_INTERVAL_S = 1.0
-WANT_INTERVAL_S = 0.5
-UNMATCHED_S = 5.0
+RECORD_REQUEST_INTERVAL_S = 0.5
+MAX_DIGEST_MISMATCH_S = 5.0
 URGENT_FANOUT = 4
 LEAVE_FANOUT = 8
-HOUSEKEEPING_S = 30.0
-VERIFY_PER_TICK = 2
-MAX_VERIFY = 256
+HOUSEKEEPING_INTERVAL_S = 30.0
+CLAIMS_VERIFIED_PER_TICK = 2
+MAX_UNVERIFIED_CLAIMS = 256
 
 
 class SwimCore:
@@ -74,32 +74,38 @@
         status = Status(self.key, member.incarnation, member.state)
         self.own = self.view.add(member, status, 0.0)
         self.sender = PacketSender(codec, self.view, self.own, self.counters)
-        self.news = Disseminator(self.view, self.sender, self.options, rng)
+        self.disseminator = Disseminator(self.view, self.sender, self.options, rng)
         self.detector = FailureDetector(
-            self.view, self.sender, self.news, self.options, rng, self.counters, self._accuse
+            self.view,
+            self.sender,
+            self.disseminator,
+            self.options,
+            rng,
+            self.counters,
+            self._suspect,
         )
-        self.guard = ReplayGuard(self.key, self.options.time_window_s)
-        self.suspicions = Suspicions(self.view, self.news, self.options)
+        self.replay_guard = ReplayGuard(self.key, self.options.max_datagram_age_s)
+        self.suspicions = Suspicions(self.view, self.disseminator, self.options)
         self.seeds: list[str] = []
-        self.untried_seeds = False
+        self.has_untried_seeds = False
         self.events: list[MembershipEvent] = []
-        self.drops: list[tuple[DropCode, str, str]] = []
-        self.wanted: dict[int, float] = {}
-        self.verify: dict[int, Status] = {}
+        self.dropped_datagrams: list[tuple[DropCode, str, str]] = []
+        self.requested_at: dict[int, float] = {}
+        self.unverified_claims: dict[int, Status] = {}
         self.now: float | None = None
         self.wall = 0.0
-        self.started = 0.0
-        self.last_match = 0.0
-        self.last_sync = 0.0
-        self.last_seed = -SEED_INTERVAL_S
+        self.started_at = 0.0
+        self.last_match_at = 0.0
+        self.last_sync_at = 0.0
+        self.last_seed_at = -SEED_INTERVAL_S
         self.next_successor_at = 0.0
-        self.last_housekeeping = 0.0
+        self.last_housekeeping_at = 0.0
         # While learning, this node has no fresh view of its own and accuses nobody.
-        self.learning = True
-        self.learned_from: float | None = None
-        self.learning_after = self.detector.last_number
+        self.is_catching_up = True
+        self.first_ack_at: float | None = None
+        self.last_number_before_catch_up = self.detector.last_number
         self.left = False
-        self.superseded = False
+        self.is_superseded = False
 
     # What the node asks for
 
@@ -111,24 +117,24 @@
         members started at once, four did.
         """
         self.seeds = [item for item in addresses if item != self.own.member.gossip_address]
-        self.untried_seeds = True
+        self.has_untried_seeds = True
 
-    def seek(self, now: float, wall: float) -> None:
+    def try_seeds_now(self, now: float, wall: float) -> None:
         """Try seeds at once, where it is time for it, rather than at the next tick."""
         self._advance(now, wall)
-        if not (self.left or self.superseded):
-            self._try_seeds(now)
+        if not (self.left or self.is_superseded):
+            self._ping_seeds(now)
 
-    def try_address(self, address: str) -> None:
+    def ping_address(self, address: str) -> None:
         """Ping whoever listens at a gossip address, to find a part of the fleet not yet known."""
         self.sender.send(PacketKind.PING, address, 0, number=self.detector.next_number())
 
     def set_state(self, state: MemberState) -> None:
         """Change this node's own state and tell some members at once."""
-        if self.own.declared is state or self.left or self.superseded:
+        if self.own.declared is state or self.left or self.is_superseded:
             return
         self._set_own(self.own.member.incarnation + 1, state, self.own.health)
-        self.news.gossip(self._now(), URGENT_FANOUT)
+        self.disseminator.gossip(self._now(), URGENT_FANOUT)
 
     def set_settings(self, revision: int, digest: str) -> None:
         """Report the settings in force here; raises ``bad-settings`` for an overlong digest."""
@@ -139,15 +145,15 @@
                 step="membership.set_settings",
             )
         if self.view.merge_settings(self.key, AppliedSettings(revision, digest), self._now()):
-            self.news.revisions.put(self.key)
-            self.news.gossip(self._now(), self.options.gossip_fanout)
+            self.disseminator.revisions.put(self.key)
+            self.disseminator.gossip(self._now(), self.options.gossip_fanout)
 
     def report_failure(self, node: str) -> None:
         """Doubt a member on a passive sign and probe it now."""
         entry = self.view.entries.get(member_key(node))
         if entry is None or entry is self.own or entry.health.is_gone:
             return
-        self.view.doubt(entry, True, self._now())
+        self.view.set_locally_suspect(entry, True, self._now())
         self.detector.probe(entry, self._now())
 
     def leave(self) -> None:
@@ -174,17 +180,17 @@
     def tick(self, now: float, wall: float) -> None:
         """Do what is due."""
         self._advance(now, wall)
-        if self.left or self.superseded:
+        if self.left or self.is_superseded:
             return
         self.suspicions.expire(now)
         self._verify_claims(now)
         self.detector.tick(now)
-        self._join(now)
+        self._continue_join(now)
         if now >= self.next_successor_at:
             self.next_successor_at = now + SUCCESSOR_INTERVAL_S * self.rng.uniform(0.5, 1.5)
-            self._try_successor(now)
-        self.news.gossip(now, self.options.gossip_fanout)
-        if now - self.last_housekeeping > HOUSEKEEPING_S:
+            self._ping_vacated_address(now)
+        self.disseminator.gossip(now, self.options.gossip_fanout)
+        if now - self.last_housekeeping_at > HOUSEKEEPING_INTERVAL_S:
             self._housekeeping(now)
 
     def _now(self) -> float:
@@ -192,10 +198,10 @@
 
     def _advance(self, now: float, wall: float) -> None:
         if self.now is None:
-            self.started = self.last_match = self.last_housekeeping = now
-        elif now - self.now > self.options.freeze_gap_s and not self.left:
-            self._thaw(now - self.now, now)
-        elif now - self.now > STALL_S:
+            self.started_at = self.last_match_at = self.last_housekeeping_at = now
+        elif now - self.now > self.options.freeze_threshold_s and not self.left:
+            self._resume_after_freeze(now - self.now, now)
+        elif now - self.now > STALL_THRESHOLD_S:
             self._postpone(now - self.now)
         self.now = now
         self.wall = self.sender.wall = wall
@@ -206,24 +212,24 @@
         self.detector.postpone(gap)
         self.suspicions.postpone(gap)
 
-    def _thaw(self, gap: float, now: float) -> None:
+    def _resume_after_freeze(self, gap: float, now: float) -> None:
         # A process that was stopped missed every answer sent to it meanwhile, and its timers all
         # look expired at once: acting on them, it would declare healthy members dead. So it drops
         # its probes, starts the suspicions it holds anew, accuses nobody until another member has
         # answered a probe sent after its return, and refutes what was said about it.
         self.detector.reset(now)
-        self.verify.clear()
-        self.suspicions.begin_anew(now)
-        self.learning = True
-        self.learned_from = None
-        self.learning_after = self.detector.last_number
-        self.last_match = now
-        if gap > self.options.forget_s / 2:
-            self._forget_all()
+        self.unverified_claims.clear()
+        self.suspicions.restart_timers(now)
+        self.is_catching_up = True
+        self.first_ack_at = None
+        self.last_number_before_catch_up = self.detector.last_number
+        self.last_match_at = now
+        if gap > self.options.dead_retention_s / 2:
+            self._forget_others()
         self._set_own(self.own.member.incarnation + 1, self.own.declared, self.own.health)
         self.events.append(MembershipEvent(EventKind.FROZEN, f"{gap:.1f} s"))
 
-    def _forget_all(self) -> None:
+    def _forget_others(self) -> None:
         # After so long the others may have forgotten identities that died meanwhile; telling them
         # the old view would bring those back. Their addresses are kept as seeds only.
         others = [entry for entry in self.view.entries.values() if entry is not self.own]
@@ -232,56 +238,56 @@
             self._forget(entry.key)
 
     def _forget(self, key: int) -> None:
-        self.news.forget(key)
+        self.disseminator.forget(key)
         self.view.remove(key)
 
     def _housekeeping(self, now: float) -> None:
-        self.last_housekeeping = now
-        old = now - self.options.forget_s
+        self.last_housekeeping_at = now
+        old = now - self.options.dead_retention_s
         for key in [key for key, entry in self.view.gone.items() if entry.gone_at < old]:
             self._forget(key)
-        self.guard.forget_old(now)
-        self.wanted.clear()
+        self.replay_guard.drop_expired(now)
+        self.requested_at.clear()
 
     # Own record
 
     def _set_own(self, incarnation: int, state: MemberState, health: Health) -> None:
         status = Status(self.key, incarnation, state, health)
         self.view.merge_status(status, self._now())
-        self.news.statuses.put(self.key)
+        self.disseminator.statuses.put(self.key)
 
-    def _hear_about_self(self, status: Status) -> None:
-        if self.left or self.superseded:
+    def _handle_own_status(self, status: Status) -> None:
+        if self.left or self.is_superseded:
             return
         own = self.own.member.incarnation
         if status.health is Health.LEFT:
-            self._stand_down("another process has this node's gossip address")
+            self._mark_superseded("another process has this node's gossip address")
         elif status.incarnation > own or (
             status.incarnation == own and status.health is not Health.ALIVE
         ):
-            self.detector.awareness.add(1)
+            self.detector.local_health.add(1)
             self.counters.refutations += 1
             self._set_own(status.incarnation + 1, self.own.declared, Health.ALIVE)
             self.events.append(MembershipEvent(EventKind.REFUTED, str(status.health.name)))
 
-    def _stand_down(self, reason: str) -> None:
-        self.superseded = True
+    def _mark_superseded(self, reason: str) -> None:
+        self.is_superseded = True
         self.view.merge_status(attrs.evolve(self.own.status(), health=Health.LEFT), self._now())
         self.events.append(MembershipEvent(EventKind.SUPERSEDED, reason))
 
     # Suspicion
 
-    def _accuse(self, entry: MemberEntry) -> None:
-        if self.learning:
+    def _suspect(self, entry: MemberEntry) -> None:
+        if self.is_catching_up:
             return
         accusation = attrs.evolve(entry.status(), health=Health.SUSPECT, accuser=self.key)
-        self.suspicions.hear(accusation, self._now())
+        self.suspicions.apply_status(accusation, self._now())
 
     def _verify_claims(self, now: float) -> None:
-        for key in list(self.verify)[:VERIFY_PER_TICK]:
-            claim = self.verify.pop(key)
+        for key in list(self.unverified_claims)[:CLAIMS_VERIFIED_PER_TICK]:
+            claim = self.unverified_claims.pop(key)
             entry = self.view.entries.get(key)
-            if entry is None or _is_answered(entry, claim):
+            if entry is None or _is_outdated(entry, claim):
                 continue
             self.sender.send(
                 PacketKind.GOSSIP, entry.member.gossip_address, entry.key, statuses=[claim]
@@ -290,38 +296,40 @@
 
     # Finding the others
 
-    def _join(self, now: float) -> None:
-        peer = self.news.random_peer()
-        if self.untried_seeds or peer is None or now - self.started < NEW_FOR_S:
-            self._try_seeds(now)
-        if peer is None or not self.learning:
+    def _continue_join(self, now: float) -> None:
+        peer = self.disseminator.random_peer()
+        if self.has_untried_seeds or peer is None or now - self.started_at < STARTUP_S:
+            self._ping_seeds(now)
+        if peer is None or not self.is_catching_up:
             return
-        if self.learned_from is not None and now - self.learned_from > LEARNING_S:
-            self._learned()
-        elif now - self.last_sync >= self.options.join_interval_s:
+        if self.first_ack_at is not None and now - self.first_ack_at > MAX_CATCH_UP_S:
+            self._finish_catch_up()
+        elif now - self.last_sync_at >= self.options.join_interval_s:
             self.detector.ping(peer, self.detector.next_number())
             self._sync_with(peer.member.gossip_address, peer.key, now)
 
-    def _try_seeds(self, now: float) -> None:
+    def _ping_seeds(self, now: float) -> None:
         # Failure: all nodes lose power and start again. The first to read the list tries addresses
         # where nobody listens yet, and knows only itself for another second: it refuses what is for
         # other services, and its own backend server gets all the rest.
-        new = now - self.started < NEW_FOR_S
-        if not self.seeds or now - self.last_seed < (NEW_INTERVAL_S if new else SEED_INTERVAL_S):
+        new = now - self.started_at < STARTUP_S
+        if not self.seeds or now - self.last_seed_at < (
+            STARTUP_SEED_INTERVAL_S if new else SEED_INTERVAL_S
+        ):
             return
-        self.last_seed = now
-        self.untried_seeds = False
-        for address in self.rng.sample(self.seeds, min(SEEDS_TRIED, len(self.seeds))):
-            self.try_address(address)
+        self.last_seed_at = now
+        self.has_untried_seeds = False
+        for address in self.rng.sample(self.seeds, min(SEEDS_PER_ATTEMPT, len(self.seeds))):
+            self.ping_address(address)
 
-    def _try_successor(self, now: float) -> None:
+    def _ping_vacated_address(self, now: float) -> None:
         """Try an address that a member has left, where another process may be up by now.
 
         Failure: a node is started again while the store is down. It can't read who is there, nobody
         looks where it is, and it refuses every caller until the store is back, though the rest of
         the fleet serves. The others know its address; one datagram a second each finds it.
         """
-        since = now - SUCCESSOR_FOR_S
+        since = now - SUCCESSOR_SEARCH_S
         held = {entry.member.gossip_address for entry in self.view.live()}
         left = {
             entry.member.gossip_address
@@ -329,35 +337,35 @@
             if entry.gone_at > since and entry.key != self.key
         } - held
         if left:
-            self.try_address(self.rng.choice(sorted(left)))
+            self.ping_address(self.rng.choice(sorted(left)))
 
-    def _learned(self) -> None:
-        self.learning = False
+    def _finish_catch_up(self) -> None:
+        self.is_catching_up = False
         detail = f"{self.view.alive_count()} members"
         self.events.append(MembershipEvent(EventKind.JOINED, detail))
 
-    def _sync_with(self, address: str, key: int, now: float, answer: bool = False) -> None:
-        self.last_sync = now
+    def _sync_with(self, address: str, key: int, now: float, is_reply: bool = False) -> None:
+        self.last_sync_at = now
         self.counters.syncs += 1
         salt = self.rng.getrandbits(SALT_BITS)
         self.sender.send(
             PacketKind.SYNC,
             address,
             key,
-            number=salt << 1 | (not answer),
-            view_filter=self.news.view_filter(salt).data,
+            number=salt << 1 | (not is_reply),
+            view_filter=self.disseminator.view_filter(salt).data,
         )
 
-    def _compare(self, packet: Packet, address: str, now: float) -> None:
+    def _compare_digests(self, packet: Packet, address: str, now: float) -> None:
         if packet.view_digest == self.view.digest:
-            self.last_match = now
-            learned_from = self.learned_from if self.learning else None
-            if learned_from is not None and now - learned_from > LEARNING_FLOOR_S:
-                self._learned()
+            self.last_match_at = now
+            first_ack_at = self.first_ack_at if self.is_catching_up else None
+            if first_ack_at is not None and now - first_ack_at > MIN_CATCH_UP_S:
+                self._finish_catch_up()
             return
         # News under way makes views differ for a moment; pulling then would cost much for nothing.
-        settled = self.news.is_idle() or now - self.last_match > UNMATCHED_S
-        if settled and now - self.last_sync >= self.options.sync_interval_s:
+        settled = self.disseminator.is_idle() or now - self.last_match_at > MAX_DIGEST_MISMATCH_S
+        if settled and now - self.last_sync_at >= self.options.sync_interval_s:
             self._sync_with(address, packet.sender, now)
 
     # Datagrams
@@ -369,9 +377,9 @@
         self.counters.received_bytes += len(data)
         try:
             packet = self.codec.decode(data)
-            self.guard.check(packet, now, wall)
+            self.replay_guard.check(packet, now, wall)
             if packet.destination not in (0, self.key):
-                self._redirect(packet, address)
+                self._reject_misaddressed(packet, address)
             self._handle(packet, address, now)
         except PacketError as error:
             self._drop(error.code, address, str(error))
@@ -380,35 +388,37 @@
 
     def _drop(self, code: DropCode, address: str, message: str) -> None:
         self.counters.dropped[code] += 1
-        self.drops.append((code, address, message))
+        self.dropped_datagrams.append((code, address, message))
 
-    def _redirect(self, packet: Packet, address: str) -> None:
+    def _reject_misaddressed(self, packet: Packet, address: str) -> None:
         # The sender means an earlier process at this address. An answer in its name would keep the
         # dead identity alive for ever; the own record lets the sender replace it at once.
         if packet.kind is PacketKind.PING:
-            self.news.send_records(address, packet.sender, [self.own], self._now())
+            self.disseminator.send_records(address, packet.sender, [self.own], self._now())
         raise PacketError(DropCode.MISADDRESSED, "meant for another member")
 
     def _handle(self, packet: Packet, address: str, now: float) -> None:
-        if self.left or self.superseded:
+        if self.left or self.is_superseded:
             return
-        missing: list[int] = []
-        self._hear_sender(packet, address, missing)
+        unknown_keys: list[int] = []
+        self._merge_sender(packet, address, unknown_keys)
         for status in packet.statuses:
-            self._hear_status(status, missing)
+            self._merge_status(status, unknown_keys)
         for settings, keys in packet.revisions:
-            self._hear_settings(settings, keys)
+            self._merge_settings(settings, keys)
         for record in packet.records:
-            self._hear_record(record, packet, address)
-        self._act(packet, address, now)
-        self._want(missing, packet.sender, address, now)
+            self._merge_record(record, packet, address)
+        self._dispatch(packet, address, now)
+        self._request_records(unknown_keys, packet.sender, address, now)
         if packet.kind in (PacketKind.PING, PacketKind.ACK):
-            self._compare(packet, address, now)
+            self._compare_digests(packet, address, now)
 
-    def _act(self, packet: Packet, address: str, now: float) -> None:
+    def _dispatch(self, packet: Packet, address: str, now: float) -> None:
         match packet.kind:
             case PacketKind.PING:
-                statuses, revisions = self.news.content(self.view.entries.get(packet.sender))
+                statuses, revisions = self.disseminator.take_piggyback(
+                    self.view.entries.get(packet.sender)
+                )
                 self.sender.send(
                     PacketKind.ACK,
                     address,
@@ -419,99 +429,116 @@
                 )
             case PacketKind.ACK:
                 self.detector.on_ack(packet, now)
-                if self.learning and packet.number > self.learning_after:
-                    self.learned_from = self.learned_from or now
+                if self.is_catching_up and packet.number > self.last_number_before_catch_up:
+                    self.first_ack_at = self.first_ack_at or now
             case PacketKind.NACK:
                 self.detector.on_nack(packet)
             case PacketKind.PING_REQUEST:
-                self.detector.on_request(packet, now)
+                self.detector.on_ping_request(packet, now)
             case PacketKind.SYNC:
-                self._answer_sync(packet, address, now)
-            case PacketKind.WANT:
+                self._reply_to_sync(packet, address, now)
+            case PacketKind.RECORD_REQUEST:
                 known = [self.view.entries[key] for key in packet.keys if key in self.view.entries]
-                self.news.send_records(address, packet.sender, known, now, asked_for=True)
+                self.disseminator.send_records(address, packet.sender, known, now, requested=True)
 
-    def _answer_sync(self, packet: Packet, address: str, now: float) -> None:
+    def _reply_to_sync(self, packet: Packet, address: str, now: float) -> None:
         if not packet.view_filter:
             return
-        different = self.news.differing(ViewFilter(packet.view_filter, packet.number >> 1))
-        self.news.send_records(address, packet.sender, different, now)
+        different = self.disseminator.entries_differing_from(
+            ViewFilter(packet.view_filter, packet.number >> 1)
+        )
+        self.disseminator.send_records(address, packet.sender, different, now)
         if packet.number & 1:
-            self._sync_with(address, packet.sender, now, answer=True)
+            self._sync_with(address, packet.sender, now, is_reply=True)
 
-    def _want(self, missing: list[int], sender: int, address: str, now: float) -> None:
-        keys = [key for key in missing if now - self.wanted.get(key, -1e9) > WANT_INTERVAL_S]
-        keys = keys[:MAX_WANTED_KEYS]
+    def _request_records(
+        self, unknown_keys: list[int], sender: int, address: str, now: float
+    ) -> None:
+        keys = [
+            key
+            for key in unknown_keys
+            if now - self.requested_at.get(key, -1e9) > RECORD_REQUEST_INTERVAL_S
+        ]
+        keys = keys[:MAX_REQUESTED_KEYS]
         if keys:
-            self.wanted.update(dict.fromkeys(keys, now))
-            self.sender.send(PacketKind.WANT, address, sender, keys=tuple(keys))
+            self.requested_at.update(dict.fromkeys(keys, now))
+            self.sender.send(PacketKind.RECORD_REQUEST, address, sender, keys=tuple(keys))
 
     # News
 
-    def _hear_sender(self, packet: Packet, address: str, missing: list[int]) -> None:
+    def _merge_sender(self, packet: Packet, address: str, unknown_keys: list[int]) -> None:
         entry = self.view.entries.get(packet.sender)
         if entry is None:
-            missing.append(packet.sender)
+            unknown_keys.append(packet.sender)
             return
         if entry.health is Health.LEFT:
             if packet.status.health is Health.LEFT:
                 return  # the goodbye is sent twice
             self.sender.send(PacketKind.GOSSIP, address, packet.sender, statuses=[entry.status()])
             raise PacketError(DropCode.SENDER_GONE, "the sender has left or was replaced")
-        self._hear_status(packet.status, missing)
+        self._merge_status(packet.status, unknown_keys)
         if self.view.merge_settings(entry.key, packet.settings, self._now()):
-            self.news.revisions.put(entry.key)
+            self.disseminator.revisions.put(entry.key)
 
-    def _hear_status(self, status: Status, missing: list[int]) -> None:
+    def _merge_status(self, status: Status, unknown_keys: list[int]) -> None:
         if status.key == self.key:
-            self._hear_about_self(status)
+            self._handle_own_status(status)
             return
         entry = self.view.entries.get(status.key)
         if entry is None:
             if not status.health.is_gone:
-                missing.append(status.key)
+                unknown_keys.append(status.key)
         elif status.health is Health.SUSPECT:
-            self.suspicions.hear(status, self._now())
+            self.suspicions.apply_status(status, self._now())
         elif status.health is Health.DEAD and entry.health is Health.ALIVE:
             # After a cut heals, the other side's view says "dead" of every member on this side.
             # Believed at once, it would empty this side's list of backend servers until each one
             # had refuted it. Where no suspicion went before, the claim is checked by a probe.
-            if not _is_answered(entry, status) and len(self.verify) < MAX_VERIFY:
-                self.verify[status.key] = status
+            if (
+                not _is_outdated(entry, status)
+                and len(self.unverified_claims) < MAX_UNVERIFIED_CLAIMS
+            ):
+                self.unverified_claims[status.key] = status
         elif self.view.merge_status(status, self._now()):
-            self.news.statuses.put(status.key)
+            self.disseminator.statuses.put(status.key)
 
-    def _hear_settings(self, settings: AppliedSettings, keys: tuple[int, ...]) -> None:
+    def _merge_settings(self, settings: AppliedSettings, keys: tuple[int, ...]) -> None:
         for key in keys:
             known = key != self.key and key in self.view.entries
-            if known and self.view.merge_settings(key, settings, self._now()) and not self.learning:
-                self.news.revisions.put(key)
-
-    def _hear_record(self, record: Record, packet: Packet, address: str) -> None:
+            if (
+                known
+                and self.view.merge_settings(key, settings, self._now())
+                and not self.is_catching_up
+            ):
+                self.disseminator.revisions.put(key)
+
+    def _merge_record(self, record: Record, packet: Packet, address: str) -> None:
         if record.status.key in self.view.entries:
-            self._hear_status(record.status, [])
-            self._hear_settings(record.settings, (record.status.key,))
+            self._merge_status(record.status, [])
+            self._merge_settings(record.settings, (record.status.key,))
             return
-        member = _identity_of(record)
+        member = _decode_member(record)
         if member.gossip_address == self.own.member.gossip_address:
-            self._defend_address(member, record.status)
-        elif not record.status.health.is_gone and self._takes_address(
+            self._resolve_own_address_conflict(member, record.status)
+        elif not record.status.health.is_gone and self._resolve_address_conflict(
             member, record.status, address, packet.sender
         ):
             # What a joining node pulls is news to itself alone, unless it asked for this record
             # after hearing of a member that is itself new.
-            self._admit(member, record, pass_on=not self.learning or packet.number > 0)
+            self._add_member(member, record, pass_on=not self.is_catching_up or packet.number > 0)
 
-    def _admit(self, member: Member, record: Record, pass_on: bool) -> None:
+    def _add_member(self, member: Member, record: Record, pass_on: bool) -> None:
         alive = attrs.evolve(record.status, health=Health.ALIVE)
         self.view.add(member, alive, self._now())
-        self._hear_settings(record.settings, (record.status.key,))
+        self._merge_settings(record.settings, (record.status.key,))
         if pass_on:
-            self.news.statuses.put(record.status.key)
+            self.disseminator.statuses.put(record.status.key)
         if record.status.health is Health.SUSPECT:
-            self.suspicions.hear(record.status, self._now())
+            self.suspicions.apply_status(record.status, self._now())
 
-    def _takes_address(self, member: Member, status: Status, address: str, sender: int) -> bool:
+    def _resolve_address_conflict(
+        self, member: Member, status: Status, address: str, sender: int
+    ) -> bool:
         """Settle which of two identities has a gossip address; return whether the new one does.
 
         Incarnations start at the wall clock, so the later process has the higher one; a process
@@ -521,24 +548,24 @@
         if holder is None:
             return True
         if status.incarnation <= holder.member.incarnation:
-            self.news.send_records(address, sender, [holder], self._now())
+            self.disseminator.send_records(address, sender, [holder], self._now())
             return False
         self.view.merge_status(attrs.evolve(holder.status(), health=Health.LEFT), self._now())
-        self.news.statuses.put(holder.key)
+        self.disseminator.statuses.put(holder.key)
         return True
 
-    def _defend_address(self, member: Member, status: Status) -> None:
+    def _resolve_own_address_conflict(self, member: Member, status: Status) -> None:
         if status.incarnation >= self.own.member.incarnation:
-            if self._now() - self.started > self.options.young_s:
-                self._stand_down(f"{member.node} has this node's gossip address")
+            if self._now() - self.started_at > self.options.startup_grace_s:
+                self._mark_superseded(f"{member.node} has this node's gossip address")
                 return
             self._set_own(status.incarnation + 1, self.own.declared, Health.ALIVE)
         self.view.add(member, attrs.evolve(status, health=Health.LEFT), self._now())
         self.view.by_address[member.gossip_address] = self.key
-        self.news.statuses.put(status.key)
+        self.disseminator.statuses.put(status.key)
 
 
-def _identity_of(record: Record) -> Member:
+def _decode_member(record: Record) -> Member:
     try:
         member = decode_identity(record.identity)
     except Exception as error:  # whatever the decoder raises, the datagram is at fault
@@ -548,5 +575,5 @@
     return member
 
 
-def _is_answered(entry: MemberEntry, claim: Status) -> bool:
+def _is_outdated(entry: MemberEntry, claim: Status) -> bool:
     return entry.health.is_gone or entry.member.incarnation > claim.incarnation
--- a/src/marjoramtide/membership/_news_queue.py
+++ b/src/marjoramtide/membership/_update_queue.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 
 
-class NewsQueue:
+class UpdateQueue:
     """Keys with the number of copies sent so far, the least told first.
 
     What is passed on is read from the view at the moment of sending, so a key stands here at most
@@ -35,12 +35,12 @@
         pairs = (pair for level in self.levels for pair in level.items())
         return (pair for pair, _ in zip(pairs, range(limit), strict=False))
 
-    def sent(self, keys: list[int], copies: int) -> None:
+    def sent(self, keys: list[int], retransmit_limit: int) -> None:
         """Count one more copy of each key; drop those told ``copies`` times."""
         for key in keys:
             level = self.level_of[key]
             accuser = self.levels[level].pop(key)
-            if level + 1 >= copies:
+            if level + 1 >= retransmit_limit:
                 del self.level_of[key]
                 continue
             if level + 1 == len(self.levels):
--- a/src/marjoramtide/membership/_view_filter.py
+++ b/src/marjoramtide/membership/_view_filter.py
@@ -7,7 +7,7 @@
 MIN_BYTES = 16
 MAX_BYTES = 900
 BITS_PER_MEMBER = 10
-HASHES = 4
+HASH_COUNT = 4
 
 
 class ViewFilter:
@@ -22,25 +22,25 @@
         self.data = data
         self.salt = salt
 
-    def contains(self, summand: int) -> bool:
+    def contains(self, state_hash: int) -> bool:
         """Tell whether the view probably holds the state with this hash."""
         return all(
             self.data[bit >> 3] >> (bit & 7) & 1
-            for bit in _bits(summand, self.salt, 8 * len(self.data))
+            for bit in _bits(state_hash, self.salt, 8 * len(self.data))
         )
 
 
-def make_filter(summands: Iterable[int], count: int, salt: int) -> ViewFilter:
+def make_filter(state_hashes: Iterable[int], count: int, salt: int) -> ViewFilter:
     """Return the filter of about ``count`` hashes."""
     size = min(MAX_BYTES, max(MIN_BYTES, count * BITS_PER_MEMBER // 8))
     data = bytearray(size)
-    for summand in summands:
-        for bit in _bits(summand, salt, 8 * size):
+    for state_hash in state_hashes:
+        for bit in _bits(state_hash, salt, 8 * size):
             data[bit >> 3] |= 1 << (bit & 7)
     return ViewFilter(bytes(data), salt)
 
 
-def _bits(summand: int, salt: int, size: int) -> list[int]:
-    mixed = xxhash.xxh3_64_intdigest(summand.to_bytes(8, "big"), salt)
+def _bits(state_hash: int, salt: int, size: int) -> list[int]:
+    mixed = xxhash.xxh3_64_intdigest(state_hash.to_bytes(8, "big"), salt)
     first, step = mixed & 0xFFFFFFFF, mixed >> 32 | 1
-    return [(first + number * step) % size for number in range(HASHES)]
+    return [(first + number * step) % size for number in range(HASH_COUNT)]
