--- a/src/marjoramtide/membership/_disseminator.py
+++ b/src/marjoramtide/membership/_disseminator.py
@@ -1,4 +1,4 @@
-"""Spreads news: piggybacked on probes, in gossip of its own, and on request."""
+"""Dissemination of membership updates: piggybacked on probes, by gossip and on request."""
 
 import random
 from collections import defaultdict
@@ -15,20 +15,20 @@
 from marjoramtide.membership._view_filter import ViewFilter, make_filter
 from marjoramtide.policy import TokenBucket
 
-# A datagram's 1200 bytes less its code (16), its header and the frames of its parts.
-PIGGYBACK_BYTES = 940
-STATUS_BYTES = 600
+# A datagram's 1200 bytes less the MAC (16 bytes), the header and the CBOR framing.
+PAYLOAD_BYTES = 940
+MAX_STATUS_BYTES = 600
 KEY_BYTES = 8
 REVISION_GROUP_BYTES = 90
 MAX_REQUESTED_KEYS = 100
 
 
 class Disseminator:
-    """Decides what news goes to whom.
+    """Selects the updates for each outgoing datagram.
 
-    A status is 23 to 32 bytes and names its member by key; a node that does not know the key asks
-    for the record once, so a whole record travels to each node once. Settings revisions travel
-    grouped, 8 bytes for each member, since after a change all members report the same one.
+    A status takes 23 to 32 bytes and refers to its member by key. A node that does not know the key
+    requests the full record, so each record is sent to each node once. Settings revisions are
+    grouped, at 8 bytes per member, since after a change all members report the same one.
     """
 
     def __init__(
@@ -49,55 +49,55 @@
     def take_piggyback(
         self, recipient: MemberEntry | None = None
     ) -> tuple[list[Status], list[tuple[AppliedSettings, tuple[int, ...]]]]:
-        """Take the news for one datagram, the least told first.
+        """Take the updates for one datagram, the least transmitted first.
 
-        A member believed to be failing is told so first (Lifeguard's buddy system): it can refute
-        a suspicion only after it has heard of it.
+        A recipient that is suspect or dead is told so first (Lifeguard's buddy system), since it
+        can refute a suspicion only once it knows of it.
         """
         statuses = []
         if recipient is not None and recipient.health is not Health.ALIVE:
             statuses.append(recipient.status(self.sender.own.key))
-        statuses += self._take_statuses(STATUS_BYTES)
-        room = PIGGYBACK_BYTES - sum(status_size(status) for status in statuses)
-        return statuses, self._take_revisions(room)
+        statuses += self._take_statuses(MAX_STATUS_BYTES)
+        free_bytes = PAYLOAD_BYTES - sum(status_size(status) for status in statuses)
+        return statuses, self._take_revisions(free_bytes)
 
-    def _take_statuses(self, room: int) -> list[Status]:
+    def _take_statuses(self, free_bytes: int) -> list[Status]:
         taken = []
-        for key, accuser in self.statuses.peek(room // 23):
+        for key, accuser in self.statuses.peek(free_bytes // 23):
             status = self.view.entries[key].status(accuser)
-            room -= status_size(status)
-            if room < 0:
+            free_bytes -= status_size(status)
+            if free_bytes < 0:
                 break
             taken.append(status)
         retransmit_limit = self.options.retransmit_limit(
-            self.options.retransmit_factor, self.view.alive_count()
+            self.options.retransmit_factor, self.view.live_count()
         )
-        self.statuses.sent([status.key for status in taken], retransmit_limit)
+        self.statuses.mark_sent([status.key for status in taken], retransmit_limit)
         return taken
 
-    def _take_revisions(self, room: int) -> list[tuple[AppliedSettings, tuple[int, ...]]]:
+    def _take_revisions(self, free_bytes: int) -> list[tuple[AppliedSettings, tuple[int, ...]]]:
         groups: dict[AppliedSettings, list[int]] = defaultdict(list)
         taken = []
-        for key, _ in self.revisions.peek(room // KEY_BYTES):
+        for key, _ in self.revisions.peek(free_bytes // KEY_BYTES):
             settings = self.view.entries[key].settings()
-            room -= KEY_BYTES + (0 if settings in groups else REVISION_GROUP_BYTES)
-            if room < 0:
+            free_bytes -= KEY_BYTES + (0 if settings in groups else REVISION_GROUP_BYTES)
+            if free_bytes < 0:
                 break
             groups[settings].append(key)
             taken.append(key)
         retransmit_limit = self.options.retransmit_limit(
-            self.options.revision_retransmit_factor, self.view.alive_count()
+            self.options.revision_retransmit_factor, self.view.live_count()
         )
-        self.revisions.sent(taken, retransmit_limit)
+        self.revisions.mark_sent(taken, retransmit_limit)
         return [(settings, tuple(keys)) for settings, keys in groups.items()]
 
     def forget(self, key: int) -> None:
-        """Stop passing on news of a member."""
+        """Drop the queued updates about a member."""
         self.statuses.discard(key)
         self.revisions.discard(key)
 
     def gossip(self, now: float, fanout: int) -> None:
-        """Send waiting news to ``fanout`` members chosen at random, within the budget."""
+        """Send queued updates to ``fanout`` random members, within the gossip budget."""
         for _ in range(fanout):
             if self.is_idle():
                 return
@@ -115,33 +115,34 @@
 
     def _expected_bytes(self) -> int:
         waiting = 30 * len(self.statuses) + KEY_BYTES * len(self.revisions)
-        return 150 + min(PIGGYBACK_BYTES, waiting)
+        return 150 + min(PAYLOAD_BYTES, waiting)
 
     def random_peer(self) -> MemberEntry | None:
-        """Return a member other than this node that is not known to be dead."""
+        """Return a random other member that is not dead, or ``None`` if there is none."""
         return self.view.peer_sampler(self.sender.own).choose(self.rng)
 
     def view_filter(self, salt: int) -> ViewFilter:
-        """Return a summary of this node's view, for another node to compare."""
+        """Return a Bloom filter of this node's view, for another node to compare with its own."""
         live = self.view.live()
         return make_filter((entry.state_hash for entry in live), len(live), salt)
 
-    def entries_differing_from(self, found: ViewFilter) -> list[MemberEntry]:
-        """Return the entries that are news to the owner of a filter, in random order.
+    def entries_differing_from(self, remote_filter: ViewFilter) -> list[MemberEntry]:
+        """Return the entries that the sender of a filter lacks or holds outdated.
 
-        Of members that run, those that it lacks; of members that are gone, those that it holds to
-        run. The former come first, since a joining node can't do without them.
+        These are the live members missing from the filter, then the members that are gone but live
+        in the filter, each in random order. Live members come first, since a joining node needs
+        them most.
         """
-        lacking, outdated = [], []
+        missing, outdated = [], []
         for entry in self.view.entries.values():
-            held = found.contains(entry.state_hash)
-            if entry.health.is_gone and held:
+            is_contained = remote_filter.contains(entry.state_hash)
+            if entry.health.is_gone and is_contained:
                 outdated.append(entry)
-            elif not entry.health.is_gone and not held:
-                lacking.append(entry)
-        self.rng.shuffle(lacking)
+            elif not entry.health.is_gone and not is_contained:
+                missing.append(entry)
+        self.rng.shuffle(missing)
         self.rng.shuffle(outdated)
-        return lacking + outdated
+        return missing + outdated
 
     def send_records(
         self,
@@ -152,9 +153,9 @@
         *,
         requested: bool = False,
     ) -> None:
-        """Send whole records in a bounded number of datagrams, within the budget of answers.
+        """Send full records in a bounded number of datagrams, within the reply budget.
 
-        ``asked_for`` marks the answer to a request for these very records.
+        ``requested`` marks a reply to a request for exactly these records.
         """
         batches = _batches([entry.record() for entry in entries])
         for _, batch in zip(range(self.options.max_record_datagrams), batches, strict=False):
@@ -167,13 +168,13 @@
 
 def _batches(records: list[Record]) -> Iterator[list[Record]]:
     batch: list[Record] = []
-    room = PIGGYBACK_BYTES
+    free_bytes = PAYLOAD_BYTES
     for record in records:
         size = record_size(record)
-        if size > room and batch:
+        if size > free_bytes and batch:
             yield batch
-            batch, room = [], PIGGYBACK_BYTES
+            batch, free_bytes = [], PAYLOAD_BYTES
         batch.append(record)
-        room -= size
+        free_bytes -= size
     if batch:
         yield batch
--- a/src/marjoramtide/membership/_failure_detector.py
+++ b/src/marjoramtide/membership/_failure_detector.py
@@ -1,4 +1,4 @@
-"""Probes members one after another and through helpers."""
+"""The SWIM failure detector: direct and indirect probes."""
 
 import random
 from collections.abc import Callable
@@ -14,15 +14,17 @@
 from marjoramtide.membership._swim_options import SwimOptions
 
 MAX_PROBES = 64
-MAX_RELAYS = 256
-NACK_SHARE = 0.8
+MAX_RELAYED_PROBES = 256
+# A helper sends its nack at this share of the probe timeout, before the requester's probe fails.
+NACK_TIMEOUT_RATIO = 0.8
 
 
 class FailureDetector:
-    """SWIM's probing (Das et al., 2002): round robin over a shuffled list, so that each member is
-    probed within one round, with ``indirect_probes`` helpers before a probe counts as failed.
+    """SWIM's failure detector (Das et al., 2002).
 
-    ``accuse`` is called with each member whose probe failed.
+    Members are probed round robin over a shuffled list. If a member doesn't ack in time,
+    ``options.indirect_probes`` helpers probe it too before the probe fails. ``on_probe_failed`` is
+    called with each member whose probe failed.
     """
 
     def __init__(
@@ -52,21 +54,21 @@
         self.next_dead_probe_at = 0.0
 
     def reset(self, now: float) -> None:
-        """Forget all probes under way: their answers can't be told from missed ones."""
+        """Drop all pending probes, whose acks may have been missed during a freeze."""
         self.probes.clear()
         self.active_targets.clear()
         self.relayed_probes.clear()
         self.next_probe_at = now
-        self.local_health.score = self.local_health.limit
+        self.local_health.score = self.local_health.max_score
 
-    def postpone(self, gap: float) -> None:
-        """Give the probes under way more time."""
+    def postpone(self, delay_s: float) -> None:
+        """Extend the timeouts of all pending probes."""
         for probe in self.probes.values():
-            probe.indirect_at += gap
-            probe.fails_at += gap
+            probe.indirect_at += delay_s
+            probe.fails_at += delay_s
 
     def tick(self, now: float) -> None:
-        """Bring probes under way on and start the next one."""
+        """Handle probe timeouts and start the probes that are due."""
         self._expire_relayed_probes(now)
         for number, probe in list(self.probes.items()):
             if now >= probe.fails_at:
@@ -84,7 +86,7 @@
             self._ping_dead_member()
 
     def probe(self, entry: MemberEntry, now: float) -> None:
-        """Start a probe of a member, unless one is under way."""
+        """Start a probe of a member, unless one is pending."""
         if entry.key in self.active_targets or len(self.probes) >= MAX_PROBES:
             return
         timeout_multiplier = self.local_health.multiplier
@@ -99,7 +101,7 @@
         self.ping(entry, number)
 
     def ping(self, entry: MemberEntry, number: int) -> None:
-        """Send one ping with news on it."""
+        """Send one ping with piggybacked updates."""
         statuses, revisions = self.disseminator.take_piggyback(entry)
         self.sender.send(
             PacketKind.PING,
@@ -111,43 +113,43 @@
         )
 
     def next_number(self) -> int:
-        """Return a number for a probe; numbers rise, so that an old answer can be told."""
+        """Return the next probe number; numbers increase, so that late acks can be recognized."""
         self.last_number += 1
         return self.last_number
 
     def on_ack(self, packet: Packet, now: float) -> bool:
-        """Take a confirmation; return whether it answers a probe of this node."""
-        relay = self.relayed_probes.pop(packet.number, None)
-        if relay is not None and relay.target == packet.sender:
-            self._reply_to_requester(PacketKind.ACK, relay)
+        """Handle an ack; return whether it matches a pending probe."""
+        relayed = self.relayed_probes.pop(packet.number, None)
+        if relayed is not None and relayed.target == packet.sender:
+            self._reply_to_requester(PacketKind.ACK, relayed)
             return True
         probe = self.probes.get(packet.number)
         if probe is None or packet.sender not in (probe.target, *probe.helpers):
             return False
         self._remove_probe(packet.number, probe)
-        self.local_health.add(-1)
+        self.local_health.adjust(-1)
         entry = self.view.entries.get(probe.target)
         if entry is not None:
             self.view.set_locally_suspect(entry, False, now)
         return True
 
     def on_nack(self, packet: Packet) -> None:
-        """Take a helper's word that it could not reach the target either."""
+        """Handle a helper's reply that it could not reach the target either."""
         probe = self.probes.get(packet.number)
         if probe is not None:
             probe.silent_helpers.discard(packet.sender)
 
     def on_ping_request(self, packet: Packet, now: float) -> None:
-        """Probe a member for another node."""
+        """Probe a member on behalf of another node."""
         entry = self.view.entries.get(packet.keys[0]) if packet.keys else None
-        if entry is None or len(self.relayed_probes) >= MAX_RELAYS:
+        if entry is None or len(self.relayed_probes) >= MAX_RELAYED_PROBES:
             return
         number = self.next_number()
         self.relayed_probes[number] = RelayedProbe(
             requester=packet.sender,
             number=packet.number,
             target=entry.key,
-            expires_at=now + self.options.probe_timeout_s * NACK_SHARE,
+            expires_at=now + self.options.probe_timeout_s * NACK_TIMEOUT_RATIO,
         )
         self.ping(entry, number)
 
@@ -161,9 +163,9 @@
         return None
 
     def _ping_dead_member(self) -> None:
-        # Without this a region that was cut off stays "dead" for the other one for ever after the
-        # link is back, since neither side probes the dead. One datagram at a time is enough: a
-        # single answer lets the two sides compare their views.
+        # Without this, two regions that were partitioned would hold each other as dead forever,
+        # since dead members aren't probed. One ping at a time is enough: a single ack makes the two
+        # sides compare their views.
         dead = [entry for entry in self.view.gone.values() if entry.can_return()]
         if dead:
             self.ping(self.rng.choice(dead), self.next_number())
@@ -191,28 +193,28 @@
     def _fail_probe(self, number: int, probe: Probe) -> None:
         self._remove_probe(number, probe)
         self.counters.failed_probes += 1
-        # Helpers that said nothing at all point at this node's own link or load; helpers that
-        # answered that they could not reach the target either point at the target.
-        self.local_health.add(len(probe.silent_helpers) if probe.helpers else 1)
+        # Silent helpers indicate a problem of this node's own link or load; helpers that sent a
+        # nack indicate a failure of the target.
+        self.local_health.adjust(len(probe.silent_helpers) if probe.helpers else 1)
         entry = self.view.entries.get(probe.target)
         if entry is not None and not entry.health.is_gone:
             self.on_probe_failed(entry)
             sampler = self.view.peer_sampler(self.sender.own)
-            self.probe_order += sampler.in_same_data_centre(entry.member, self.rng)
+            self.probe_order += sampler.keys_in_data_centre_of(entry.member, self.rng)
 
     def _remove_probe(self, number: int, probe: Probe) -> None:
         del self.probes[number]
         self.active_targets.discard(probe.target)
 
     def _expire_relayed_probes(self, now: float) -> None:
-        for number, relay in list(self.relayed_probes.items()):
-            if now >= relay.expires_at:
+        for number, relayed in list(self.relayed_probes.items()):
+            if now >= relayed.expires_at:
                 del self.relayed_probes[number]
-                self._reply_to_requester(PacketKind.NACK, relay)
+                self._reply_to_requester(PacketKind.NACK, relayed)
 
-    def _reply_to_requester(self, kind: PacketKind, relay: RelayedProbe) -> None:
-        requester = self.view.entries.get(relay.requester)
+    def _reply_to_requester(self, kind: PacketKind, relayed: RelayedProbe) -> None:
+        requester = self.view.entries.get(relayed.requester)
         if requester is not None:
             self.sender.send(
-                kind, requester.member.gossip_address, requester.key, number=relay.number
+                kind, requester.member.gossip_address, requester.key, number=relayed.number
             )
--- a/src/marjoramtide/membership/_health.py
+++ b/src/marjoramtide/membership/_health.py
@@ -1,13 +1,13 @@
-"""What others say of a member."""
+"""The health of a member as the failure detector sees it."""
 
 from enum import IntEnum
 
 
 class Health(IntEnum):
-    """How sure the fleet is that a member runs; at one incarnation the larger value wins.
+    """SWIM's alive, suspect and dead; at the same incarnation the larger value overrides.
 
-    ``LEFT`` is final for an identity: the member said goodbye, or another process has taken its
-    addresses. ``DEAD`` is not: the member itself may refute it with a higher incarnation.
+    ``LEFT`` is final for an identity: the member left as planned, or another process has taken its
+    addresses. ``DEAD`` can be refuted by the member itself with a higher incarnation.
     """
 
     ALIVE = 0
--- a/src/marjoramtide/membership/_identity.py
+++ b/src/marjoramtide/membership/_identity.py
@@ -1,4 +1,4 @@
-"""The part of a member record that never changes, and the key made from it."""
+"""The immutable part of a member record, and the member key."""
 
 import hashlib
 import sys
@@ -13,7 +13,7 @@
 
 @lru_cache(maxsize=4096)
 def member_key(node: str) -> int:
-    """Return the 64-bit key that stands for a node's identity in datagrams; never 0."""
+    """Return the 64-bit hash that identifies a node in datagrams; never 0."""
     return int.from_bytes(hashlib.blake2b(node.encode(), digest_size=8).digest(), "big") | 1
 
 
@@ -33,7 +33,7 @@
 
 
 def decode_identity(identity: bytes) -> Member:
-    """Return a member with the identity and addresses given; raises ``ValueError``."""
+    """Return the member with this encoded identity; raises ``ValueError``."""
     fields: Any = cbor2.loads(identity)
     if not isinstance(fields, list) or len(fields) != 7:
         raise ValueError("an identity has seven fields")
@@ -41,7 +41,7 @@
         raise ValueError("the fields of an identity are text and not empty")
     for address in fields[4:]:
         parse_address(address)
-    # Services, regions and data centres repeat over the fleet: one string each saves memory.
+    # Names of services, regions and data centres repeat across the fleet; interning saves memory.
     node, service, region, data_centre, *addresses = fields
     shared: list[Any] = [sys.intern(text) for text in (service, region, data_centre)]
     return Member(node, *shared, *addresses)
--- a/src/marjoramtide/membership/_local_health.py
+++ b/src/marjoramtide/membership/_local_health.py
@@ -1,4 +1,4 @@
-"""How healthy this node itself is."""
+"""Lifeguard's local health score."""
 
 import attrs
 
@@ -7,15 +7,16 @@
 class LocalHealth:
     """Local health multiplier (Lifeguard, 2018, section IV-A).
 
-    Failed probes and missing answers of helpers are signs that this node is the slow one: it then
-    probes more slowly and waits longer, so that an overloaded node does not accuse healthy ones.
+    Failed probes, missing nacks of helpers and suspicions of this node indicate that this node
+    itself is slow. It then probes less often and with longer timeouts, so that an overloaded node
+    does not suspect healthy members.
     """
 
-    limit: int
+    max_score: int
     score: int = 0
 
-    def add(self, delta: int) -> None:
-        self.score = min(self.limit, max(0, self.score + delta))
+    def adjust(self, delta: int) -> None:
+        self.score = min(self.max_score, max(0, self.score + delta))
 
     @property
     def multiplier(self) -> int:
--- a/src/marjoramtide/membership/_member.py
+++ b/src/marjoramtide/membership/_member.py
@@ -1,4 +1,4 @@
-"""What is known of one node."""
+"""The public record of one member."""
 
 import attrs
 
@@ -7,11 +7,12 @@
 
 @attrs.frozen(slots=True)
 class Member:
-    """A node as it announced itself, with what others found out since.
+    """A node's identity and addresses, with its state in this node's view.
 
-    ``node`` is the identity of one run of the process: a replacement under the same addresses has
-    a new one. Addresses are ``IP:PORT``. ``incarnation`` is raised by the member itself alone, to
-    refute a suspicion. ``revision`` and ``digest`` name the settings it has in force.
+    ``node`` identifies one run of the process; a replacement under the same addresses has another
+    one. Addresses are ``IP:PORT``. Only the member itself raises its ``incarnation``, to change its
+    state or to refute a suspicion. ``revision`` and ``digest`` identify the settings it has in
+    force.
     """
 
     node: str
--- a/src/marjoramtide/membership/_member_entry.py
+++ b/src/marjoramtide/membership/_member_entry.py
@@ -1,4 +1,4 @@
-"""One row of a node's view."""
+"""One member in a node's view."""
 
 import attrs
 import xxhash
@@ -13,11 +13,12 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class MemberEntry:
-    """What this node holds about one member.
+    """What this node knows of one member.
 
-    ``member`` is the record that other parts of the node read. ``doubted`` is this node's own
-    passive sign of failure; it is not passed on. ``gone_at`` is when the member was believed dead.
-    ``counted`` is its part in the digest of the view.
+    ``member`` is the public record and ``identity`` its encoded immutable part. ``declared`` is the
+    state that the member itself announced. ``is_locally_suspect`` is set after a failure that this
+    node observed passively; it isn't gossiped. ``gone_at`` is when the member became dead or left.
+    ``digest_contribution`` is the hash that it adds to the digest of the view.
     """
 
     member: Member
@@ -47,28 +48,28 @@
         return Record(self.identity, self.status(), self.settings())
 
     def can_return(self) -> bool:
-        """Tell whether a member that is gone may come back under this identity."""
+        """Return whether a member that is gone may return under this identity."""
         return self.health is Health.DEAD
 
     def visible_state(self) -> MemberState:
-        """Return the state that other parts act on.
+        """Return the state shown to the rest of the node.
 
-        A member that is draining stays so under suspicion: ``suspect`` still takes work.
+        A draining member stays draining under suspicion, since ``suspect`` members accept requests.
         """
         if self.health.is_gone:
             return MemberState.DEAD
-        doubtful = self.health is Health.SUSPECT or self.is_locally_suspect
+        is_suspect = self.health is Health.SUSPECT or self.is_locally_suspect
         return (
             MemberState.SUSPECT
-            if doubtful and self.declared is MemberState.READY
+            if is_suspect and self.declared is MemberState.READY
             else self.declared
         )
 
     def update_state_hash(self) -> None:
-        """Recompute ``summand``, the hash of what this node holds of a member that runs.
+        """Recompute ``state_hash`` from the member's last live state.
 
-        Suspicion is left out, being short-lived. A member that is gone keeps the hash of the state
-        in which it was last held to run, so that it can be told who still holds it so.
+        Suspicion is short-lived and left out. The hash of a member that is gone stays that of its
+        last live state, which shows whose view still holds it as live.
         """
         member = self.member
         text = f"{self.key},{member.incarnation},{self.declared},{member.revision}"
@@ -76,7 +77,7 @@
 
 
 def make_entry(member: Member, declared: MemberState, health: Health) -> MemberEntry:
-    """Return the entry of a member heard of for the first time."""
+    """Return the entry of a new member."""
     entry = MemberEntry(
         member=member,
         key=member_key(member.node),
--- a/src/marjoramtide/membership/_member_state.py
+++ b/src/marjoramtide/membership/_member_state.py
@@ -4,7 +4,7 @@
 
 
 class MemberState(StrEnum):
-    """What a member says of itself, or what others say of it (``suspect``, ``dead``)."""
+    """A state declared by the member itself, or by others (``suspect``, ``dead``)."""
 
     STARTING = "starting"
     READY = "ready"
@@ -14,5 +14,5 @@
     DEAD = "dead"
 
     def accepts_requests(self) -> bool:
-        """Tell whether new requests may be sent to a member in this state."""
+        """Return whether new requests may be sent to a member in this state."""
         return self in (MemberState.READY, MemberState.SUSPECT)
--- a/src/marjoramtide/membership/_member_view.py
+++ b/src/marjoramtide/membership/_member_view.py
@@ -1,4 +1,4 @@
-"""All members a node knows, and the rules by which news changes them."""
+"""A node's view of the membership, and the rules for merging updates."""
 
 from collections import defaultdict
 
@@ -12,11 +12,12 @@
 
 
 class MemberView:
-    """The members by key, with what is derived from them.
+    """The known members by key, with indexes and cached lists.
 
-    News is merged so that the order and number of its arrivals does not matter: ``LEFT`` is final,
-    else the higher incarnation wins, else the graver health; the settings revision only rises.
-    ``members_of`` answers from a list that is rebuilt only after a member of the service changed.
+    Members that are dead or have left are "gone"; all others, suspects included, are "live".
+    Merging is idempotent and doesn't depend on the order of updates: ``LEFT`` is final, otherwise
+    the higher incarnation wins, then the larger health; the settings revision only increases.
+    ``members_of`` returns a cached list that is rebuilt only after a member of the service changed.
     """
 
     def __init__(self) -> None:
@@ -30,16 +31,16 @@
         self.available_cache: dict[str, list[Member]] = {}
         self.members_cache: list[Member] | None = None
         self.live_cache: list[MemberEntry] | None = None
-        self.cached_sampler: PeerSampler | None = None
+        self.sampler_cache: PeerSampler | None = None
         self.evacuated: frozenset[str] = frozenset()
 
     def set_evacuated(self, data_centres: frozenset[str]) -> None:
-        """Have members in these data centres take no work, whatever they say of themselves."""
+        """Exclude members in these data centres from ``members_of``, whatever their state."""
         self.evacuated = data_centres
         self.available_cache.clear()
 
     def add(self, member: Member, status: Status, now: float) -> MemberEntry:
-        """Add a member that is not known yet."""
+        """Add a new member."""
         entry = make_entry(
             attrs.evolve(member, incarnation=status.incarnation), status.declared, status.health
         )
@@ -51,7 +52,7 @@
         return entry
 
     def merge_status(self, status: Status, now: float) -> bool:
-        """Apply a status of a known member; return whether it was news."""
+        """Merge the status of a known member; return whether it changed the view."""
         entry = self.entries[status.key]
         if not _supersedes(status, entry):
             return False
@@ -63,7 +64,7 @@
         return True
 
     def merge_settings(self, key: int, settings: AppliedSettings, now: float) -> bool:
-        """Apply the settings that a known member has in force; return whether it was news."""
+        """Merge the settings in force at a known member; return whether they changed the view."""
         entry = self.entries[key]
         if settings.revision <= entry.member.revision:
             return False
@@ -74,13 +75,13 @@
         return True
 
     def set_locally_suspect(self, entry: MemberEntry, is_locally_suspect: bool, now: float) -> None:
-        """Set or clear this node's own passive sign of failure."""
+        """Set or clear the local suspicion after a failure that this node observed passively."""
         if entry.is_locally_suspect is not is_locally_suspect:
             entry.is_locally_suspect = is_locally_suspect
             self._on_entry_changed(entry, now)
 
     def remove(self, key: int) -> None:
-        """Drop an entry without a trace."""
+        """Remove a member from the view entirely."""
         entry = self.entries.pop(key)
         self.gone.pop(key, None)
         self.suspects.pop(key, None)
@@ -92,42 +93,42 @@
         self._invalidate_caches(entry)
 
     def members(self) -> list[Member]:
-        """Return all members that are not known to be dead."""
+        """Return all live members."""
         if self.members_cache is None:
             self.members_cache = [entry.member for entry in self.live()]
         return self.members_cache
 
     def members_of(self, service: str) -> list[Member]:
-        """Return the members of a service that may take work."""
-        found = self.available_cache.get(service)
-        if found is None:
+        """Return the members of a service that accept requests."""
+        available = self.available_cache.get(service)
+        if available is None:
             entries = self.by_service[service].values() if service in self.by_service else ()
-            found = [
+            available = [
                 entry.member
                 for entry in entries
                 if entry.member.state.accepts_requests()
                 and entry.member.data_centre not in self.evacuated
             ]
             if service in self.by_service:
-                self.available_cache[service] = found
-        return found
+                self.available_cache[service] = available
+        return available
 
-    def alive_count(self) -> int:
+    def live_count(self) -> int:
         return len(self.entries) - len(self.gone)
 
     def live(self) -> list[MemberEntry]:
-        """Return the entries that are not gone, to choose from."""
+        """Return the entries of all live members."""
         if self.live_cache is None:
-            self.cached_sampler = None
+            self.sampler_cache = None
             self.live_cache = [entry for entry in self.entries.values() if not entry.health.is_gone]
         return self.live_cache
 
     def peer_sampler(self, own: MemberEntry) -> PeerSampler:
-        """Return the live entries but one's own, apart by whether they share its data centre."""
-        if self.live_cache is None or self.cached_sampler is None:
+        """Return a sampler of the live members other than ``own``."""
+        if self.live_cache is None or self.sampler_cache is None:
             others = [entry for entry in self.live() if entry is not own]
-            self.cached_sampler = make_peer_sampler(others, own.member)
-        return self.cached_sampler
+            self.sampler_cache = make_peer_sampler(others, own.member)
+        return self.sampler_cache
 
     def _on_entry_changed(self, entry: MemberEntry, now: float) -> None:
         key = entry.key
@@ -151,8 +152,8 @@
         self.changes.append(entry.member)
 
     def _update_digest(self, entry: MemberEntry) -> None:
-        # Members that are gone don't count: nodes forget them at different moments, which is no
-        # difference worth pulling for.
+        # Members that are gone are left out of the digest: nodes drop them at different times, and
+        # such a difference doesn't need a sync.
         self.digest ^= entry.digest_contribution
         entry.update_state_hash()
         entry.digest_contribution = 0 if entry.health.is_gone else entry.state_hash
@@ -164,8 +165,8 @@
 
 
 def _supersedes(status: Status, entry: MemberEntry) -> bool:
-    # An identity that left, or whose addresses another process took, never returns: a late
-    # "alive" about it would send requests to whoever has its addresses now.
+    # An identity that left, or whose addresses another process has taken, never returns: a late
+    # "alive" update would send requests to the process that has the addresses now.
     if entry.health is Health.LEFT:
         return False
     if status.health is Health.LEFT:
--- a/src/marjoramtide/membership/_membership_event.py
+++ b/src/marjoramtide/membership/_membership_event.py
@@ -1,4 +1,4 @@
-"""What the protocol tells the rest of the node."""
+"""Events of the membership protocol."""
 
 from enum import StrEnum
 
@@ -6,7 +6,7 @@
 
 
 class EventKind(StrEnum):
-    """Things about this node itself that are worth a log line."""
+    """Events that concern this node itself and are logged."""
 
     JOINED = "joined"
     REFUTED = "refuted"
--- a/src/marjoramtide/membership/_membership_service.py
+++ b/src/marjoramtide/membership/_membership_service.py
@@ -67,7 +67,7 @@
             clock,
             rng,
             lambda: self.self_member,
-            core.view.alive_count,
+            core.view.live_count,
             self._on_announcements,
         )
         store.on_epoch(self.announcer.on_store_epoch)
--- a/src/marjoramtide/membership/_peer_sampler.py
+++ b/src/marjoramtide/membership/_peer_sampler.py
@@ -1,4 +1,4 @@
-"""Whom a node gossips with and probes: mostly members of its own data centre."""
+"""Selection of gossip and probe targets, mostly in the node's own data centre."""
 
 import random
 from collections.abc import Iterable
@@ -9,19 +9,19 @@
 from marjoramtide.membership._member import Member
 from marjoramtide.membership._member_entry import MemberEntry
 
-# The share of datagrams that leave the data centre where it has members enough. Among five data
-# centres of 39 nodes a choice without regard to place sends 80 in 100 across, where bytes are dear.
-# One in four is enough: a piece of news leaves each data centre with each of some forty nodes that
-# pass it on, and a data centre that is lost as a whole is still probed from all the others.
+# Share of datagrams sent to other data centres. With five data centres of 39 nodes, uniform choice
+# sends 80 % of the datagrams across links where bytes are expensive. 25 % is enough: an update
+# leaves its data centre from each of some forty nodes that gossip it, and a data centre that fails
+# as a whole is still probed from all the others.
 REMOTE_SHARE = 0.25
-# Members of the own data centre below which place does not matter. Among fewer the same ones would
-# be told the same news again.
+# With fewer local peers the choice is uniform, since the same few peers would receive the same
+# updates again.
 MIN_LOCAL_PEERS = 8
 
 
 @attrs.frozen(slots=True)
 class PeerSampler:
-    """The other live members, those of the own data centre apart from the rest."""
+    """Samples the other live members, with a preference for those in the node's data centre."""
 
     local: list[MemberEntry]
     remote: list[MemberEntry]
@@ -31,20 +31,22 @@
         return len(self.local) >= MIN_LOCAL_PEERS and bool(self.remote)
 
     def choose(self, rng: random.Random) -> MemberEntry | None:
-        """Return one at random, ``None`` where there is no other."""
+        """Return a random peer, or ``None`` if there is none."""
         if self.prefers_local:
             return rng.choice(self.remote if rng.random() < REMOTE_SHARE else self.local)
         others = len(self.local) + len(self.remote)
         if not others:
             return None
         index = rng.randrange(others)
-        return self.local[index] if index < len(self.local) else self.remote[index - len(self.local)]
+        return (
+            self.local[index] if index < len(self.local) else self.remote[index - len(self.local)]
+        )
 
     def probe_round(self, rng: random.Random) -> list[int]:
-        """Return the keys of whom to probe, one after another, in random order.
+        """Return the keys of the members to probe in one round, in random order.
 
-        All of the own data centre, so that each of these is probed in each round, and as many of
-        the others as make ``FAR_SHARE`` of the round.
+        These are all local members, so that each is probed in every round, and a sample of the
+        remote ones that makes up ``REMOTE_SHARE`` of the round.
         """
         remote = self.remote
         if self.prefers_local:
@@ -54,12 +56,12 @@
         rng.shuffle(keys)
         return keys
 
-    def in_same_data_centre(self, failing: Member, rng: random.Random) -> list[int]:
-        """Return whom to probe next where a member of another data centre doesn't answer.
+    def keys_in_data_centre_of(self, failing: Member, rng: random.Random) -> list[int]:
+        """Return the keys of the other members in a remote data centre where a probe failed.
 
-        Failure: a data centre is lost as a whole. Probed by one datagram in four, twenty of its
-        members are held to run for 12 s and more, and requests are sent there. They are probed one
-        after another once one of them has failed.
+        They are probed next, one after another. If a whole data centre of twenty members fails and
+        is only probed at its usual share of one datagram in four, its members stay alive in the
+        view for 12 s and more, and requests are sent to them.
         """
         if not self.prefers_local:
             return []
@@ -73,7 +75,7 @@
 
 
 def make_peer_sampler(others: Iterable[MemberEntry], own: Member) -> PeerSampler:
-    """Sort members by whether they share ``own``'s data centre."""
+    """Return a sampler that takes the members in ``own``'s data centre as local."""
     sampler = PeerSampler([], [])
     for entry in others:
         is_local = entry.member.data_centre == own.data_centre
--- a/src/marjoramtide/membership/_probe.py
+++ b/src/marjoramtide/membership/_probe.py
@@ -1,14 +1,14 @@
-"""A probe under way."""
+"""Probes that wait for an ack."""
 
 import attrs
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Probe:
-    """A question to one member, direct first and through helpers after ``indirect_at``.
+    """A probe of one member, direct at first and through helpers from ``indirect_at`` on.
 
-    Times are in seconds of the monotonic clock. ``missing`` are the helpers that have neither
-    confirmed the target nor said that they could not reach it.
+    Times are in seconds of the monotonic clock. ``silent_helpers`` are the helpers that have sent
+    neither an ack nor a nack.
     """
 
     target: int
@@ -21,7 +21,7 @@
 
 @attrs.frozen(slots=True)
 class RelayedProbe:
-    """A probe made for another member: whom to tell, under which number, until when."""
+    """A probe that this node makes as a helper; ``number`` is the probe number of the requester."""
 
     requester: int
     number: int
--- a/src/marjoramtide/membership/_suspicion.py
+++ b/src/marjoramtide/membership/_suspicion.py
@@ -1,4 +1,4 @@
-"""A suspicion against a member, until it is refuted or believed."""
+"""The timer of one suspicion."""
 
 import math
 
@@ -7,10 +7,10 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Suspicion:
-    """A timer that gets shorter with each independent accuser (Lifeguard, 2018, section IV-B).
+    """A timeout that shrinks with each independent accuser (Lifeguard, 2018, section IV-B).
 
-    A lone accuser may itself be the slow one, so its word alone takes ``longest_s``; with
-    ``confirmations`` further accusers the time falls to ``shortest_s``.
+    A single accuser may itself be the slow node, so the timeout starts at ``longest_s``; with
+    ``confirmations`` further accusers it falls to ``shortest_s``.
     """
 
     started_at: float
@@ -20,7 +20,7 @@
     accusers: set[int] = attrs.field(factory=set)
 
     def confirm(self, accuser: int) -> bool:
-        """Add an accuser; return whether its word is news worth passing on."""
+        """Add an accuser; return whether its suspicion should be gossiped."""
         if accuser in self.accusers or len(self.accusers) > self.confirmations:
             return False
         self.accusers.add(accuser)
@@ -28,10 +28,10 @@
 
     @property
     def deadline(self) -> float:
-        """Return when the suspicion is believed, in seconds of the monotonic clock."""
-        if self.confirmations < 1:  # too few members for a second accuser
+        """Return when the member is declared dead, in seconds of the monotonic clock."""
+        if self.confirmations < 1:  # the fleet is too small for a second accuser
             return self.started_at + self.shortest_s
-        extra = max(0, len(self.accusers) - 1)
-        share = math.log(extra + 1) / math.log(self.confirmations + 1)
-        wait = self.longest_s - (self.longest_s - self.shortest_s) * share
-        return self.started_at + max(self.shortest_s, wait)
+        confirmed = max(0, len(self.accusers) - 1)
+        share = math.log(confirmed + 1) / math.log(self.confirmations + 1)
+        timeout_s = self.longest_s - (self.longest_s - self.shortest_s) * share
+        return self.started_at + max(self.shortest_s, timeout_s)
--- a/src/marjoramtide/membership/_suspicions.py
+++ b/src/marjoramtide/membership/_suspicions.py
@@ -1,4 +1,4 @@
-"""The suspicions that a node holds."""
+"""The suspicions in a node's view."""
 
 import attrs
 
@@ -11,7 +11,7 @@
 
 
 class Suspicions:
-    """Starts, confirms and ends suspicions, and passes them on."""
+    """Starts, confirms and expires suspicions, and queues them for dissemination."""
 
     def __init__(self, view: MemberView, disseminator: Disseminator, options: SwimOptions) -> None:
         self.view = view
@@ -19,19 +19,19 @@
         self.options = options
 
     def apply_status(self, status: Status, now: float) -> None:
-        """Take an accusation of a known member, this node's own or another's."""
+        """Merge a suspicion of a known member, raised by this node or another."""
         entry = self.view.entries[status.key]
         if self.view.merge_status(status, now):
             entry.suspicion = self._new_suspicion(now)
             self.disseminator.statuses.put(entry.key, status.accuser)
         if entry.suspicion is None or status.incarnation != entry.member.incarnation:
             return
-        # A suspicion that came with a whole record names no accuser: it is no further evidence.
+        # A suspicion in a full record names no accuser, so it doesn't count as a confirmation.
         if status.accuser and entry.suspicion.confirm(status.accuser):
             self.disseminator.statuses.put(entry.key, status.accuser)
 
-    def expire(self, now: float) -> None:
-        """Believe the suspicions that nobody refuted in time."""
+    def confirm_expired(self, now: float) -> None:
+        """Declare dead the members whose suspicions expired without a refutation."""
         due = [
             entry
             for entry in self.view.suspects.values()
@@ -41,24 +41,24 @@
             self.view.merge_status(attrs.evolve(entry.status(), health=Health.DEAD), now)
             self.disseminator.statuses.put(entry.key)
 
-    def postpone(self, gap: float) -> None:
-        """Give all suspicions more time."""
+    def postpone(self, delay_s: float) -> None:
+        """Extend the timeouts of all suspicions."""
         for entry in self.view.suspects.values():
             if entry.suspicion is not None:
-                entry.suspicion.started_at += gap
+                entry.suspicion.started_at += delay_s
 
     def restart_timers(self, now: float) -> None:
-        """Start the time of all suspicions now."""
+        """Restart the timeouts of all suspicions."""
         for entry in self.view.suspects.values():
             if entry.suspicion is not None:
                 entry.suspicion.started_at = now
 
     def _new_suspicion(self, now: float) -> Suspicion:
-        members = self.view.alive_count()
-        shortest = self.options.min_suspicion_timeout_s(members)
+        members = self.view.live_count()
+        shortest_s = self.options.min_suspicion_timeout_s(members)
         return Suspicion(
             started_at=now,
-            shortest_s=shortest,
-            longest_s=shortest * self.options.suspicion_max_ratio,
+            shortest_s=shortest_s,
+            longest_s=shortest_s * self.options.suspicion_max_ratio,
             confirmations=max(0, min(self.options.suspicion_confirmations, members - 3)),
         )
--- a/src/marjoramtide/membership/_swim_core.py
+++ b/src/marjoramtide/membership/_swim_core.py
@@ -1,4 +1,4 @@
-"""The membership protocol, without sockets, clocks or tasks."""
+"""The SWIM membership protocol as a state machine, without sockets, clocks or tasks."""
 
 import random
 
@@ -30,16 +30,16 @@
 MAX_CATCH_UP_S = 5.0
 SEEDS_PER_ATTEMPT = 3
 SEED_INTERVAL_S = 1.0
-# Between two tries of a node in its first second, also where it knows somebody: three datagrams of
-# 100 bytes each. The others of a fleet that starts at once come up within some tenths of a second.
-# Measured in memory, until all of 75 that come up within 0.2 s know all: 0.6 s in the middle of
-# eight runs and 0.7 s at worst; with the usual interval 1.25 s and 1.5 s.
+# Seeds are pinged more often in the first second, also by a node that knows other members: three
+# datagrams of 100 bytes each. The nodes of a fleet that starts at once come up within some tenths
+# of a second. 75 nodes that come up within 0.2 s all know each other after 0.6 s (median of eight
+# runs; 0.7 s at worst); with the usual interval after 1.25 s (1.5 s at worst).
 STARTUP_SEED_INTERVAL_S = 0.2
 STARTUP_S = 1.0
-# For how long after a member has gone its address is tried for a successor, and between two tries
-# of one node, in seconds. A process that is started again is up after a second or two.
-SUCCESSOR_SEARCH_S = 30.0
-SUCCESSOR_INTERVAL_S = 1.0
+# How long the address of a member that is gone is pinged for a new process, and how often by each
+# node. A restarted process is up after a second or two.
+VACATED_SEARCH_S = 30.0
+VACATED_PING_INTERVAL_S = 1.0
 RECORD_REQUEST_INTERVAL_S = 0.5
 MAX_DIGEST_MISMATCH_S = 5.0
 URGENT_FANOUT = 4
@@ -50,12 +50,12 @@
 
 
 class SwimCore:
-    """SWIM (Das et al., 2002) with Lifeguard's additions (Dadgar et al., 2018).
+    """SWIM (Das et al., 2002) with the Lifeguard extensions (Dadgar et al., 2018).
 
-    The owner feeds datagrams to ``receive`` and calls ``tick`` every ``options.tick_s``, both with
-    the monotonic and the wall clock in seconds, then sends what ``drain`` returns. ``events`` and
-    ``view.changes`` tell what happened; the owner empties them. Nothing raises on bad input: it is
-    counted in ``counters.dropped``.
+    The caller passes datagrams to ``receive`` and calls ``tick`` every ``options.tick_s``, both
+    with the monotonic and the wall clock in seconds, then sends what ``drain`` returns. The caller
+    also consumes and clears ``events``, ``dropped_datagrams`` and ``view.changes``. Invalid
+    datagrams raise nothing; they are counted in ``counters.dropped``.
     """
 
     def __init__(
@@ -98,46 +98,46 @@
         self.last_match_at = 0.0
         self.last_sync_at = 0.0
         self.last_seed_at = -SEED_INTERVAL_S
-        self.next_successor_at = 0.0
+        self.next_vacated_ping_at = 0.0
         self.last_housekeeping_at = 0.0
-        # While learning, this node has no fresh view of its own and accuses nobody.
+        # Until this node has caught up its view may be stale, so it suspects nobody.
         self.is_catching_up = True
         self.first_ack_at: float | None = None
         self.last_number_before_catch_up = self.detector.last_number
-        self.left = False
+        self.has_left = False
         self.is_superseded = False
 
-    # What the node asks for
+    # Commands of the node
 
     def add_seeds(self, addresses: list[str]) -> None:
-        """Set gossip addresses to try: some of them once, and on while no other member is known.
+        """Replace the seed addresses; some are pinged once, more while no other member is known.
 
-        Some are tried also by a node that others have found meanwhile. Otherwise a few nodes that
-        started first and found each other might stay apart from all that started later: at 790
-        members started at once, four did.
+        Some are pinged even if other members have found this node meanwhile. Otherwise the first
+        few nodes to start may find each other and stay partitioned from the rest: of 790 nodes
+        started at once, four did.
         """
         self.seeds = [item for item in addresses if item != self.own.member.gossip_address]
         self.has_untried_seeds = True
 
     def try_seeds_now(self, now: float, wall: float) -> None:
-        """Try seeds at once, where it is time for it, rather than at the next tick."""
+        """Ping seeds without waiting for the next tick, unless the seed interval has not passed."""
         self._advance(now, wall)
-        if not (self.left or self.is_superseded):
+        if not (self.has_left or self.is_superseded):
             self._ping_seeds(now)
 
     def ping_address(self, address: str) -> None:
-        """Ping whoever listens at a gossip address, to find a part of the fleet not yet known."""
+        """Ping any node listening at a gossip address, to discover members not yet known."""
         self.sender.send(PacketKind.PING, address, 0, number=self.detector.next_number())
 
     def set_state(self, state: MemberState) -> None:
-        """Change this node's own state and tell some members at once."""
-        if self.own.declared is state or self.left or self.is_superseded:
+        """Change this node's own state and gossip it to some members at once."""
+        if self.own.declared is state or self.has_left or self.is_superseded:
             return
         self._set_own(self.own.member.incarnation + 1, state, self.own.health)
         self.disseminator.gossip(self._now(), URGENT_FANOUT)
 
     def set_settings(self, revision: int, digest: str) -> None:
-        """Report the settings in force here; raises ``bad-settings`` for an overlong digest."""
+        """Announce the settings in force here; raises ``bad-settings`` for an overlong digest."""
         if len(digest) > MAX_DIGEST_CHARACTERS:
             raise MarjoramtideError(
                 ErrorCode.BAD_SETTINGS,
@@ -149,7 +149,7 @@
             self.disseminator.gossip(self._now(), self.options.gossip_fanout)
 
     def report_failure(self, node: str) -> None:
-        """Doubt a member on a passive sign and probe it now."""
+        """Suspect a member locally after a passively observed failure, and probe it now."""
         entry = self.view.entries.get(member_key(node))
         if entry is None or entry is self.own or entry.health.is_gone:
             return
@@ -157,9 +157,12 @@
         self.detector.probe(entry, self._now())
 
     def leave(self) -> None:
-        """Say goodbye to some members, who pass it on; may be called twice, for lost datagrams."""
-        if not self.left:
-            self.left = True
+        """Tell some members, which gossip it on, that this node leaves.
+
+        May be called twice, since datagrams can be lost.
+        """
+        if not self.has_left:
+            self.has_left = True
             self._set_own(self.own.member.incarnation + 1, MemberState.LEAVING, Health.LEFT)
         live = [entry for entry in self.view.live() if entry is not self.own]
         for entry in self.rng.sample(live, min(len(live), LEAVE_FANOUT)):
@@ -171,23 +174,23 @@
             )
 
     def drain(self) -> list[tuple[str, bytes]]:
-        """Return and forget the datagrams to send, each with its ``IP:PORT``."""
+        """Return and clear the outgoing datagrams, each with its destination ``IP:PORT``."""
         outbox, self.sender.outbox = self.sender.outbox, []
         return outbox
 
     # Time
 
     def tick(self, now: float, wall: float) -> None:
-        """Do what is due."""
+        """Run the timers that are due."""
         self._advance(now, wall)
-        if self.left or self.is_superseded:
+        if self.has_left or self.is_superseded:
             return
-        self.suspicions.expire(now)
+        self.suspicions.confirm_expired(now)
         self._verify_claims(now)
         self.detector.tick(now)
         self._continue_join(now)
-        if now >= self.next_successor_at:
-            self.next_successor_at = now + SUCCESSOR_INTERVAL_S * self.rng.uniform(0.5, 1.5)
+        if now >= self.next_vacated_ping_at:
+            self.next_vacated_ping_at = now + VACATED_PING_INTERVAL_S * self.rng.uniform(0.5, 1.5)
             self._ping_vacated_address(now)
         self.disseminator.gossip(now, self.options.gossip_fanout)
         if now - self.last_housekeeping_at > HOUSEKEEPING_INTERVAL_S:
@@ -199,7 +202,7 @@
     def _advance(self, now: float, wall: float) -> None:
         if self.now is None:
             self.started_at = self.last_match_at = self.last_housekeeping_at = now
-        elif now - self.now > self.options.freeze_threshold_s and not self.left:
+        elif now - self.now > self.options.freeze_threshold_s and not self.has_left:
             self._resume_after_freeze(now - self.now, now)
         elif now - self.now > STALL_THRESHOLD_S:
             self._postpone(now - self.now)
@@ -207,16 +210,16 @@
         self.wall = self.sender.wall = wall
 
     def _postpone(self, gap: float) -> None:
-        # A busy loop that came round late has answers waiting in its socket: a probe judged before
-        # they are read would accuse a healthy member.
+        # After a stall of the event loop, acks may wait unread in the socket. Failing the probes
+        # before they are read would suspect healthy members.
         self.detector.postpone(gap)
         self.suspicions.postpone(gap)
 
     def _resume_after_freeze(self, gap: float, now: float) -> None:
-        # A process that was stopped missed every answer sent to it meanwhile, and its timers all
-        # look expired at once: acting on them, it would declare healthy members dead. So it drops
-        # its probes, starts the suspicions it holds anew, accuses nobody until another member has
-        # answered a probe sent after its return, and refutes what was said about it.
+        # A process that was stopped (SIGSTOP, a paused VM) has missed all acks sent meanwhile, and
+        # all its timers expire at once: acting on them would declare healthy members dead. So it
+        # drops its probes, restarts its suspicion timers, suspects nobody until a member has acked
+        # a probe sent after the freeze, and refutes any suspicion of itself.
         self.detector.reset(now)
         self.unverified_claims.clear()
         self.suspicions.restart_timers(now)
@@ -230,8 +233,8 @@
         self.events.append(MembershipEvent(EventKind.FROZEN, f"{gap:.1f} s"))
 
     def _forget_others(self) -> None:
-        # After so long the others may have forgotten identities that died meanwhile; telling them
-        # the old view would bring those back. Their addresses are kept as seeds only.
+        # After so long the other members may have dropped identities that died meanwhile; gossiping
+        # the old view would resurrect these. Only the addresses are kept, as seeds.
         others = [entry for entry in self.view.entries.values() if entry is not self.own]
         self.add_seeds([entry.member.gossip_address for entry in others])
         for entry in others:
@@ -243,8 +246,8 @@
 
     def _housekeeping(self, now: float) -> None:
         self.last_housekeeping_at = now
-        old = now - self.options.dead_retention_s
-        for key in [key for key, entry in self.view.gone.items() if entry.gone_at < old]:
+        cutoff = now - self.options.dead_retention_s
+        for key in [key for key, entry in self.view.gone.items() if entry.gone_at < cutoff]:
             self._forget(key)
         self.replay_guard.drop_expired(now)
         self.requested_at.clear()
@@ -257,7 +260,7 @@
         self.disseminator.statuses.put(self.key)
 
     def _handle_own_status(self, status: Status) -> None:
-        if self.left or self.is_superseded:
+        if self.has_left or self.is_superseded:
             return
         own = self.own.member.incarnation
         if status.health is Health.LEFT:
@@ -265,7 +268,7 @@
         elif status.incarnation > own or (
             status.incarnation == own and status.health is not Health.ALIVE
         ):
-            self.detector.local_health.add(1)
+            self.detector.local_health.adjust(1)
             self.counters.refutations += 1
             self._set_own(status.incarnation + 1, self.own.declared, Health.ALIVE)
             self.events.append(MembershipEvent(EventKind.REFUTED, str(status.health.name)))
@@ -280,8 +283,8 @@
     def _suspect(self, entry: MemberEntry) -> None:
         if self.is_catching_up:
             return
-        accusation = attrs.evolve(entry.status(), health=Health.SUSPECT, accuser=self.key)
-        self.suspicions.apply_status(accusation, self._now())
+        suspicion = attrs.evolve(entry.status(), health=Health.SUSPECT, accuser=self.key)
+        self.suspicions.apply_status(suspicion, self._now())
 
     def _verify_claims(self, now: float) -> None:
         for key in list(self.unverified_claims)[:CLAIMS_VERIFIED_PER_TICK]:
@@ -294,7 +297,7 @@
             )
             self.detector.probe(entry, now)
 
-    # Finding the others
+    # Joining and discovery
 
     def _continue_join(self, now: float) -> None:
         peer = self.disseminator.random_peer()
@@ -309,12 +312,13 @@
             self._sync_with(peer.member.gossip_address, peer.key, now)
 
     def _ping_seeds(self, now: float) -> None:
-        # Failure: all nodes lose power and start again. The first to read the list tries addresses
-        # where nobody listens yet, and knows only itself for another second: it refuses what is for
-        # other services, and its own backend server gets all the rest.
-        new = now - self.started_at < STARTUP_S
+        # When all nodes restart at once (a power loss), the first to read the announcements pings
+        # addresses where nobody listens yet. At the usual interval it would know only itself for
+        # another second: it would refuse requests for other services and send all others to its own
+        # backend server.
+        is_starting = now - self.started_at < STARTUP_S
         if not self.seeds or now - self.last_seed_at < (
-            STARTUP_SEED_INTERVAL_S if new else SEED_INTERVAL_S
+            STARTUP_SEED_INTERVAL_S if is_starting else SEED_INTERVAL_S
         ):
             return
         self.last_seed_at = now
@@ -323,25 +327,25 @@
             self.ping_address(address)
 
     def _ping_vacated_address(self, now: float) -> None:
-        """Try an address that a member has left, where another process may be up by now.
+        """Ping an address whose last member is gone, where a new process may have started.
 
-        Failure: a node is started again while the store is down. It can't read who is there, nobody
-        looks where it is, and it refuses every caller until the store is back, though the rest of
-        the fleet serves. The others know its address; one datagram a second each finds it.
+        A node that restarts while the store is down can't read the announcements, and no other node
+        reads its own: it would refuse all callers until the store is back, though the rest of the
+        fleet serves. The other nodes know its address; one ping a second from each finds it.
         """
-        since = now - SUCCESSOR_SEARCH_S
-        held = {entry.member.gossip_address for entry in self.view.live()}
-        left = {
+        since = now - VACATED_SEARCH_S
+        occupied = {entry.member.gossip_address for entry in self.view.live()}
+        vacated = {
             entry.member.gossip_address
             for entry in self.view.gone.values()
             if entry.gone_at > since and entry.key != self.key
-        } - held
-        if left:
-            self.ping_address(self.rng.choice(sorted(left)))
+        } - occupied
+        if vacated:
+            self.ping_address(self.rng.choice(sorted(vacated)))
 
     def _finish_catch_up(self) -> None:
         self.is_catching_up = False
-        detail = f"{self.view.alive_count()} members"
+        detail = f"{self.view.live_count()} members"
         self.events.append(MembershipEvent(EventKind.JOINED, detail))
 
     def _sync_with(self, address: str, key: int, now: float, is_reply: bool = False) -> None:
@@ -363,15 +367,18 @@
             if first_ack_at is not None and now - first_ack_at > MIN_CATCH_UP_S:
                 self._finish_catch_up()
             return
-        # News under way makes views differ for a moment; pulling then would cost much for nothing.
-        settled = self.disseminator.is_idle() or now - self.last_match_at > MAX_DIGEST_MISMATCH_S
-        if settled and now - self.last_sync_at >= self.options.sync_interval_s:
+        # While updates are being disseminated, views differ for a moment; a sync then would cost
+        # many bytes and be superseded by the gossip.
+        should_sync = (
+            self.disseminator.is_idle() or now - self.last_match_at > MAX_DIGEST_MISMATCH_S
+        )
+        if should_sync and now - self.last_sync_at >= self.options.sync_interval_s:
             self._sync_with(address, packet.sender, now)
 
     # Datagrams
 
     def receive(self, data: bytes, address: str, now: float, wall: float) -> None:
-        """Take a datagram that came from the gossip address ``address``."""
+        """Handle a datagram received from the gossip address ``address``."""
         self._advance(now, wall)
         self.counters.received += 1
         self.counters.received_bytes += len(data)
@@ -383,7 +390,7 @@
             self._handle(packet, address, now)
         except PacketError as error:
             self._drop(error.code, address, str(error))
-        except Exception as error:  # one bad datagram must not stop the membership task
+        except Exception as error:  # a single datagram must not stop the membership task
             self._drop(DropCode.INTERNAL, address, repr(error))
 
     def _drop(self, code: DropCode, address: str, message: str) -> None:
@@ -391,14 +398,14 @@
         self.dropped_datagrams.append((code, address, message))
 
     def _reject_misaddressed(self, packet: Packet, address: str) -> None:
-        # The sender means an earlier process at this address. An answer in its name would keep the
-        # dead identity alive for ever; the own record lets the sender replace it at once.
+        # The sender addresses an earlier process at this address. An ack would keep that dead
+        # identity alive forever; this node's own record lets the sender replace it at once.
         if packet.kind is PacketKind.PING:
             self.disseminator.send_records(address, packet.sender, [self.own], self._now())
-        raise PacketError(DropCode.MISADDRESSED, "meant for another member")
+        raise PacketError(DropCode.MISADDRESSED, "addressed to another member")
 
     def _handle(self, packet: Packet, address: str, now: float) -> None:
-        if self.left or self.is_superseded:
+        if self.has_left or self.is_superseded:
             return
         unknown_keys: list[int] = []
         self._merge_sender(packet, address, unknown_keys)
@@ -464,7 +471,7 @@
             self.requested_at.update(dict.fromkeys(keys, now))
             self.sender.send(PacketKind.RECORD_REQUEST, address, sender, keys=tuple(keys))
 
-    # News
+    # Merging membership updates
 
     def _merge_sender(self, packet: Packet, address: str, unknown_keys: list[int]) -> None:
         entry = self.view.entries.get(packet.sender)
@@ -473,7 +480,7 @@
             return
         if entry.health is Health.LEFT:
             if packet.status.health is Health.LEFT:
-                return  # the goodbye is sent twice
+                return  # the leave message is sent twice
             self.sender.send(PacketKind.GOSSIP, address, packet.sender, statuses=[entry.status()])
             raise PacketError(DropCode.SENDER_GONE, "the sender has left or was replaced")
         self._merge_status(packet.status, unknown_keys)
@@ -491,9 +498,9 @@
         elif status.health is Health.SUSPECT:
             self.suspicions.apply_status(status, self._now())
         elif status.health is Health.DEAD and entry.health is Health.ALIVE:
-            # After a cut heals, the other side's view says "dead" of every member on this side.
-            # Believed at once, it would empty this side's list of backend servers until each one
-            # had refuted it. Where no suspicion went before, the claim is checked by a probe.
+            # After a partition heals, the other side holds every member on this side as dead.
+            # Accepted at once, this would leave this side without backend servers until each member
+            # had refuted it. A death that no suspicion preceded is verified by a probe.
             if (
                 not _is_outdated(entry, status)
                 and len(self.unverified_claims) < MAX_UNVERIFIED_CLAIMS
@@ -523,8 +530,8 @@
         elif not record.status.health.is_gone and self._resolve_address_conflict(
             member, record.status, address, packet.sender
         ):
-            # What a joining node pulls is news to itself alone, unless it asked for this record
-            # after hearing of a member that is itself new.
+            # The records that a joining node pulls are new to that node only, so it doesn't gossip
+            # them, unless it requested this record after hearing of a member that just joined.
             self._add_member(member, record, pass_on=not self.is_catching_up or packet.number > 0)
 
     def _add_member(self, member: Member, record: Record, pass_on: bool) -> None:
@@ -539,10 +546,10 @@
     def _resolve_address_conflict(
         self, member: Member, status: Status, address: str, sender: int
     ) -> bool:
-        """Settle which of two identities has a gossip address; return whether the new one does.
+        """Decide which of two identities holds a gossip address; return whether the new one does.
 
-        Incarnations start at the wall clock, so the later process has the higher one; a process
-        whose clock ran back is told of the earlier record and raises its own above it.
+        Incarnations start at the wall clock, so the later process has the higher one. A process
+        whose clock is behind is sent the earlier record and raises its incarnation above it.
         """
         holder = self.view.entries.get(self.view.by_address.get(member.gossip_address, 0))
         if holder is None:
@@ -555,6 +562,8 @@
         return True
 
     def _resolve_own_address_conflict(self, member: Member, status: Status) -> None:
+        # A process that started recently is the replacement and outbids the earlier record; one
+        # that has run for longer has itself been replaced.
         if status.incarnation >= self.own.member.incarnation:
             if self._now() - self.started_at > self.options.startup_grace_s:
                 self._mark_superseded(f"{member.node} has this node's gossip address")
@@ -568,7 +577,7 @@
 def _decode_member(record: Record) -> Member:
     try:
         member = decode_identity(record.identity)
-    except Exception as error:  # whatever the decoder raises, the datagram is at fault
+    except Exception as error:  # whatever the decoder raises, the datagram is malformed
         raise PacketError(DropCode.MALFORMED, f"identity: {error}") from error
     if member_key(member.node) != record.status.key:
         raise PacketError(DropCode.MALFORMED, "identity and key differ")
--- a/src/marjoramtide/membership/_swim_options.py
+++ b/src/marjoramtide/membership/_swim_options.py
@@ -1,4 +1,4 @@
-"""The constants of the protocol."""
+"""Tunable parameters of the SWIM protocol."""
 
 import math
 
@@ -7,10 +7,13 @@
 
 @attrs.frozen(slots=True)
 class SwimOptions:
-    """Periods, limits and budgets; times in seconds, sizes in bytes.
+    """Intervals, timeouts and bandwidth budgets, all per node.
 
-    Every cost is per node and does not grow with the fleet: one probe each ``probe_interval_s``,
-    gossip and answers to pulls within a budget of bytes.
+    No cost grows with the size of the fleet: there is one probe each ``probe_interval_s``, and
+    gossip and record replies each have a token bucket of bytes. A probe is sent to helpers after
+    ``probe_timeout_s`` and fails after ``probe_total_timeout_s``. Suspicions last between
+    ``min_suspicion_timeout_s`` and ``suspicion_max_ratio`` times that, depending on the number of
+    confirmations. For ``startup_grace_s`` a process wins a conflict about its own gossip address.
     """
 
     tick_s: float = 0.1
@@ -40,10 +43,10 @@
     max_datagram_age_s: float = 300.0
 
     def min_suspicion_timeout_s(self, members: int) -> float:
-        """Return the shortest time a suspicion lasts; it grows with the logarithm of the fleet."""
+        """Return the minimum suspicion timeout; it grows with the logarithm of the fleet size."""
         scaled = self.suspicion_scale * math.log10(members + 1) * self.probe_total_timeout_s
         return max(self.suspicion_min_s, scaled)
 
     def retransmit_limit(self, factor: float, members: int) -> int:
-        """Return how often one node passes on one piece of news."""
+        """Return how often one node sends one update (SWIM's lambda log n)."""
         return max(2, math.ceil(factor * math.log10(members + 1)))
--- a/src/marjoramtide/membership/_update_queue.py
+++ b/src/marjoramtide/membership/_update_queue.py
@@ -1,14 +1,15 @@
-"""News waiting to be passed on."""
+"""Updates queued for dissemination."""
 
 from collections import OrderedDict
 from collections.abc import Iterator
 
 
 class UpdateQueue:
-    """Keys with the number of copies sent so far, the least told first.
+    """Member keys ordered by how often their update has been sent, the least sent first.
 
-    What is passed on is read from the view at the moment of sending, so a key stands here at most
-    once and an overtaken piece of news is never sent. Memory is bounded by the number of members.
+    ``levels[n]`` holds the keys sent ``n`` times. The content of an update is read from the view
+    when it is sent, so each key is queued at most once and an outdated update is never sent. Memory
+    is bounded by the number of members.
     """
 
     def __init__(self) -> None:
@@ -19,24 +20,24 @@
         return len(self.level_of)
 
     def put(self, key: int, accuser: int = 0) -> None:
-        """Queue a key anew; ``accuser`` travels with a suspicion."""
+        """Queue a key as never sent; ``accuser`` is sent along with a suspicion."""
         self.discard(key)
         self.levels[0][key] = accuser
         self.level_of[key] = 0
 
     def discard(self, key: int) -> None:
-        """Forget a key."""
+        """Remove a key if it is queued."""
         level = self.level_of.pop(key, None)
         if level is not None:
             del self.levels[level][key]
 
     def peek(self, limit: int) -> Iterator[tuple[int, int]]:
-        """Yield up to ``limit`` pairs of key and accuser, the least told first."""
+        """Yield up to ``limit`` pairs of key and accuser, the least sent first."""
         pairs = (pair for level in self.levels for pair in level.items())
         return (pair for pair, _ in zip(pairs, range(limit), strict=False))
 
-    def sent(self, keys: list[int], retransmit_limit: int) -> None:
-        """Count one more copy of each key; drop those told ``copies`` times."""
+    def mark_sent(self, keys: list[int], retransmit_limit: int) -> None:
+        """Count one transmission of each key; drop keys sent ``retransmit_limit`` times."""
         for key in keys:
             level = self.level_of[key]
             accuser = self.levels[level].pop(key)
