--- a/src/marjoramtide/membership/__init__.py
+++ b/src/marjoramtide/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which nodes there are, and in which state."""
+"""Gossip membership: which nodes exist and in which state they are."""
 
 from marjoramtide.membership._announcement import (
     ANNOUNCEMENT_PREFIX,
--- a/src/marjoramtide/membership/_announcement.py
+++ b/src/marjoramtide/membership/_announcement.py
@@ -1,4 +1,4 @@
-"""What a node writes about itself into the store."""
+"""The announcement of a node in the object store."""
 
 import json
 from typing import Any
@@ -11,14 +11,14 @@
 from marjoramtide.settings import check_address
 
 ANNOUNCEMENT_PREFIX = "announcements/"
-# Above any name that a node may have, since its identity must fit a datagram.
+# Longer than any valid name, since a node's identity must fit a datagram.
 MAX_NAME_CHARACTERS = 400
 NAME_VALIDATORS: Any = [attrs.validators.min_len(1), attrs.validators.max_len(MAX_NAME_CHARACTERS)]
 
 
 @attrs.frozen(slots=True)
 class Announcement:
-    """A node's identity and addresses; ``refreshed`` is its wall clock in seconds."""
+    """A node's identity and addresses; ``refreshed`` is the wall time of the write in seconds."""
 
     node: str = attrs.field(validator=NAME_VALIDATORS)
     service: str = attrs.field(validator=NAME_VALIDATORS)
@@ -52,13 +52,13 @@
 
 
 def decode_announcement(key: str, value: bytes) -> Announcement:
-    """Read the announcement under a key; raises ``bad-frame`` where the object is none."""
+    """Decode the announcement stored under a key; raises ``bad-frame`` if it is invalid."""
     try:
         announcement = read_as(Announcement, read_json(value))
     except MalformedError as error:
         raise announcement_error(key, str(error)) from error
     if announcement.key != key:
-        raise announcement_error(key, f"it is that of {announcement.node[:MAX_NAME_CHARACTERS]!r}")
+        raise announcement_error(key, f"it names {announcement.node[:MAX_NAME_CHARACTERS]!r}")
     return announcement
 
 
--- a/src/marjoramtide/membership/_announcer.py
+++ b/src/marjoramtide/membership/_announcer.py
@@ -1,4 +1,4 @@
-"""Keeps this node's announcement in the store, and reads those of others, rarely."""
+"""Keeps this node's announcement in the object store and discovers those of other nodes."""
 
 import asyncio
 import random
@@ -27,23 +27,22 @@
 RETRY_BASE_S = 0.5
 RETRY_MAX_S = 30.0
 MAX_REMOVALS_PER_READ = 2
-# How long the addresses of a list that may be old have to answer, in seconds: three are tried each
-# 0.2 s, and those that run answer within milliseconds.
+# How long the seeds from a possibly stale list have to reply: three are pinged every 0.2 s, and
+# running nodes reply within milliseconds.
 SEED_REPLY_WAIT_S = 0.4
 STOP_TIMEOUT_S = 2.0
-# After the store has come back from a copy the nodes write their announcements again over this
-# time, in seconds, and over a second for as many nodes as its rate of writes allows, if that is
-# longer.
+# After the store was restored from a copy, the nodes spread the rewrites of their announcements
+# over this time, or over a longer one if the store's write rate requires it.
 REWRITE_SPREAD_S = 1.5
 REWRITES_PER_S = 200.0
 
 
 class Announcer:
-    """The only part of membership that uses the store.
+    """Writes, refreshes and reads announcements; the only part of membership that uses the store.
 
-    ``on_announcements`` is called with all announcements after each read. Reads are spread so that
-    the whole fleet makes about one a second at most (``REREAD_PER_MEMBER_S`` for each member),
-    whatever its size; a node that knows no other member reads more often.
+    ``on_announcements`` is called with all announcements after each read. The interval between
+    reads grows with the fleet (``REREAD_PER_MEMBER_S``), so that all nodes together read about once
+    a second at most; a node that knows no other member reads more often.
     """
 
     def __init__(
@@ -67,7 +66,7 @@
         self.rewrite_needed = asyncio.Event()
 
     async def run(self) -> None:
-        """Announce, read, and refresh both rarely until cancelled; a store outage is waited out."""
+        """Announce this node and read the announcements until cancelled, retrying store errors."""
         while True:
             try:
                 (
@@ -85,8 +84,8 @@
                     )
                 await self.clock.sleep(self._retry_delay_s())
             except Exception:
-                # Whatever an object in the store may hold, a node that no longer announces itself
-                # or reads would be unknown to those that start after it, and they to it.
+                # An unexpected object in the store must not end this task: nodes that start later
+                # could then not discover this node, nor this node them.
                 self.failures += 1
                 log.exception(
                     "announcement-failed", code=ErrorCode.INTERNAL, step="membership.announce"
@@ -94,12 +93,12 @@
                 await self.clock.sleep(self._retry_delay_s())
 
     def on_store_epoch(self, epoch: int) -> None:
-        """Write the announcement again: the store has come back from a copy that may lack it."""
+        """Schedule a rewrite: the store was restored from a copy that may lack the announcement."""
         self.version = None
         self.rewrite_needed.set()
 
     async def withdraw(self) -> None:
-        """Remove the announcement, for a planned stop; where the store is down it stays."""
+        """Delete the announcement at a planned stop; if the store is down it is left behind."""
         if self.version is None:
             return
         try:
@@ -112,23 +111,24 @@
 
     async def _wait_for_next_round(self) -> None:
         was_alone = self._is_alone()
-        await self._sleep(self._reread_delay_s())
-        # At its first read every node is alone. Without this all nodes of a fleet that starts at
-        # once would read the list of all again within 15 s; by now gossip has told of the others.
+        await self._sleep_unless_rewrite_needed(self._reread_delay_s())
+        # At its first read every node knows only itself. Without a second wait, all nodes of a
+        # fleet that starts at once would reread the list within 15 s, though gossip has told them
+        # of each other meanwhile.
         if was_alone and not self._is_alone():
-            await self._sleep(self._reread_delay_s())
+            await self._sleep_unless_rewrite_needed(self._reread_delay_s())
 
-    async def _sleep(self, seconds: float) -> None:
-        """Wait for some seconds, or until the announcement may be lost."""
+    async def _sleep_unless_rewrite_needed(self, seconds: float) -> None:
+        """Sleep, but return early once a rewrite of the announcement is needed."""
         waits = [
-            asyncio.ensure_future(work)
-            for work in (self.clock.sleep(seconds), self.rewrite_needed.wait())
+            asyncio.ensure_future(wait)
+            for wait in (self.clock.sleep(seconds), self.rewrite_needed.wait())
         ]
         try:
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         finally:
-            for work in waits:
-                work.cancel()
+            for wait in waits:
+                wait.cancel()
 
     def _is_alone(self) -> bool:
         return self.member_count() < 2
@@ -139,13 +139,13 @@
         return delay_s * self.rng.uniform(0.5, 1.5)
 
     def _retry_delay_s(self) -> float:
-        # Full jitter: after an outage the whole fleet would otherwise come back in step.
+        # Jitter keeps the fleet from retrying in lockstep after an outage.
         longest_s = min(RETRY_MAX_S, RETRY_BASE_S * 2 ** min(self.failures, 10))
         return self.rng.uniform(RETRY_BASE_S / 2, longest_s)
 
     async def _announce_and_read(self) -> None:
-        # Written before the list is read: of two nodes that start at once in an empty fleet, at
-        # least one then finds the other.
+        # Writing before reading ensures that, of two nodes that start at once in an empty fleet, at
+        # least one finds the other.
         if self.version is None or self.clock.monotonic() - self.refreshed_at > REFRESH_S:
             await self._write()
         announcements = await self._read_all()
@@ -153,9 +153,9 @@
         await self._remove_abandoned(announcements)
 
     async def _rewrite(self) -> None:
-        """Write the announcement again, at a moment that differs from node to node.
+        """Rewrite the announcement after a random delay, which spreads the writes of the fleet.
 
-        The list is not read: who runs is known by gossip.
+        The list isn't read, since the members are known by gossip.
         """
         spread_s = max(REWRITE_SPREAD_S, self.member_count() / REWRITES_PER_S)
         await self.clock.sleep(self.rng.uniform(0, spread_s))
@@ -170,23 +170,23 @@
         log.info("announcement-written-again", step="membership.announce")
 
     async def _read_all(self) -> list[tuple[StoredObject, Announcement]]:
-        """Return the announcements, from a list that may be old where that is enough.
+        """Return the announcements, from a possibly stale list if that suffices.
 
-        On the platform it costs a tenth of a call. It is late enough where it holds this run's own
-        announcement, however old it may be: of two nodes that start at once at least one then finds
-        the other. Otherwise the addresses in it are tried. Where one of them answers, gossip tells
-        of the rest; a node that still knows nobody reads the list as it is now.
+        A stale list costs a tenth of a call on the platform. It suffices if it contains this run's
+        own announcement, since then at least one of two nodes that start at once finds the other.
+        Otherwise the addresses in it are pinged: if a node replies, gossip tells of all others; if
+        none does, the current list is read.
         """
-        cached = _decode_announcements(await self.store.list_lately(ANNOUNCEMENT_PREFIX))
+        listed = _decode_announcements(await self.store.list_lately(ANNOUNCEMENT_PREFIX))
         own = self._own().key
-        if any(item.key == own for item, _ in cached):
-            return cached
-        self.on_announcements([decoded for _, decoded in cached])
+        if any(item.key == own for item, _ in listed):
+            return listed
+        self.on_announcements([decoded for _, decoded in listed])
         await self.clock.sleep(SEED_REPLY_WAIT_S)
         return (
             _decode_announcements(await self.store.list(ANNOUNCEMENT_PREFIX))
             if self._is_alone()
-            else cached
+            else listed
         )
 
     async def _write(self) -> None:
@@ -202,8 +202,8 @@
                 self.version = None
             if error.code is not ErrorCode.VERSION_CONFLICT:
                 raise
-            # The key holds this run's random number, so the object can only be an earlier write
-            # of this process whose answer was lost.
+            # The key contains this run's random number, so the object can only be an earlier write
+            # of this process whose response was lost.
             written = await self.store.get(own.key)
         self.version = written.version
         self.refreshed_at = self.clock.monotonic()
@@ -214,11 +214,11 @@
         own = self._own()
         abandoned = [
             item
-            for item, found in announcements
-            if found.node != own.node
+            for item, announcement in announcements
+            if announcement.node != own.node
             and (
-                found.gossip_address == own.gossip_address
-                or own.refreshed - found.refreshed > ABANDONED_AFTER_S
+                announcement.gossip_address == own.gossip_address
+                or own.refreshed - announcement.refreshed > ABANDONED_AFTER_S
             )
         ]
         for item in abandoned[:MAX_REMOVALS_PER_READ]:
@@ -232,7 +232,7 @@
 def _decode_announcements(
     stored: Iterable[StoredObject],
 ) -> list[tuple[StoredObject, Announcement]]:
-    """Return the objects that are announcements, each with what it announces."""
+    """Return the valid announcements, each with its object in the store."""
     return [(item, decoded) for item in stored if (decoded := _try_decode(item))]
 
 
--- a/src/marjoramtide/membership/_local_health.py
+++ b/src/marjoramtide/membership/_awareness.py
@@ -1,10 +1,10 @@
-"""Lifeguard's local health score."""
+"""Local health awareness (Lifeguard)."""
 
 import attrs
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class LocalHealth:
+class Awareness:
     """Local health multiplier (Lifeguard, 2018, section IV-A).
 
     Failed probes, missing nacks of helpers and suspicions of this node indicate that this node
--- a/src/marjoramtide/membership/_datagram_authenticator.py
+++ b/src/marjoramtide/membership/_datagram_authenticator.py
@@ -1,4 +1,4 @@
-"""Authentication of datagrams with the fleet's key."""
+"""Authentication of datagrams with the key of the fleet."""
 
 import hashlib
 import hmac
@@ -10,24 +10,24 @@
 
 
 class DatagramAuthenticator:
-    """Puts a keyed BLAKE2b (RFC 7693) of 16 bytes before a body, and checks it.
+    """Prepends a 16-byte keyed BLAKE2b (RFC 7693) to datagram bodies, and verifies it.
 
-    ``purpose`` keeps what is sealed for one use from being taken for another.
+    ``context`` separates the uses of the key: a datagram of one use is invalid for all others.
     """
 
-    def __init__(self, key: str, purpose: bytes) -> None:
-        self.key = hashlib.blake2b(key.encode(), digest_size=32, person=purpose).digest()
+    def __init__(self, key: str, context: bytes) -> None:
+        self.key = hashlib.blake2b(key.encode(), digest_size=32, person=context).digest()
 
     def mac(self, body: bytes) -> bytes:
-        """Return the authentication code of ``body``."""
+        """Return the MAC of ``body``."""
         return hashlib.blake2b(body, digest_size=MAC_BYTES, key=self.key).digest()
 
     def seal(self, body: bytes) -> bytes:
-        """Return the body behind its code."""
+        """Return the body with its MAC prepended."""
         return self.mac(body) + body
 
     def open(self, data: bytes) -> bytes:
-        """Return the body; raises ``PacketError`` for all that this fleet did not send."""
+        """Verify the MAC and return the body; raises ``PacketError`` if it doesn't match."""
         mac, body = data[:MAC_BYTES], data[MAC_BYTES:]
         if not hmac.compare_digest(mac, self.mac(body)):
             raise PacketError(DropCode.BAD_MAC, "not authenticated with this fleet's key")
--- a/src/marjoramtide/membership/_directory.py
+++ b/src/marjoramtide/membership/_directory.py
@@ -1,4 +1,4 @@
-"""The members, as the other parts of a node read them."""
+"""The interface through which other parts of a node use the membership."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 
 
 class Directory(ABC):
-    """The members this node knows, itself included."""
+    """The members known to this node, including itself."""
 
     @property
     @abstractmethod
@@ -17,28 +17,28 @@
 
     @abstractmethod
     def members(self) -> list[Member]:
-        """Return all members that are not known to be dead."""
+        """Return all members that are neither dead nor left."""
 
     @abstractmethod
     def members_of(self, service: str) -> list[Member]:
-        """Return the members beside backend servers of ``service`` that may take work."""
+        """Return the members beside backend servers of ``service`` that accept requests."""
 
     @abstractmethod
     def find(self, node: str) -> Member | None:
-        """Return the member with this identity."""
+        """Return the member with this identity, or ``None``."""
 
     @abstractmethod
     def set_state(self, state: MemberState) -> None:
-        """Change this node's own state and let the others know."""
+        """Change this node's own state and gossip it."""
 
     @abstractmethod
     def set_settings(self, revision: int, digest: str) -> None:
-        """Tell the others which settings this node has in force."""
+        """Gossip which settings this node has in force."""
 
     @abstractmethod
     def report_failure(self, node: str) -> None:
-        """Take a passive sign of failure (a refused connection) as a reason to probe now."""
+        """Suspect a member locally after a failure (a refused connection) and probe it now."""
 
     @abstractmethod
     def on_change(self, listener: Callable[[Member], None]) -> None:
-        """Call ``listener`` with each member whose record changed."""
+        """Call ``listener`` with each member whose record changes."""
--- a/src/marjoramtide/membership/_disseminator.py
+++ b/src/marjoramtide/membership/_disseminator.py
@@ -119,7 +119,7 @@
 
     def random_peer(self) -> MemberEntry | None:
         """Return a random other member that is not dead, or ``None`` if there is none."""
-        return self.view.peer_sampler(self.sender.own).choose(self.rng)
+        return self.view.neighbourhood(self.sender.own).choose(self.rng)
 
     def view_filter(self, salt: int) -> ViewFilter:
         """Return a Bloom filter of this node's view, for another node to compare with its own."""
--- a/src/marjoramtide/membership/_drop_log.py
+++ b/src/marjoramtide/membership/_drop_log.py
@@ -1,4 +1,4 @@
-"""Log lines for dropped datagrams, bounded in number."""
+"""Rate-limited logging of dropped datagrams."""
 
 import structlog
 
@@ -6,23 +6,23 @@
 
 log = structlog.get_logger()
 
-INTERVAL_S = 10.0
+LOG_INTERVAL_S = 10.0
 
 
 class DropLog:
-    """Writes at most one line for each code in ``INTERVAL_S`` seconds, with a count.
+    """Logs at most one line per code every ``LOG_INTERVAL_S`` seconds, with a count.
 
-    Anyone who can reach the port can send garbage; a line for each would fill the log.
+    Anyone who can reach the port can send garbage; a line per datagram would flood the log.
     """
 
     def __init__(self) -> None:
         self.last_logged_at: dict[DropCode, float] = {}
-        self.suppressed: dict[DropCode, int] = {}
+        self.unlogged: dict[DropCode, int] = {}
 
     def add(self, code: DropCode, address: str, message: str, now: float) -> None:
-        """Count a drop, and write a line if one is due."""
-        self.suppressed[code] = self.suppressed.get(code, 0) + 1
-        if now - self.last_logged_at.get(code, -INTERVAL_S) < INTERVAL_S:
+        """Count a dropped datagram, and log a line unless one was logged recently."""
+        self.unlogged[code] = self.unlogged.get(code, 0) + 1
+        if now - self.last_logged_at.get(code, -LOG_INTERVAL_S) < LOG_INTERVAL_S:
             return
         self.last_logged_at[code] = now
         log.warning(
@@ -31,5 +31,5 @@
             step="membership.receive",
             peer=address,
             error=message,
-            count=self.suppressed.pop(code),
+            count=self.unlogged.pop(code),
         )
--- a/src/marjoramtide/membership/_failure_detector.py
+++ b/src/marjoramtide/membership/_failure_detector.py
@@ -3,9 +3,9 @@
 import random
 from collections.abc import Callable
 
+from marjoramtide.membership._awareness import Awareness
 from marjoramtide.membership._disseminator import Disseminator
 from marjoramtide.membership._gossip_counters import GossipCounters
-from marjoramtide.membership._local_health import LocalHealth
 from marjoramtide.membership._member_entry import MemberEntry
 from marjoramtide.membership._member_view import MemberView
 from marjoramtide.membership._packet import Packet, PacketKind
@@ -44,7 +44,7 @@
         self.rng = rng
         self.counters = counters
         self.on_probe_failed = on_probe_failed
-        self.local_health = LocalHealth(options.local_health_max)
+        self.awareness = Awareness(options.awareness_max_score)
         self.probes: dict[int, Probe] = {}
         self.active_targets: set[int] = set()
         self.relayed_probes: dict[int, RelayedProbe] = {}
@@ -59,7 +59,7 @@
         self.active_targets.clear()
         self.relayed_probes.clear()
         self.next_probe_at = now
-        self.local_health.score = self.local_health.max_score
+        self.awareness.score = self.awareness.max_score
 
     def postpone(self, delay_s: float) -> None:
         """Extend the timeouts of all pending probes."""
@@ -76,7 +76,7 @@
             elif now >= probe.indirect_at and not probe.has_asked_helpers:
                 self._ask_helpers(number, probe)
         if now >= self.next_probe_at:
-            self.next_probe_at = now + self.options.probe_interval_s * self.local_health.multiplier
+            self.next_probe_at = now + self.options.probe_interval_s * self.awareness.multiplier
             entry = self._next_target()
             if entry is not None:
                 self.probe(entry, now)
@@ -89,7 +89,7 @@
         """Start a probe of a member, unless one is pending."""
         if entry.key in self.active_targets or len(self.probes) >= MAX_PROBES:
             return
-        timeout_multiplier = self.local_health.multiplier
+        timeout_multiplier = self.awareness.multiplier
         number = self.next_number()
         self.probes[number] = Probe(
             target=entry.key,
@@ -127,7 +127,7 @@
         if probe is None or packet.sender not in (probe.target, *probe.helpers):
             return False
         self._remove_probe(packet.number, probe)
-        self.local_health.adjust(-1)
+        self.awareness.adjust(-1)
         entry = self.view.entries.get(probe.target)
         if entry is not None:
             self.view.set_locally_suspect(entry, False, now)
@@ -159,7 +159,7 @@
                 entry = self.view.entries.get(self.probe_order.pop())
                 if entry and not entry.health.is_gone:
                     return entry
-            self.probe_order = self.view.peer_sampler(self.sender.own).probe_round(self.rng)
+            self.probe_order = self.view.neighbourhood(self.sender.own).probe_round(self.rng)
         return None
 
     def _ping_dead_member(self) -> None:
@@ -195,12 +195,12 @@
         self.counters.failed_probes += 1
         # Silent helpers indicate a problem of this node's own link or load; helpers that sent a
         # nack indicate a failure of the target.
-        self.local_health.adjust(len(probe.silent_helpers) if probe.helpers else 1)
+        self.awareness.adjust(len(probe.silent_helpers) if probe.helpers else 1)
         entry = self.view.entries.get(probe.target)
         if entry is not None and not entry.health.is_gone:
             self.on_probe_failed(entry)
-            sampler = self.view.peer_sampler(self.sender.own)
-            self.probe_order += sampler.keys_in_data_centre_of(entry.member, self.rng)
+            neighbourhood = self.view.neighbourhood(self.sender.own)
+            self.probe_order += neighbourhood.keys_in_data_centre_of(entry.member, self.rng)
 
     def _remove_probe(self, number: int, probe: Probe) -> None:
         del self.probes[number]
--- a/src/marjoramtide/membership/_gossip_counters.py
+++ b/src/marjoramtide/membership/_gossip_counters.py
@@ -1,4 +1,4 @@
-"""Counts of the protocol's work."""
+"""Counters of the gossip protocol."""
 
 from collections import Counter
 
@@ -9,7 +9,7 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class GossipCounters:
-    """Totals since the start; ``dropped`` counts datagrams by the reason they were dropped for."""
+    """Totals since the start; ``dropped`` counts the dropped datagrams by reason."""
 
     sent: int = 0
     sent_bytes: int = 0
--- a/src/marjoramtide/membership/_gossip_protocol.py
+++ b/src/marjoramtide/membership/_gossip_protocol.py
@@ -1,4 +1,4 @@
-"""The socket of membership."""
+"""The asyncio protocol of the gossip socket."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,7 +6,7 @@
 
 
 class GossipProtocol(asyncio.DatagramProtocol):
-    """Hands each datagram to ``receive`` with the sender's ``IP:PORT``."""
+    """Passes each datagram to ``receive`` with the sender's ``IP:PORT``."""
 
     def __init__(self, receive: Callable[[bytes, str], None]) -> None:
         self.receive = receive
--- a/src/marjoramtide/membership/_member_view.py
+++ b/src/marjoramtide/membership/_member_view.py
@@ -7,8 +7,8 @@
 from marjoramtide.membership._health import Health
 from marjoramtide.membership._member import Member
 from marjoramtide.membership._member_entry import MemberEntry, make_entry
+from marjoramtide.membership._neighbourhood import Neighbourhood, make_neighbourhood
 from marjoramtide.membership._packet import AppliedSettings, Status
-from marjoramtide.membership._peer_sampler import PeerSampler, make_peer_sampler
 
 
 class MemberView:
@@ -31,7 +31,7 @@
         self.available_cache: dict[str, list[Member]] = {}
         self.members_cache: list[Member] | None = None
         self.live_cache: list[MemberEntry] | None = None
-        self.sampler_cache: PeerSampler | None = None
+        self.neighbourhood_cache: Neighbourhood | None = None
         self.evacuated: frozenset[str] = frozenset()
 
     def set_evacuated(self, data_centres: frozenset[str]) -> None:
@@ -119,16 +119,16 @@
     def live(self) -> list[MemberEntry]:
         """Return the entries of all live members."""
         if self.live_cache is None:
-            self.sampler_cache = None
+            self.neighbourhood_cache = None
             self.live_cache = [entry for entry in self.entries.values() if not entry.health.is_gone]
         return self.live_cache
 
-    def peer_sampler(self, own: MemberEntry) -> PeerSampler:
-        """Return a sampler of the live members other than ``own``."""
-        if self.live_cache is None or self.sampler_cache is None:
+    def neighbourhood(self, own: MemberEntry) -> Neighbourhood:
+        """Return the live members other than ``own``, split by data centre."""
+        if self.live_cache is None or self.neighbourhood_cache is None:
             others = [entry for entry in self.live() if entry is not own]
-            self.sampler_cache = make_peer_sampler(others, own.member)
-        return self.sampler_cache
+            self.neighbourhood_cache = make_neighbourhood(others, own.member)
+        return self.neighbourhood_cache
 
     def _on_entry_changed(self, entry: MemberEntry, now: float) -> None:
         key = entry.key
--- a/src/marjoramtide/membership/_membership_service.py
+++ b/src/marjoramtide/membership/_membership_service.py
@@ -1,4 +1,4 @@
-"""Membership as a running part of a node."""
+"""The membership service of a node: protocol, socket and announcement."""
 
 import asyncio
 import random
@@ -33,9 +33,9 @@
 
 
 class MembershipService(Directory):
-    """Runs a ``SwimCore`` over one UDP socket, and the announcement in the store.
+    """Runs a ``SwimCore`` over a UDP socket and keeps the announcement in the store.
 
-    Reads never wait: they answer from the core's view, which changes only in this event loop.
+    Queries don't block: they are answered from the core's view, which only the event loop changes.
     """
 
     def __init__(
@@ -49,14 +49,14 @@
         self.core = core
         self.bulletin_codec = bulletin_codec
         self.bulletin_listener: Callable[[Member, list[Any]], None] | None = None
-        # To whom news of a member is passed on.
-        self.relay_targets: Callable[[Member], Iterable[Member]] = lambda teller: ()
+        # Returns the members to which this node relays the bulletins of a sender.
+        self.relay_targets: Callable[[Member], Iterable[Member]] = lambda sender: ()
         self.clock = clock
         self.listeners: list[Callable[[Member], None]] = []
         self.drop_log = DropLog()
-        # Whether the announcements that were read last are of this node alone.
+        # Whether no other node was known or announced when the announcements were last read.
         self.is_alone = False
-        # How many nodes have announced themselves, as was read last.
+        # How many nodes were announced when the announcements were last read.
         self.announced_count = 0
         self.destinations: dict[str, tuple[str, int]] = {}
         self.transport: asyncio.DatagramTransport | None = None
@@ -98,7 +98,7 @@
         self._flush()
 
     def set_evacuated(self, data_centres: frozenset[str]) -> None:
-        """Have members in these data centres take no work."""
+        """Exclude members in these data centres from ``members_of``."""
         self.core.view.set_evacuated(data_centres)
 
     def set_settings(self, revision: int, digest: str) -> None:
@@ -115,22 +115,22 @@
     def publish(
         self, fields: list[Any], readers: Iterable[Member], relays: Iterable[Member] = ()
     ) -> None:
-        """Send small news of this node to some members; it may be lost on the way.
+        """Send a bulletin to some members; bulletins may be lost.
 
-        Each of ``relays`` passes it on to those of its data centre.
+        Each member of ``relays`` also forwards it within its own data centre.
         """
         data = self.bulletin_codec.encode(member_key(self.self_member.node), fields)
         self._send_all(data, readers)
         self._send_all(self.bulletin_codec.as_relay_request(data), relays)
 
     def on_bulletin(self, listener: Callable[[Member, list[Any]], None]) -> None:
-        """Call ``listener`` with the news that other members publish."""
+        """Call ``listener`` with the sender and fields of each bulletin received."""
         self.bulletin_listener = listener
 
-    # Life
+    # Lifecycle
 
     async def start(self) -> None:
-        """Bind the gossip address and begin; raises ``bad-settings`` where it can't be bound."""
+        """Bind the gossip address and start; raises ``bad-settings`` if it can't be bound."""
         address = self.self_member.gossip_address
         try:
             (
@@ -149,7 +149,7 @@
         ]
 
     async def stop(self, leave: bool = True) -> None:
-        """End; with ``leave`` tell the others and remove the announcement first."""
+        """Stop; with ``leave`` tell other members and delete the announcement first."""
         if leave and self.transport is not None:
             self.core.leave()
             self._flush()
@@ -171,7 +171,7 @@
             try:
                 self.core.tick(self.clock.monotonic(), self.clock.wall())
                 self._flush()
-            except Exception:  # a node that stops probing would be believed dead by all others
+            except Exception:  # if the ticks stopped, the other members would declare this one dead
                 log.exception("tick-failed", code=ErrorCode.INTERNAL, step="membership.tick")
             await self.clock.sleep(self.core.options.tick_s)
 
@@ -191,15 +191,15 @@
         entry = self.core.view.entries.get(sender)
         if entry is None:
             return
-        # Passed on only for the member that speaks: whoever has seen such a datagram could send it
-        # again, and have it multiplied.
+        # Relayed only if it came from its sender's own address. Otherwise anyone who captured such
+        # a datagram could replay it to amplify traffic.
         if data.startswith(RELAY_MAGIC) and entry.member.gossip_address == address:
             self._send_all(self.bulletin_codec.as_bulletin(data), self.relay_targets(entry.member))
         if self.bulletin_listener is not None:
             self.bulletin_listener(entry.member, fields)
 
     def _flush(self) -> None:
-        """Send what waits and tell the listeners what changed."""
+        """Send pending datagrams, notify listeners of changes and log events."""
         for address, data in self.core.drain():
             self._send(address, data)
         changes, self.core.view.changes = self.core.view.changes, []
@@ -228,12 +228,12 @@
         for listener in self.listeners:
             try:
                 listener(member)
-            except Exception:  # a fault in another part must not stop the failure detector
+            except Exception:  # a failing listener must not stop the failure detector
                 log.exception("listener-failed", code=ErrorCode.INTERNAL, member=member.node)
 
     def _on_announcements(self, announcements: list[Announcement]) -> None:
-        # Members that are known need no seed, so what is tried here are newcomers, and a part of
-        # the fleet that both sides have forgotten after a long cut.
+        # Known members need no seed. The remaining seeds are new nodes, or members on the other
+        # side of a long partition that both sides have forgotten.
         known = {member.gossip_address for member in self.members()}
         addresses = [item.gossip_address for item in announcements]
         self.announced_count = len(set(addresses))
@@ -250,10 +250,10 @@
     rng: random.Random,
     options: SwimOptions | None = None,
 ) -> MembershipService:
-    """Return the membership of one run of a node; raises ``bad-settings``.
+    """Return the membership service for one run of a node; raises ``bad-settings``.
 
-    ``rng`` makes the run's identity, so it must differ from run to run outside of tests
-    (``random.SystemRandom()``). For example::
+    ``rng`` generates the identity of the run, so outside of tests it must be unpredictable from run
+    to run (``random.SystemRandom()``). For example::
 
         membership = make_membership(settings, store, SystemClock(), random.SystemRandom())
         await membership.start()
@@ -270,7 +270,7 @@
         incarnation=int(clock.wall() * 1000),
     )
     _check_size(member)
-    # The protocol draws many numbers; none of them is a secret, so a fast generator will do.
+    # The protocol draws many random numbers, none of them secret, so a fast generator suffices.
     fast_rng = random.Random(rng.getrandbits(64))
     core = SwimCore(member, PacketCodec(node_settings.key), fast_rng, options)
     return MembershipService(core, BulletinCodec(node_settings.key), store, clock, fast_rng)
--- a/src/marjoramtide/membership/_peer_sampler.py
+++ b/src/marjoramtide/membership/_neighbourhood.py
@@ -10,7 +10,7 @@
 from marjoramtide.membership._member_entry import MemberEntry
 
 # Share of datagrams sent to other data centres. With five data centres of 39 nodes, uniform choice
-# sends 80 % of the datagrams across links where bytes are expensive. 25 % is enough: an update
+# sends 80 in 100 datagrams across links where bytes are expensive. One in four is enough: an update
 # leaves its data centre from each of some forty nodes that gossip it, and a data centre that fails
 # as a whole is still probed from all the others.
 REMOTE_SHARE = 0.25
@@ -20,8 +20,8 @@
 
 
 @attrs.frozen(slots=True)
-class PeerSampler:
-    """Samples the other live members, with a preference for those in the node's data centre."""
+class Neighbourhood:
+    """The other live members, split into those in the node's data centre and the remote ones."""
 
     local: list[MemberEntry]
     remote: list[MemberEntry]
@@ -74,10 +74,10 @@
         return keys
 
 
-def make_peer_sampler(others: Iterable[MemberEntry], own: Member) -> PeerSampler:
-    """Return a sampler that takes the members in ``own``'s data centre as local."""
-    sampler = PeerSampler([], [])
+def make_neighbourhood(others: Iterable[MemberEntry], own: Member) -> Neighbourhood:
+    """Split members by whether they are in ``own``'s data centre."""
+    neighbourhood = Neighbourhood([], [])
     for entry in others:
         is_local = entry.member.data_centre == own.data_centre
-        (sampler.local if is_local else sampler.remote).append(entry)
-    return sampler
+        (neighbourhood.local if is_local else neighbourhood.remote).append(entry)
+    return neighbourhood
--- a/src/marjoramtide/membership/_packet.py
+++ b/src/marjoramtide/membership/_packet.py
@@ -1,4 +1,4 @@
-"""What nodes send each other in datagrams."""
+"""The contents of gossip datagrams."""
 
 from enum import IntEnum
 
@@ -16,7 +16,7 @@
 
 
 class PacketKind(IntEnum):
-    """What the receiver of a datagram is to do."""
+    """The kind of a datagram; ``PING``, ``ACK`` and ``PING_REQUEST`` are SWIM's."""
 
     PING = 1
     ACK = 2
@@ -29,7 +29,7 @@
 
 @attrs.frozen(slots=True)
 class Status:
-    """The changing part of a member record; ``accuser`` is set on a suspicion."""
+    """The mutable part of a member record; ``accuser`` is only set for a suspicion."""
 
     key: int
     incarnation: int
@@ -48,7 +48,7 @@
 
 @attrs.frozen(slots=True)
 class Record:
-    """A whole member record; ``identity`` is the encoded part that never changes."""
+    """A full member record; ``identity`` is the encoded immutable part."""
 
     identity: bytes
     status: Status
@@ -59,9 +59,14 @@
 class Packet:
     """One datagram.
 
-    ``sender`` and ``destination`` are member keys (``destination`` 0: whoever listens there),
-    ``sent_ms`` is the sender's wall clock, ``number`` matches an answer to its probe,
-    ``view_digest`` sums up the sender's view, ``status`` and ``settings`` are the sender's own.
+    ``sender`` and ``destination`` are member keys (``destination`` 0 is any node that listens
+    there), ``sequence`` is for replay protection, ``sent_ms`` is the sender's wall clock,
+    ``view_digest`` is a hash of the sender's view, ``status`` and ``settings`` are those of the
+    sender.
+
+    ``number`` matches an ack or nack to its probe. In a sync it is the salt of ``view_filter``
+    shifted left by one, plus 1 if a sync is wanted in reply. In gossip it is 1 if the records were
+    requested.
     """
 
     kind: PacketKind
--- a/src/marjoramtide/membership/_packet_codec.py
+++ b/src/marjoramtide/membership/_packet_codec.py
@@ -1,4 +1,4 @@
-"""Datagrams to bytes and back, authenticated."""
+"""Encoding and authentication of gossip datagrams."""
 
 import struct
 from typing import Any
@@ -29,28 +29,28 @@
 
 
 class PacketCodec:
-    """Encodes with CBOR and authenticates with keyed BLAKE2b (RFC 7693), 16 bytes.
+    """Encodes packets with CBOR and authenticates them with a 16-byte keyed BLAKE2b (RFC 7693).
 
-    The code is checked before anything is parsed, so bytes from outside the fleet never reach the
-    CBOR decoder. A fleet with another key is told apart by the same check.
+    The MAC is verified before anything is parsed, so bytes from outside the fleet never reach the
+    CBOR decoder. The same check rejects datagrams of fleets with another key.
     """
 
     def __init__(self, key: str) -> None:
         self.authenticator = DatagramAuthenticator(key, b"mt-membership")
 
     def mac(self, body: bytes) -> bytes:
-        """Return the authentication code of ``body``."""
+        """Return the MAC of ``body``."""
         return self.authenticator.mac(body)
 
     def encode(self, packet: Packet) -> bytes:
-        """Return the datagram; raises ``ValueError`` where it would be too large."""
+        """Return the datagram; raises ``ValueError`` if it would be too large."""
         body = cbor2.dumps(_to_wire(packet))
         if len(body) + MAC_BYTES > MAX_DATAGRAM_BYTES:
             raise ValueError(f"datagram of {len(body) + MAC_BYTES} bytes")
         return self.authenticator.seal(body)
 
     def decode(self, data: bytes) -> Packet:
-        """Return the packet; raises ``PacketError`` for all that this fleet did not send."""
+        """Return the packet; raises ``PacketError`` if it is invalid or not from this fleet."""
         if len(data) > MAX_DATAGRAM_BYTES:
             raise PacketError(DropCode.OVERSIZED, f"{len(data)} bytes")
         body = self.authenticator.open(data)
@@ -61,12 +61,12 @@
 
 
 def status_size(status: Status) -> int:
-    """Return an upper bound of the encoded size in bytes."""
+    """Return an upper bound on the encoded size in bytes."""
     return 32 if status.accuser else 23
 
 
 def record_size(record: Record) -> int:
-    """Return an upper bound of the encoded size in bytes."""
+    """Return an upper bound on the encoded size in bytes."""
     return len(record.identity) + len(record.settings.digest) + 50
 
 
--- a/src/marjoramtide/membership/_packet_error.py
+++ b/src/marjoramtide/membership/_packet_error.py
@@ -1,10 +1,10 @@
-"""Why a datagram was dropped."""
+"""Errors for datagrams that are dropped."""
 
 from enum import StrEnum
 
 
 class DropCode(StrEnum):
-    """Reasons to drop a datagram, as they stand in counters and logs."""
+    """Reasons for dropping a datagram, as written to counters and logs."""
 
     OVERSIZED = "oversized"
     BAD_MAC = "bad-mac"
@@ -17,7 +17,7 @@
 
 
 class PacketError(Exception):
-    """A datagram that must not be acted on."""
+    """Raised for a datagram that must be dropped."""
 
     def __init__(self, code: DropCode, message: str) -> None:
         super().__init__(message)
--- a/src/marjoramtide/membership/_packet_sender.py
+++ b/src/marjoramtide/membership/_packet_sender.py
@@ -1,4 +1,4 @@
-"""Outgoing datagrams."""
+"""Encoding and queueing of outgoing datagrams."""
 
 from typing import Any
 
@@ -10,10 +10,10 @@
 
 
 class PacketSender:
-    """Numbers, fills in and encodes datagrams; they wait in ``outbox`` as (address, bytes).
+    """Encodes datagrams and queues them in ``outbox`` as (address, bytes).
 
-    Each datagram carries the sender's own status, so whoever hears a member directly knows its
-    newest state without waiting for gossip.
+    Each datagram carries a sequence number and the sender's own status, so that a receiver knows
+    the sender's current state without waiting for gossip.
     """
 
     def __init__(
@@ -28,7 +28,7 @@
         self.wall = 0.0
 
     def send(self, kind: PacketKind, address: str, destination: int, **body: Any) -> int:
-        """Queue a datagram and return its size; ``body`` holds the other fields of ``Packet``."""
+        """Queue a datagram; return its size. ``body`` holds the remaining fields of ``Packet``."""
         self.sequence += 1
         packet = Packet(
             kind=kind,
--- a/src/marjoramtide/membership/_replay_guard.py
+++ b/src/marjoramtide/membership/_replay_guard.py
@@ -1,4 +1,4 @@
-"""Refuses datagrams that were seen before or are too old to tell."""
+"""Replay protection for gossip datagrams."""
 
 from marjoramtide.membership._packet import Packet
 from marjoramtide.membership._packet_error import DropCode, PacketError
@@ -8,11 +8,11 @@
 
 
 class ReplayGuard:
-    """One window of sequence numbers for each sender, and a bound on the age by the wall clock.
+    """A replay window for each sender, and a limit on the age of datagrams by the wall clock.
 
-    A recorded datagram is authentic, so the code in front of it doesn't stop it. The window does
-    where this process has heard the sender before, the age where it has not. A window is kept for
-    longer than that age, so there is no moment at which neither does.
+    A recorded datagram carries a valid MAC. Its replay is rejected by the window if this process
+    knows the sender, and by its age otherwise. Windows are kept for longer than the maximum age, so
+    that at any time one of the two applies.
     """
 
     def __init__(self, own_key: int, max_datagram_age_s: float) -> None:
@@ -21,7 +21,7 @@
         self.windows: dict[int, tuple[ReplayWindow, float]] = {}
 
     def check(self, packet: Packet, now: float, wall: float) -> None:
-        """Raise ``PacketError`` where the packet must not be acted on."""
+        """Raise ``PacketError`` if the packet is a replay, too old or from this node itself."""
         if packet.sender == self.own_key:
             raise PacketError(DropCode.REPLAYED, "this node's own datagram")
         age = wall - packet.sent_ms / 1000
@@ -33,6 +33,6 @@
             raise PacketError(DropCode.REPLAYED, f"sequence {packet.sequence} seen before")
 
     def drop_expired(self, now: float) -> None:
-        """Drop the windows of senders not heard for long."""
-        oldest = now - WINDOW_RETENTION_FACTOR * self.max_datagram_age_s
-        self.windows = {key: pair for key, pair in self.windows.items() if pair[1] > oldest}
+        """Drop the windows of senders that have been silent for long."""
+        cutoff = now - WINDOW_RETENTION_FACTOR * self.max_datagram_age_s
+        self.windows = {key: pair for key, pair in self.windows.items() if pair[1] > cutoff}
--- a/src/marjoramtide/membership/_replay_window.py
+++ b/src/marjoramtide/membership/_replay_window.py
@@ -1,4 +1,4 @@
-"""Which datagrams of one sender were seen already."""
+"""The replay window of one sender."""
 
 import attrs
 
@@ -9,22 +9,24 @@
 class ReplayWindow:
     """A sliding window over sequence numbers (RFC 4303, section 3.4.3).
 
-    A number is accepted once; one that lies more than ``WINDOW`` behind the newest is refused.
+    Each number is accepted once; numbers ``WINDOW_SIZE`` or more behind the newest are rejected.
     """
 
     newest: int = -1
-    seen: int = 0
+    bitmap: int = 0
 
     def accept(self, sequence: int) -> bool:
-        """Return whether ``sequence`` is new, and remember it."""
+        """Return whether ``sequence`` is new, and record it."""
         ahead = sequence - self.newest
         if ahead > 0:
-            self.seen = (
-                ((self.seen << ahead) | 1) & ((1 << WINDOW_SIZE) - 1) if ahead < WINDOW_SIZE else 1
+            self.bitmap = (
+                ((self.bitmap << ahead) | 1) & ((1 << WINDOW_SIZE) - 1)
+                if ahead < WINDOW_SIZE
+                else 1
             )
             self.newest = sequence
             return True
-        if -ahead >= WINDOW_SIZE or self.seen >> -ahead & 1:
+        if -ahead >= WINDOW_SIZE or self.bitmap >> -ahead & 1:
             return False
-        self.seen |= 1 << -ahead
+        self.bitmap |= 1 << -ahead
         return True
--- a/src/marjoramtide/membership/_suspicions.py
+++ b/src/marjoramtide/membership/_suspicions.py
@@ -55,10 +55,10 @@
 
     def _new_suspicion(self, now: float) -> Suspicion:
         members = self.view.live_count()
-        shortest_s = self.options.min_suspicion_timeout_s(members)
+        minimum_s = self.options.min_suspicion_timeout_s(members)
         return Suspicion(
             started_at=now,
-            shortest_s=shortest_s,
-            longest_s=shortest_s * self.options.suspicion_max_ratio,
+            shortest_s=minimum_s,
+            longest_s=minimum_s * self.options.suspicion_max_ratio,
             confirmations=max(0, min(self.options.suspicion_confirmations, members - 3)),
         )
--- a/src/marjoramtide/membership/_swim_core.py
+++ b/src/marjoramtide/membership/_swim_core.py
@@ -268,7 +268,7 @@
         elif status.incarnation > own or (
             status.incarnation == own and status.health is not Health.ALIVE
         ):
-            self.detector.local_health.adjust(1)
+            self.detector.awareness.adjust(1)
             self.counters.refutations += 1
             self._set_own(status.incarnation + 1, self.own.declared, Health.ALIVE)
             self.events.append(MembershipEvent(EventKind.REFUTED, str(status.health.name)))
--- a/src/marjoramtide/membership/_swim_options.py
+++ b/src/marjoramtide/membership/_swim_options.py
@@ -21,7 +21,7 @@
     probe_timeout_s: float = 0.3
     probe_total_timeout_s: float = 1.0
     indirect_probes: int = 3
-    local_health_max: int = 8
+    awareness_max_score: int = 8
     suspicion_scale: float = 1.2
     suspicion_min_s: float = 2.0
     suspicion_max_ratio: float = 3.0
