--- a/features/gossip_scenarios.py
+++ b/features/gossip_scenarios.py
@@ -1,4 +1,4 @@
-"""What the scenarios of membership over a network in memory share."""
+"""Helpers for membership scenarios on an in-memory network."""
 
 from typing import Any
 
@@ -8,7 +8,7 @@
 DATA_CENTRES = ("nadi-hall", "lautoka-hall", "sigatoka-hall", "navrangpura", "sanand")
 
 
-def running(context: Any) -> list[Node]:
+def running_nodes(context: Any) -> list[Node]:
     return [node for node in context.network.nodes.values() if node.running]
 
 
@@ -16,8 +16,8 @@
     return context.network.nodes[f"node-{number}"]
 
 
-def believed(observers: list[Node], state: MemberState) -> set[tuple[str, str]]:
-    """Return pairs of observer and member for every time a state was believed."""
+def pairs_that_saw(observers: list[Node], state: MemberState) -> set[tuple[str, str]]:
+    """Return the pairs of observer and member where the observer has ever seen this state."""
     return {
         (node.name, member.node)
         for node in observers
@@ -26,7 +26,7 @@
     }
 
 
-def check_seen(observers: list[Node], name: str, state: str) -> None:
+def check_state(observers: list[Node], name: str, state: str) -> None:
     seen = {node.name: node.states().get(name) for node in observers}
     wrong = {observer: found for observer, found in seen.items() if found != state}
     assert not wrong, wrong
@@ -39,15 +39,15 @@
         context.network.start_node(f"node-{number}", data_centre=data_centre)
 
 
-def mark(context: Any) -> None:
-    """Remember how much each node had seen change, for checks of what changed since."""
-    context.marks = {node.name: len(node.core.view.changes) for node in running(context)}
+def mark_changes(context: Any) -> None:
+    """Note how many changes each node has seen, to check later ones on their own."""
+    context.marks = {node.name: len(node.core.view.changes) for node in running_nodes(context)}
 
 
-def replace_with_clock(context: Any, number: int, seconds: int) -> None:
+def replace_node(context: Any, number: int, clock_offset_s: int) -> None:
     network, old = context.network, node_of(context, number)
     old.running = old.frozen
-    wall = network.clock.wall() + seconds
+    wall = network.clock.wall() + clock_offset_s
     network.start_node(
         f"new-{number}",
         address=old.address,
--- a/features/membership/hostile.feature
+++ b/features/membership/hostile.feature
@@ -1,8 +1,8 @@
 Feature: Datagrams that this fleet did not send, or sent before
 
   Background:
-    # The operator sees: one log line for each kind of bad datagram, with a code and a count, and
-    # nothing else. Anyone on the network can send to the port; nothing of it reaches the protocol.
+    # Anyone on the network can send to the gossip port. Bad datagrams must not reach the protocol;
+    # they cause one log line per kind, with a code and a count.
     Given a membership network with seed 31 and 5 nodes
     When 5 seconds of membership pass
 
@@ -26,8 +26,8 @@
       | a ping meant for another member             | misaddressed |
 
   Scenario: A datagram recorded long ago says nothing to a process that never saw its sender
-    # A recorded goodbye is sent again, minutes later, to a process that started since and so has no
-    # list of sequence numbers of that sender.
+    # A recorded leave message is replayed minutes later to a process that started since and so has
+    # no replay window for its sender.
     When a ping of membership node 2 is recorded and sent to a new process after 400 seconds
     Then the new process has dropped it as "out-of-time"
 
--- a/features/steps/announcements_steps.py
+++ b/features/steps/announcements_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how often a node reads the announcements, in virtual time."""
+"""Steps for reads of the announcements, in virtual time."""
 
 import asyncio
 import random
@@ -17,12 +17,12 @@
 use_step_matcher("parse")
 
 KEY = "a key for announcements only"
-TURNS = 20
-BEFORE_S = 4.0
+LOOP_TURNS_PER_S = 20
+WRITTEN_BEFORE_S = 4.0
 
 
 class CountedStore(MemoryStore):
-    """Counts the lists."""
+    """A store that counts its lists."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -34,39 +34,39 @@
 
 
 class AgedStore(MemoryStore):
-    """Shows in cheap lists what was there some seconds ago."""
+    """A store whose ``list_lately`` returns the objects of some seconds ago."""
 
     def __init__(self, clock: ManualClock, age_s: float) -> None:
         super().__init__()
         self.clock = clock
         self.age_s = age_s
         self.written_at: dict[str, float] = {}
-        self.cheap = 0
-        self.full = 0
+        self.stale_lists = 0
+        self.current_lists = 0
 
     async def create(self, key: str, value: bytes, *, timeout: float = 2.0) -> StoredObject:
         self.written_at[key] = self.clock.monotonic()
         return await super().create(key, value, timeout=timeout)
 
     async def list(self, prefix: str, *, timeout: float = 2.0) -> Any:
-        self.full += 1
+        self.current_lists += 1
         return await super().list(prefix, timeout=timeout)
 
     async def list_lately(self, prefix: str, *, timeout: float = 2.0) -> Any:
-        self.cheap += 1
-        until = self.clock.monotonic() - self.age_s
+        self.stale_lists += 1
+        visible_until = self.clock.monotonic() - self.age_s
         found = await super().list(prefix, timeout=timeout)
-        return [each for each in found if self.written_at[each.key] <= until]
+        return [each for each in found if self.written_at[each.key] <= visible_until]
 
 
 @given(
-    "an announcer whose store shows in cheap lists what is {age_s:d} s old, "
+    "an announcer whose store returns stale lists that are {age_s:d} s old, "
     "and whose node hears {whom}"
 )
 def given_aged(context: Any, age_s: int, whom: str) -> None:
     context.runner = context.cleanup.enter_context(asyncio.Runner())
-    context.clock, context.known = ManualClock(), 1
-    context.after = 2 if whom == "somebody" else 1
+    context.clock, context.known_count = ManualClock(), 1
+    context.known_after_read = 2 if whom == "somebody" else 1
     context.store = AgedStore(context.clock, float(age_s))
     first, own = (
         Member(name, "s", "r", "d", address, address, address, MemberState.READY)
@@ -74,21 +74,21 @@
     )
     announced = announcement_of(first, 0.0)
     context.runner.run(context.store.create(announced.key, announced.encode()))
-    context.clock.advance(BEFORE_S)
+    context.clock.advance(WRITTEN_BEFORE_S)
     context.found = []
     context.announcer = Announcer(
         context.store,
         context.clock,
         random.Random(1),
         lambda: own,
-        lambda: context.known,
+        lambda: context.known_count,
         context.found.extend,
     )
 
 
-@then("it has made {cheap:d} cheap lists and {full:d} full ones")
-def then_lists(context: Any, cheap: int, full: int) -> None:
-    assert (context.store.cheap, context.store.full) == (cheap, full)
+@then("it has read {stale:d} stale lists and {current:d} current ones")
+def then_lists(context: Any, stale: int, current: int) -> None:
+    assert (context.store.stale_lists, context.store.current_lists) == (stale, current)
 
 
 @then("it has found the announcement of the node that wrote before it")
@@ -99,16 +99,16 @@
 @given("an announcer whose node knows {before:d} before its first read and {after:d} from then on")
 def given_announcer(context: Any, before: int, after: int) -> None:
     context.runner = context.cleanup.enter_context(asyncio.Runner())
-    context.clock, context.store, context.known = ManualClock(), CountedStore(), before
+    context.clock, context.store, context.known_count = ManualClock(), CountedStore(), before
     address = "127.0.0.1:7102"
     member = Member("n", "s", "r", "d", address, address, address, MemberState.READY)
-    context.after = after
+    context.known_after_read = after
     context.announcer = Announcer(
         context.store,
         context.clock,
         random.Random(1),
         lambda: member,
-        lambda: context.known,
+        lambda: context.known_count,
         lambda _: None,
     )
 
@@ -119,9 +119,9 @@
         running = asyncio.create_task(context.announcer.run())
         context.cleanup.callback(running.cancel)
         for _ in range(seconds):
-            for _ in range(TURNS):
+            for _ in range(LOOP_TURNS_PER_S):
                 await asyncio.sleep(0)
-            context.known = context.after
+            context.known_count = context.known_after_read
             context.clock.advance(1.0)
 
     context.runner.run(work())
@@ -132,7 +132,7 @@
     assert least <= context.store.lists <= most, context.store.lists
 
 
-@given("a membership that has ticked for {seconds:g} s without an address to try")
+@given("a membership that has ticked for {seconds:g} s without a seed")
 def given_ticking(context: Any, seconds: float) -> None:
     rng, clock = random.Random(1), ManualClock()
     own = Member("own", "s", "r", "d", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1")
--- a/features/steps/gossip_datagrams_steps.py
+++ b/features/steps/gossip_datagrams_steps.py
@@ -1,4 +1,4 @@
-"""Steps on datagrams that a membership must drop, and on the lines that tell of them."""
+"""Steps for datagrams that must be dropped, and the log lines about them."""
 
 import random
 from collections.abc import Callable
@@ -15,24 +15,24 @@
 
 
 def seal(body: bytes, key: str = KEY) -> bytes:
-    """Return ``body`` with an authentic code in front."""
+    """Return ``body`` with a valid MAC prepended."""
     return PacketCodec(key).mac(body) + body
 
 
-def a_ping(context: Any, sender: int, receiver: int) -> bytes:
-    """Return a ping that was sent but, being held back, has not arrived."""
+def blocked_ping(context: Any, sender: int, receiver: int) -> bytes:
+    """Return a ping that was sent but blocked by the network."""
     network = context.network
-    held, network.blocked = network.blocked, lambda source, target: True
+    previous, network.blocked = network.blocked, lambda source, target: True
     node = node_of(context, sender)
     target = node.core.view.entries[node_of(context, receiver).core.key]
     node.core.detector.ping(target, node.core.detector.next_number())
     network.flush(node)
-    network.blocked = held
+    network.blocked = previous
     return network.sent[-1][2]
 
 
 def with_field(data: bytes, index: int, value: Any) -> bytes:
-    """Return an authentic copy of a datagram with one field of its list changed."""
+    """Return a copy of a datagram with one field changed and a valid MAC."""
     wire = cbor2.loads(data[16:])
     wire[index] = value
     return seal(cbor2.dumps(wire))
@@ -50,17 +50,17 @@
 
 
 def seen_before(context: Any) -> bytes:
-    data = a_ping(context, 2, 1)
+    data = blocked_ping(context, 2, 1)
     context.network.inject(data, node_of(context, 2).address, node_of(context, 1))
     return data
 
 
 def other_fleet(context: Any) -> bytes:
-    return seal(a_ping(context, 2, 1)[16:], "the key of another fleet")
+    return seal(blocked_ping(context, 2, 1)[16:], "the key of another fleet")
 
 
 def one_bit_changed(context: Any) -> bytes:
-    data = bytearray(a_ping(context, 2, 1))
+    data = bytearray(blocked_ping(context, 2, 1))
     data[40] ^= 1
     return bytes(data)
 
@@ -74,12 +74,12 @@
     "an authentic datagram that is not CBOR": lambda context: seal(b"\xff\x00garbage"),
     "an authentic datagram that is not a list": lambda context: seal(cbor2.dumps({"a": 1})),
     "an authentic ping with a negative sequence": lambda context: with_field(
-        a_ping(context, 2, 1), 3, -1
+        blocked_ping(context, 2, 1), 3, -1
     ),
     "a record whose key is another member's": stolen_key_record,
     "a datagram that it has received before": seen_before,
-    "its own datagram": lambda context: a_ping(context, 1, 2),
-    "a ping meant for another member": lambda context: a_ping(context, 2, 3),
+    "its own datagram": lambda context: blocked_ping(context, 1, 2),
+    "a ping meant for another member": lambda context: blocked_ping(context, 2, 3),
 }
 
 
@@ -104,11 +104,11 @@
 )
 def send_recorded(context: Any, number: int, seconds: int) -> None:
     network, sender = context.network, node_of(context, number)
-    held, network.blocked = network.blocked, lambda source, target: True
+    previous, network.blocked = network.blocked, lambda source, target: True
     sender.core.ping_address("10.0.0.99:7100")
     network.flush(sender)
     data = network.sent[-1][2]
-    network.blocked = held
+    network.blocked = previous
     network.run(seconds)
     context.newcomer = network.start_node("newcomer", address="10.0.0.99:7100")
     network.inject(data, sender.address, context.newcomer)
--- a/features/steps/gossip_places_steps.py
+++ b/features/steps/gossip_places_steps.py
@@ -1,10 +1,10 @@
-"""Steps on where gossip goes."""
+"""Steps for traffic between data centres."""
 
 from typing import Any
 
 from behave import then  # type: ignore[attr-defined]
 
-from features.gossip_scenarios import running
+from features.gossip_scenarios import running_nodes
 from marjoramtide.membership import MemberState
 
 
@@ -25,7 +25,7 @@
 )
 def all_hold(context: Any, number: int, state: str, limit_ms: int) -> None:
     name, wanted = f"node-{number}", MemberState(state)
-    others = [node for node in running(context) if node.name != name]
+    others = [node for node in running_nodes(context) if node.name != name]
 
     def known() -> bool:
         return all(node.states().get(name) is wanted for node in others)
--- a/features/steps/membership_cut_steps.py
+++ b/features/steps/membership_cut_steps.py
@@ -1,11 +1,11 @@
-"""Steps that cut, stop and replace members, over a network in memory."""
+"""Steps that partition, stop and replace members of an in-memory network."""
 
 import random
 from typing import Any
 
 from behave import given, then, when
 
-from features.gossip_scenarios import mark, node_of, replace_with_clock, running
+from features.gossip_scenarios import mark_changes, node_of, replace_node, running_nodes
 
 
 @given("one in {share:d} membership datagrams is lost")
@@ -14,35 +14,35 @@
 
 
 @when("membership node {number:d} loses nine in ten of the datagrams sent to it")
-def deafen(context: Any, number: int) -> None:
-    deaf, rng = node_of(context, number), random.Random(number)
-    context.network.blocked = lambda sender, receiver: receiver is deaf and rng.random() < 0.9
+def lose_incoming(context: Any, number: int) -> None:
+    target, rng = node_of(context, number), random.Random(number)
+    context.network.blocked = lambda sender, receiver: receiver is target and rng.random() < 0.9
 
 
 @when('the data centre "{data_centre}" is lost')
 def lose_data_centre(context: Any, data_centre: str) -> None:
-    for node in running(context):
+    for node in running_nodes(context):
         node.running = node.data_centre != data_centre
 
 
-@when('the region of "{names}" is cut off')
-def cut_region(context: Any, names: str) -> None:
+@when('the region of "{names}" is partitioned from the rest')
+def partition_region(context: Any, names: str) -> None:
     context.region = set(names.split(", "))
     context.network.blocked = lambda sender, receiver: (
         (sender.data_centre in context.region) != (receiver.data_centre in context.region)
     )
 
 
-@when("membership node {number:d} is cut off")
-def cut_node(context: Any, number: int) -> None:
-    cut = node_of(context, number)
-    context.network.blocked = lambda sender, receiver: cut in (sender, receiver)
+@when("membership node {number:d} is partitioned from the rest")
+def partition_node(context: Any, number: int) -> None:
+    node = node_of(context, number)
+    context.network.blocked = lambda sender, receiver: node in (sender, receiver)
 
 
-@when("the cut heals")
+@when("the partition heals")
 def heal(context: Any) -> None:
     context.network.blocked = lambda sender, receiver: False
-    mark(context)
+    mark_changes(context)
 
 
 @when("membership node {number:d} is frozen for {seconds:d} seconds")
@@ -53,7 +53,7 @@
 
 
 @when("membership node {number:d} freezes with a full socket")
-def freeze_deaf(context: Any, number: int) -> None:
+def freeze_with_full_socket(context: Any, number: int) -> None:
     frozen = node_of(context, number)
     frozen.frozen = True
     context.network.blocked = lambda sender, receiver: receiver is frozen and frozen.frozen
@@ -86,22 +86,22 @@
     context.network.blocked = lambda sender, receiver: {sender.name, receiver.name} == ends
 
 
-@when("membership node {number:d} thaws")
-def thaw(context: Any, number: int) -> None:
-    mark(context)
+@when("membership node {number:d} resumes")
+def resume(context: Any, number: int) -> None:
+    mark_changes(context)
     context.network.thaw(node_of(context, number))
 
 
-@when("membership node {number:d} thaws and has its address back")
-def thaw_with_address(context: Any, number: int) -> None:
+@when("membership node {number:d} resumes with its address back")
+def resume_with_address(context: Any, number: int) -> None:
     node = node_of(context, number)
     context.network.by_address[node.address] = node
-    thaw(context, number)
+    resume(context, number)
 
 
 @when("membership node {number:d} is replaced under its address")
 def replace(context: Any, number: int) -> None:
-    replace_with_clock(context, number, 0)
+    replace_node(context, number, 0)
 
 
 @when(
@@ -109,10 +109,10 @@
     " with a clock {seconds:d} seconds behind"
 )
 def replace_behind(context: Any, number: int, seconds: int) -> None:
-    replace_with_clock(context, number, -seconds)
+    replace_node(context, number, -seconds)
 
 
 @when("a process starts at the address of membership node {number:d} and knows nobody")
-def start_lonely(context: Any, number: int) -> None:
-    replace_with_clock(context, number, 0)
+def start_without_seeds(context: Any, number: int) -> None:
+    replace_node(context, number, 0)
     context.network.nodes[f"new-{number}"].core.add_seeds([])
--- a/features/steps/membership_lone_steps.py
+++ b/features/steps/membership_lone_steps.py
@@ -1,4 +1,4 @@
-"""Steps of one membership core by itself."""
+"""Steps for a single membership core."""
 
 from typing import Any
 
@@ -19,7 +19,7 @@
         context.lone.view.add(member.member, member.status(), network.clock.now)
 
 
-@when("it has news of all of them and ticks for {seconds:d} seconds")
+@when("it has updates about all of them and ticks for {seconds:d} seconds")
 def tick_alone(context: Any, seconds: int) -> None:
     core = context.lone
     core.is_catching_up = False
--- a/features/steps/membership_service_steps.py
+++ b/features/steps/membership_service_steps.py
@@ -1,4 +1,4 @@
-"""Steps of membership over real sockets, with a store in memory that fails on command."""
+"""Steps for membership over real sockets, with an in-memory store that can be made to fail."""
 
 import asyncio
 import itertools
@@ -28,7 +28,7 @@
 
 
 class FaultyStore(MemoryStore):
-    """Is down, or loses the answer to one write, when told to."""
+    """A store that can be made unavailable or lose the response to one write."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -136,7 +136,7 @@
     run(context, _in_loop(lambda: context.services[number].set_state(MemberState.DRAINING)))
 
 
-@when("membership service {number:d} tries the address of membership service {other:d}")
+@when("membership service {number:d} pings the address of membership service {other:d}")
 def ping_address(context: Any, number: int, other: int) -> None:
     core = context.services[number].core
     core.ping_address(context.services[other].self_member.gossip_address)
@@ -168,7 +168,7 @@
 @given("a listener of membership service {number:d} that always fails")
 def failing_listener(context: Any, number: int) -> None:
     def fail(member: Member) -> None:
-        raise RuntimeError("a fault in another part")
+        raise RuntimeError("failing listener")
 
     context.heard = []
     context.services[number].on_change(fail)
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -1,10 +1,10 @@
-"""Steps of membership over a network in memory."""
+"""Steps for membership on an in-memory network."""
 
 from typing import Any
 
 from behave import given, then, when
 
-from features.gossip_scenarios import node_of, running, start_nodes
+from features.gossip_scenarios import node_of, running_nodes, start_nodes
 from marjoramtide.membership import MemberState, SwimOptions
 from standins.gossip_network import Network
 
@@ -36,7 +36,7 @@
     "{count:d} membership nodes that come up within {window_ms:d} ms and know the addresses of all"
 )
 def come_up(context: Any, count: int, window_ms: int) -> None:
-    """Start them one after the other; datagrams to those that aren't up yet are lost."""
+    """Start the nodes one after another; datagrams to those that aren't up yet are lost."""
     context.network = network = Network(41)
     addresses = [f"10.0.9.{number + 1}:7100" for number in range(count)]
     for number, address in enumerate(addresses):
@@ -51,7 +51,7 @@
     context.network.run(seconds)
 
 
-@when("membership node {number:d} stops without a word")
+@when("membership node {number:d} crashes")
 def crash(context: Any, number: int) -> None:
     node_of(context, number).running = False
 
@@ -65,7 +65,7 @@
 
 @when("every node puts settings revision {revision:d} in force")
 def put_in_force(context: Any, revision: int) -> None:
-    for node in running(context):
+    for node in running_nodes(context):
         node.core.set_settings(revision, f"digest of {revision}")
         context.network.flush(node)
 
@@ -79,11 +79,11 @@
 
 @when("membership traffic is counted for {seconds:d} seconds")
 def count_traffic(context: Any, seconds: int) -> None:
-    before = {node.name: node.core.counters.sent_bytes for node in running(context)}
+    before = {node.name: node.core.counters.sent_bytes for node in running_nodes(context)}
     context.network.run(seconds)
     context.rates = {
         node.name: (node.core.counters.sent_bytes - before[node.name]) / seconds
-        for node in running(context)
+        for node in running_nodes(context)
     }
 
 
--- a/features/steps/passed_on_news_steps.py
+++ b/features/steps/passed_on_news_steps.py
@@ -1,4 +1,4 @@
-"""Steps on news that one member passes on to others."""
+"""Steps for bulletins that one member relays to others."""
 
 import asyncio
 from collections import defaultdict
@@ -11,27 +11,27 @@
 
 use_step_matcher("parse")
 
-NEWS = ["some news"]
+FIELDS = ["a field"]
 
 
-@given("membership service {number:d} passes news on to membership service {other:d}")
+@given("membership service {number:d} relays bulletins to membership service {other:d}")
 def given_relay(context: Any, number: int, other: int) -> None:
-    context.disseminator = defaultdict(list)
-    for place, service in enumerate(context.services):
+    context.received = defaultdict(list)
+    for index, service in enumerate(context.services):
 
-        def hear(member: Member, fields: list[Any], place: int = place) -> None:
-            context.disseminator[place].append((member.node, fields))
+        def receive(member: Member, fields: list[Any], index: int = index) -> None:
+            context.received[index].append((member.node, fields))
 
-        service.on_bulletin(hear)
+        service.on_bulletin(receive)
     reader = context.services[other].self_member
-    context.services[number].relay_targets = lambda teller: [reader]
+    context.services[number].relay_targets = lambda sender: [reader]
 
 
-@when("membership service {number:d} publishes news by way of membership service {relay:d}")
+@when("membership service {number:d} publishes a bulletin through membership service {relay:d}")
 def when_published(context: Any, number: int, relay: int) -> None:
     async def publish() -> None:
         relays = [context.services[relay].self_member]
-        context.services[number].publish(NEWS, [], relays)
+        context.services[number].publish(FIELDS, [], relays)
 
     run(context, publish())
 
@@ -39,9 +39,11 @@
 @when("membership service {number:d} sends the datagram to membership service {relay:d} again")
 def when_again(context: Any, number: int, relay: int) -> None:
     async def send() -> None:
-        teller, other = context.services[0], context.services[number]
-        sender = teller.core.own.key
-        data = teller.bulletin_codec.as_relay_request(teller.bulletin_codec.encode(sender, NEWS))
+        sender, other = context.services[0], context.services[number]
+        sender_key = sender.core.own.key
+        data = sender.bulletin_codec.as_relay_request(
+            sender.bulletin_codec.encode(sender_key, FIELDS)
+        )
         other._send(context.services[relay].self_member.gossip_address, data)
         await asyncio.sleep(0)
 
@@ -49,16 +51,16 @@
 
 
 @then(
-    "within {seconds:d} seconds membership services {relay:d} and {reader:d} have heard it once, "
-    "from membership service {teller:d}"
+    "within {seconds:d} seconds membership services {relay:d} and {reader:d} have received it "
+    "once, from membership service {sender:d}"
 )
-def then_heard(context: Any, seconds: int, relay: int, reader: int, teller: int) -> None:
-    heard = [(context.services[teller].self_member.node, NEWS)]
-    places = (relay, reader)
-    wait_for(context, lambda: all(context.disseminator[place] for place in places), seconds)
-    assert all(context.disseminator[place] == heard for place in places), context.disseminator
+def then_heard(context: Any, seconds: int, relay: int, reader: int, sender: int) -> None:
+    expected = [(context.services[sender].self_member.node, FIELDS)]
+    indexes = (relay, reader)
+    wait_for(context, lambda: all(context.received[index] for index in indexes), seconds)
+    assert all(context.received[index] == expected for index in indexes), context.received
 
 
-@then("membership service {number:d} has heard it once")
+@then("membership service {number:d} has received it once")
 def then_once(context: Any, number: int) -> None:
-    assert len(context.disseminator[number]) == 1, context.disseminator
+    assert len(context.received[number]) == 1, context.received
