--- a/src/marjoramtide/membership/_announcer.py
+++ b/src/marjoramtide/membership/_announcer.py
@@ -19,8 +19,8 @@
 
 log = structlog.get_logger()
 
-REFRESH_S = 3600.0
-ABANDONED_AFTER_S = 3 * REFRESH_S
+REFRESH_INTERVAL_S = 3600.0
+ABANDONED_AFTER_S = 3 * REFRESH_INTERVAL_S
 MIN_REREAD_INTERVAL_S = 300.0
 REREAD_PER_MEMBER_S = 1.0
 ALONE_REREAD_INTERVAL_S = 10.0
@@ -146,7 +146,7 @@
     async def _announce_and_read(self) -> None:
         # Writing before reading ensures that, of two nodes that start at once in an empty fleet, at
         # least one finds the other.
-        if self.version is None or self.clock.monotonic() - self.refreshed_at > REFRESH_S:
+        if self.version is None or self.clock.monotonic() - self.refreshed_at > REFRESH_INTERVAL_S:
             await self._write()
         announcements = await self._read_all()
         self.on_announcements([decoded for _, decoded in announcements])
--- a/src/marjoramtide/membership/_swim_core.py
+++ b/src/marjoramtide/membership/_swim_core.py
@@ -32,8 +32,9 @@
 SEED_INTERVAL_S = 1.0
 # Seeds are pinged more often in the first second, also by a node that knows other members: three
 # datagrams of 100 bytes each. The nodes of a fleet that starts at once come up within some tenths
-# of a second. 75 nodes that come up within 0.2 s all know each other after 0.6 s (median of eight
-# runs; 0.7 s at worst); with the usual interval after 1.25 s (1.5 s at worst).
+# of a second. On an in-memory network, 75 nodes that come up within 0.2 s all know each other after
+# 0.6 s (median of eight runs; 0.7 s at worst); with the usual interval after 1.25 s (1.5 s at
+# worst).
 STARTUP_SEED_INTERVAL_S = 0.2
 STARTUP_S = 1.0
 # How long the address of a member that is gone is pinged for a new process, and how often by each
@@ -90,14 +91,14 @@
         self.has_untried_seeds = False
         self.events: list[MembershipEvent] = []
         self.dropped_datagrams: list[tuple[DropCode, str, str]] = []
-        self.requested_at: dict[int, float] = {}
+        self.record_requested_at: dict[int, float] = {}
         self.unverified_claims: dict[int, Status] = {}
         self.now: float | None = None
         self.wall = 0.0
         self.started_at = 0.0
         self.last_match_at = 0.0
         self.last_sync_at = 0.0
-        self.last_seed_at = -SEED_INTERVAL_S
+        self.last_seed_ping_at = -SEED_INTERVAL_S
         self.next_vacated_ping_at = 0.0
         self.last_housekeeping_at = 0.0
         # Until this node has caught up its view may be stale, so it suspects nobody.
@@ -250,7 +251,7 @@
         for key in [key for key, entry in self.view.gone.items() if entry.gone_at < cutoff]:
             self._forget(key)
         self.replay_guard.drop_expired(now)
-        self.requested_at.clear()
+        self.record_requested_at.clear()
 
     # Own record
 
@@ -317,11 +318,11 @@
         # another second: it would refuse requests for other services and send all others to its own
         # backend server.
         is_starting = now - self.started_at < STARTUP_S
-        if not self.seeds or now - self.last_seed_at < (
+        if not self.seeds or now - self.last_seed_ping_at < (
             STARTUP_SEED_INTERVAL_S if is_starting else SEED_INTERVAL_S
         ):
             return
-        self.last_seed_at = now
+        self.last_seed_ping_at = now
         self.has_untried_seeds = False
         for address in self.rng.sample(self.seeds, min(SEEDS_PER_ATTEMPT, len(self.seeds))):
             self.ping_address(address)
@@ -464,11 +465,11 @@
         keys = [
             key
             for key in unknown_keys
-            if now - self.requested_at.get(key, -1e9) > RECORD_REQUEST_INTERVAL_S
+            if now - self.record_requested_at.get(key, -1e9) > RECORD_REQUEST_INTERVAL_S
         ]
         keys = keys[:MAX_REQUESTED_KEYS]
         if keys:
-            self.requested_at.update(dict.fromkeys(keys, now))
+            self.record_requested_at.update(dict.fromkeys(keys, now))
             self.sender.send(PacketKind.RECORD_REQUEST, address, sender, keys=tuple(keys))
 
     # Merging membership updates
