--- a/src/marjoramtide/policy/__init__.py
+++ b/src/marjoramtide/policy/__init__.py
@@ -1,7 +1,7 @@
-"""Decisions, as pure functions of what they are handed: no clock, no randomness, no I/O.
+"""Decision logic without I/O: the time and the random generator are passed in by the caller.
 
-Seven packages, each with one question: ``placing``, ``admission``, ``pace``, ``budgets``,
-``quarantine``, ``evacuation`` and ``statements``.
+Each subpackage covers one decision: ``placing``, ``admission``, ``pace``, ``budgets``,
+``quarantine``, ``evacuation``, ``quota`` and ``statements``.
 """
 
 from marjoramtide.policy._call_profile import CallProfile, make_call_profile
@@ -27,7 +27,7 @@
     BulletinRoutes,
     Selector,
     SmoothSplit,
-    bulletin_readers,
+    bulletin_recipients,
     make_selector,
     make_smooth_split,
 )
@@ -72,7 +72,7 @@
     "Suspicion",
     "TokenBucket",
     "Verdict",
-    "bulletin_readers",
+    "bulletin_recipients",
     "make_admission",
     "make_call_profile",
     "make_selector",
--- a/src/marjoramtide/policy/pace/__init__.py
+++ b/src/marjoramtide/policy/pace/__init__.py
@@ -1,21 +1,21 @@
-"""How long does work take on this server at this moment, until when, and what is usual?
+"""The model of how much slower than usual a backend server runs, and for how long.
 
-Made for servers that share their instances: neighbours slow them down in stretches that are shorter
-or longer than a request.
+It is meant for servers that share their instances with others: neighbours slow them down for
+intervals that may be shorter or longer than a request.
 """
 
 from marjoramtide.policy.pace._interference import Interference
 from marjoramtide.policy.pace._pace import Pace
 from marjoramtide.policy.pace._run_forecast import run_ms
-from marjoramtide.policy.pace._silence import patience_ms, silence_ms
-from marjoramtide.policy.pace._work_times import ASSUMED_WORK_MS, WorkTimes
+from marjoramtide.policy.pace._silence import stall_threshold_ms, stalled_ms
+from marjoramtide.policy.pace._work_times import DEFAULT_WORK_MS, WorkTimes
 
 __all__ = [
-    "ASSUMED_WORK_MS",
+    "DEFAULT_WORK_MS",
     "Interference",
     "Pace",
     "WorkTimes",
-    "patience_ms",
     "run_ms",
-    "silence_ms",
+    "stall_threshold_ms",
+    "stalled_ms",
 ]
