--- a/bench/model/_mechanisms.py
+++ b/bench/model/_mechanisms.py
@@ -66,14 +66,20 @@
     Mechanism(
         "share of what goes first in a wait",
         f"{POLICY}.admission._standing_shares",
-        "StandingShares.before",
+        "PriorityShares.share_ahead",
         ZERO,
     ),
     Mechanism(
-        "routine work pushed back is dropped", ADMISSION, "EdfAdmission._pushed_back", NONE_OF_THEM
+        "routine work pushed back is dropped",
+        ADMISSION,
+        "EdfAdmission._drop_displaced",
+        NONE_OF_THEM,
     ),
     Mechanism(
-        "first limit below the slots", f"{POLICY}.admission._knee_limiter", "FIRST_SHARE", "1.0"
+        "first limit below the slots",
+        f"{POLICY}.admission._knee_limiter",
+        "INITIAL_LIMIT_SHARE",
+        "1.0",
     ),
     Mechanism(
         "knee limit",
@@ -84,16 +90,16 @@
     Mechanism(
         "what a server has said that it takes",
         f"{POLICY}.admission._named_rate_gate",
-        "NamedRateGate.name",
+        "RequestedRateLimiter.set_rate",
         NOTHING,
     ),
     Mechanism(
-        "turn first tries away by a named limit", ADMISSION, "EdfAdmission._long_wait_ms", ZERO
+        "turn first tries away by a named limit", ADMISSION, "EdfAdmission._excessive_wait_ms", ZERO
     ),
     Mechanism(
         "slots told of by a named limit",
         f"{POLICY}.admission._named_rate_gate",
-        "NamedRateGate.concurrency",
+        "RequestedRateLimiter.concurrency",
         "lambda self, service_ms, now: float('inf')",
     ),
     Mechanism("own bonus", FORECAST, "LOCAL_LOAD_BONUS", "0.0"),
@@ -120,7 +126,7 @@
     Mechanism(
         "places dealt to refused callers",
         f"{POLICY}.budgets._come_back_hint",
-        "ComeBackHint.next_ms",
+        "RetryAfterHint.next_ms",
         "lambda self, base_ms, rate_per_s, now: max(1, round(base_ms))",
     ),
     Mechanism("spread of come-back hints", f"{INGRESS}._attempts", "SPREAD", "1.0"),
--- a/src/marjoramtide/policy/__init__.py
+++ b/src/marjoramtide/policy/__init__.py
@@ -8,19 +8,19 @@
 from marjoramtide.policy.admission import (
     LIMITERS,
     Admission,
+    ConcurrencyLimiter,
     Decision,
-    Limiter,
     Verdict,
     make_admission,
 )
 from marjoramtide.policy.budgets import (
-    WINDOW_S,
-    ComeBackHint,
-    MeasuringBudget,
+    RETRY_WINDOW_S,
+    HealthCheckBudget,
+    RetryAfterHint,
     RetryBudget,
     TokenBucket,
 )
-from marjoramtide.policy.evacuation import KEPT_S, Evacuated, Evacuations
+from marjoramtide.policy.evacuation import EVACUATION_HOLD_S, EvacuationSnapshot, EvacuationState
 from marjoramtide.policy.pace import Interference
 from marjoramtide.policy.placing import (
     SELECTORS,
@@ -32,44 +32,44 @@
     make_smooth_split,
 )
 from marjoramtide.policy.quarantine import (
-    MAX_ENDS,
+    MAX_CRASHES,
     CompletedRequests,
     HoldRule,
     Quarantine,
     RunVerdict,
-    ServerEnd,
+    ServerCrash,
     Suspect,
-    Suspicion,
+    SuspectReport,
 )
-from marjoramtide.policy.statements import StartStatements
+from marjoramtide.policy.statements import StatementTracker
 
 __all__ = [
-    "KEPT_S",
+    "EVACUATION_HOLD_S",
     "LIMITERS",
-    "MAX_ENDS",
+    "MAX_CRASHES",
+    "RETRY_WINDOW_S",
     "SELECTORS",
-    "WINDOW_S",
     "Admission",
     "BulletinRoutes",
     "CallProfile",
-    "ComeBackHint",
     "CompletedRequests",
+    "ConcurrencyLimiter",
     "Decision",
-    "Evacuated",
-    "Evacuations",
+    "EvacuationSnapshot",
+    "EvacuationState",
+    "HealthCheckBudget",
     "HoldRule",
     "Interference",
-    "Limiter",
-    "MeasuringBudget",
     "Quarantine",
+    "RetryAfterHint",
     "RetryBudget",
     "RunVerdict",
     "Selector",
-    "ServerEnd",
+    "ServerCrash",
     "SmoothSplit",
-    "StartStatements",
+    "StatementTracker",
     "Suspect",
-    "Suspicion",
+    "SuspectReport",
     "TokenBucket",
     "Verdict",
     "bulletin_recipients",
