--- a/features/edge/bad_http.feature
+++ b/features/edge/bad_http.feature
@@ -1,10 +1,10 @@
 Feature: A caller's bad input is refused, told in the log, and felt by nobody else
 
   Scenario: Each malformed request gets one clear refusal
-    # A caller sends what HTTP does not allow, or what two hops could read differently. It gets one
-    # 4xx (or a 508), marked "not-run", or a closed connection, and the node writes one line with the
-    # code. No backend server sees anything of it. The lookups of another caller, sent meanwhile by
-    # the same node, all complete.
+    # A caller sends invalid HTTP, or requests that two hops could parse differently. It gets one 4xx
+    # (or a 508) marked "not-run", or a closed connection, and the node logs one line with the code.
+    # No backend server receives any of it. The lookups of another caller, sent to the same node
+    # meanwhile, all complete.
     Given a mesh of 1 mapdesk nodes
     And traffic: 40 lookups a second of mapdesk for 12 s
     When raw requests are sent to mapdesk-1 amid the traffic
@@ -66,9 +66,10 @@
     And no backend server saw more than the traffic
 
   Scenario: A request hidden in another one is never taken for a request
-    # Where a body ends is stated twice, or in a way that hops read differently; behind it stands a
-    # request that would be taken for another caller's. The node refuses the first and closes, so
-    # that the hidden one is neither answered nor sent on.
+    # Request smuggling: the end of a body is declared twice, or in a way that hops parse
+    # differently, and is followed by a request that could be taken for another caller's. The node
+    # refuses the first request and closes the connection, so that the hidden one is neither
+    # answered nor forwarded.
     Given a mesh of 1 mapdesk nodes
     And traffic: 40 lookups a second of mapdesk for 5 s
     When raw requests are sent to mapdesk-1 amid the traffic
@@ -96,10 +97,10 @@
     And no backend server saw more than the traffic
 
   Scenario: A body that goes wrong is refused at once and never passed on as whole
-    # The bodies begin well. One has a chunk that is none, one passes the limit without having
-    # declared its length, one trickles, and of two the caller closes the connection half way. The
-    # backend servers, here and behind a second node, see a broken connection or nothing, never the
-    # end of a body. Nobody waits for a deadline but the one that trickles.
+    # The bodies begin correctly. One has an invalid chunk, one exceeds the limit without a declared
+    # length, one trickles in, and of two the caller closes the connection half-way. The backend
+    # servers, here and behind a second node, see a broken connection or nothing, never the end of a
+    # body. Only the one that trickles in waits for its deadline.
     Given a mixed mesh of 1 mapdesk and 1 licencehub nodes
       """
       [services.mapdesk]
@@ -125,34 +126,37 @@
     And a lookup of licencehub by mapdesk-1 is answered
 
   Scenario: A head that trickles ends after five seconds
-    # A caller sends one byte a second. It holds a connection, and with many of them all that the
-    # node may have. The node closes it after five seconds, whatever still comes, and says so.
+    # A caller sends one byte a second. Many such callers would use up the connections that the node
+    # may have open. The node closes the connection after five seconds, even if bytes still arrive,
+    # and logs it.
     Given a mesh of 1 mapdesk nodes
     When a caller sends mapdesk-1 one byte a second
     Then its connection is closed within 7 s with one line of slow-caller
 
   Scenario: A caller that leaves amid its body frees what waits for the rest
-    # A caller begins a booking of 200 KB with a deadline of nine seconds, by way of a node that does
-    # not serve it, and goes away half way. The serving node learns that no more will come, and does
-    # not keep a slot of the backend server until the deadline: it can be stopped within five seconds.
+    # A caller begins a booking of 200 KB with a deadline of nine seconds at a node of another
+    # service, and disconnects half-way. The serving node learns that the rest will not arrive, and
+    # does not hold a slot of the backend server until the deadline: it can be stopped within five
+    # seconds.
     Given a mixed mesh of 1 mapdesk and 1 licencehub nodes
     When a caller of licencehub by mapdesk-1 leaves amid a body, 9 s before its deadline
     Then mapdesk-1 and licencehub-2 stop without cutting anything off
 
   Scenario: A caller that stops reading holds nothing beyond its deadline
-    # A caller asks for 30 MB with a deadline of a second and reads none of it. Buffers fill up on the
-    # way, here and behind a second node, and everybody waits for room. At the deadline the node
-    # breaks the connection, with a line; the caller finds a part and an end. Nothing is in progress
-    # any more: both nodes can be stopped within their grace of two seconds, cutting nothing off.
+    # A caller requests 30 MB with a deadline of one second and reads none of it. The buffers on the
+    # way fill up, here and behind a second node, and all senders block. At the deadline the node
+    # aborts the connection and logs it; the caller finds a truncated response. No request is in
+    # progress any more: both nodes stop within their grace period of two seconds without aborting
+    # any.
     Given a mixed mesh of 1 mapdesk and 1 licencehub nodes
     When callers ask mapdesk-1 for 30000000 bytes of mapdesk and licencehub and read nothing for 2 s
     Then each finds a part, an end, and a line of deadline at mapdesk-1
     And mapdesk-1 and licencehub-2 stop without cutting anything off
 
-  Scenario: Only what belongs to the request travels
-    # A caller and a backend server send headers that belong to one connection, also ones that only
-    # their Connection header names, and claim to be a node. The other end gets none of them; a
-    # name or value that is legal arrives as it was; one of an answer that is Latin-1 arrives as UTF-8.
+  Scenario: Only end-to-end headers are forwarded
+    # A caller and a backend server send hop-by-hop headers, including ones that only their Connection
+    # header names, and headers that only nodes set. The other end receives none of them. A valid name
+    # or value arrives unchanged; a Latin-1 value in a response arrives as UTF-8.
     Given a mixed mesh of 1 mapdesk and 1 licencehub nodes
     And every backend server only records
     When raw requests are answered by recorders through mapdesk-1
@@ -164,8 +168,9 @@
     And the caller was told completed by mapdesk-1
 
   Scenario: Answers without a body end where they should
-    # HEAD, 204 and 304 have no body whatever their headers say. Two requests on one connection get
-    # two answers; a body read into the wrong place would shift the second.
+    # Responses to HEAD, and with 204 or 304, have no body whatever their headers declare. Two
+    # requests on one connection get their own responses; a body read where there is none would
+    # shift the second.
     Given a mixed mesh of 1 mapdesk and 1 licencehub nodes
     And every backend server only records
     Then two requests on one connection to mapdesk-1 get their own answers
@@ -178,8 +183,8 @@
       | licencehub | GET    | HTTP/1.1 304 Not Modified\r\nContent-Length: 1000\r\nETag: "a"\r\n\r\n | 304 |
 
   Scenario: A caller that waits is invited to send its body
-    # With "Expect: 100-continue" a caller sends no body before it is told to. It is told once, and
-    # gets its one answer; one that is refused is not told to.
+    # With "Expect: 100-continue" a caller waits for 100 Continue before it sends the body. It gets
+    # one 100 Continue and one final response; a caller that is refused gets no 100 Continue.
     Given a mesh of 1 mapdesk nodes
     Then a waiting caller of mapdesk-1 with 5 bytes is invited and gets 200
     And a waiting caller of mapdesk-1 with 200000 bytes is invited and gets 200
--- a/features/path/not_run.feature
+++ b/features/path/not_run.feature
@@ -1,8 +1,9 @@
 Feature: "Not run" is true
 
   Scenario: Instances die while requests wait and run
-    # More bookings come than there are slots. Some wait in the nodes' queues, some run, when two
-    # instances die one after the other. Whoever is told "not run" books elsewhere; it must be true.
+    # There are more bookings than slots. Some are queued at the nodes and some run when two
+    # instances die one after the other. A caller that is told "not run" books elsewhere, so it must
+    # be true.
     Given a mixed mesh of 1 mapdesk and 3 licencehub nodes
       """
       [services.mapdesk]
@@ -24,9 +25,10 @@
     And some bookings ended as completed
 
   Scenario: A node wakes up with old bookings in its sockets
-    # A node is frozen. Bookings reach its sockets and their callers' deadlines pass: "unknown". The
-    # node that sent them dies, so nothing cancels them. When the frozen one goes on, the frames look
-    # fresh. Running them would book what the caller has long given up; nothing runs.
+    # A node is frozen. Bookings reach its sockets and their deadlines pass, so their callers are
+    # told "unknown". The node that sent them dies, so nothing cancels them. When the frozen node
+    # resumes, the frames look new. Running them would make bookings that the callers gave up long
+    # ago.
     Given a mixed mesh of 1 mapdesk and 1 licencehub nodes
     And traffic: 10 bookings a second of licencehub for 1 s
       | key        | value  |
@@ -44,8 +46,8 @@
     And no bookings that ended as unknown ran
 
   Scenario: Backend servers shed load and drain under their nodes
-    # The server itself says that it did not run a request. The node passes that on as "not run"
-    # and the request goes on elsewhere, bookings included.
+    # The server itself responds that it did not run a request. The node reports that as "not run",
+    # and the request is retried elsewhere, bookings included.
     Given a mesh of 3 licencehub nodes
     And the backend server of licencehub-1 shows {"shed": 0.4}
     And the backend server of licencehub-2 shows {"drain": true, "drain_grace_ms": 0}
@@ -58,9 +60,9 @@
     And at least 80% of bookings completed
 
   Scenario: The store is down while bookings with keys come, and an instance dies
-    # Without the store no key can be claimed. The booking is refused as "not run" with when to come
-    # back; lookups go on as before. When the store is back the callers' repeated bookings run. One
-    # server loses half of its answers, so a booking run without a claim would be run again.
+    # Without the store no key can be claimed. Bookings are refused as "not run" with a Retry-After;
+    # lookups are served as before. When the store is back, the callers' retried bookings run. One
+    # server loses half of its responses, so a booking run without a claim would be run again.
     Given a mixed mesh of 2 mapdesk and 2 licencehub nodes
     And the backend server of licencehub-4 shows {"close_before_answer": 0.5}
     And traffic: 15 bookings a second of licencehub for 4 s
@@ -82,9 +84,10 @@
     And at least 50% of bookings completed
 
   Scenario: The settings lose a service while its requests are under way
-    # A node's service was removed from the settings; an ingress node that hasn't heard sends it a
-    # booking. Nothing of it has begun, and the caller must be told so: as a fault of the node it
-    # would pass for unknown, and after an unknown try for "not run".
+    # A node's service was removed from the settings, and an ingress node that has not learned of it
+    # sends it a booking. The booking has not begun, and the caller must be told "not run". As an
+    # error of the node it would be reported as unknown, or as "not run" after an attempt that is
+    # unknown.
     Given the serving side of a node whose backend server never answers
     And its service is no longer in the settings
     Then a booking that reaches it is refused as not run
--- a/features/path/refusals.feature
+++ b/features/path/refusals.feature
@@ -1,8 +1,8 @@
 Feature: A request that was given up gets its final answer at once
 
   Scenario: Three times as much comes as the servers can do, and one of them dies
-    # Each request takes long and the deadline is far away. What can't be served in time is told so
-    # on arrival, with when to come back, and is not held until its deadline.
+    # Each request takes long and has a late deadline. Requests that can't be served in time are
+    # refused on arrival with a Retry-After, and not held until their deadlines.
     Given a mesh of 2 casedesk nodes
       """
       [services.casedesk]
@@ -22,35 +22,35 @@
     And some lookups ended as completed
 
   Scenario: More callers come than one node can hold
-    # The backend servers hang, and callers keep coming: their requests, each with its body, would
-    # fill the node's memory. What is too much is refused at once; urgent requests get the last
-    # places.
+    # The backend servers hang while more callers arrive, and their requests with their bodies would
+    # fill the node's memory. Requests above the limit are refused at once; the last places are for
+    # urgent requests.
     Given a node whose backend servers never answer, with 8 places, of which 2 are for urgent requests
     When 10 routine and then 3 urgent requests come, and all but the refused ones wait
     Then 4 routine and 1 urgent of them were refused at once as overloaded
 
   Scenario: Callers open more connections than the process can spare
-    # Without descriptors the node could reach neither its peers nor its backend server. The
-    # connection that is one too many gets its answer before it has asked.
-    Given a node whose every answer is of 60 kB
+    # Without free file descriptors the node could connect to neither its peers nor its backend
+    # server. A connection above the limit is refused before it has sent a request.
+    Given a node whose every response is 60 kB
     And it takes at most 3 connections
-    When 5 callers connect and then ask
-    Then 3 of them get the answer, and 2 a refusal
+    When 5 callers connect and then send a request
+    Then 3 of them get the response, and 2 a refusal
 
   Scenario: Callers that a full node turns away in one moment don't come back in one moment
-    # The node tells each the same, since each would have waited as long. Told on as it is, they would
-    # all return together and be turned away again.
-    Given the budgets of a service whose routine second tries are used up
-    When 100 requests are refused with 1000 ms to come back after
-    Then at least 50 different times are told, from 1000 to 1500 ms
+    # The node rejects all of them with the same delay, since each would have waited as long.
+    # Without jitter they would all return together and be rejected again.
+    Given the budgets of a service whose routine retries are used up
+    When 100 requests are rejected with a Retry-After of 1000 ms
+    Then at least 50 different delays are returned, from 1000 to 1500 ms
 
   Scenario Outline: Another server is tried only where that can help the caller
-    # A lookup waits for its answer until its deadline. What is left then, some milliseconds, is sent
-    # to another server all the same: no caller gets anything by it, and a lookup under which its
-    # server froze freezes a second one. What is held back is held back at every node.
-    Given a lookup with time left, whose service has second tries to spare
-    When its first try fails as <outcome> with the code <code>
-    Then it <verdict> tried again
+    # A lookup waits for its response until its deadline, and with the few milliseconds that are
+    # left it was sent to another server: no caller gets a response from that, and a lookup that
+    # froze its server freezes a second one. A quarantined request is quarantined at every node.
+    Given a lookup with time left, whose service has retries left
+    When its first attempt fails as <outcome> with the code <code>
+    Then it <verdict> retried
 
     Examples:
       | outcome | code           | verdict |
--- a/features/path/stale_settings.feature
+++ b/features/path/stale_settings.feature
@@ -1,9 +1,9 @@
 Feature: A node that can't know which settings are in force takes no callers' requests
 
   Scenario: A node is cut off from the store and from every other node
-    # The store stops answering and all other nodes die. For the bound in the settings the node goes
-    # on; then it refuses, since a change may have been accepted elsewhere, and says when to come
-    # back. When the store answers again, so does the node.
+    # The store stops responding and all other nodes die. The node goes on serving for the period in
+    # the settings. Then it refuses requests with a Retry-After, since a change may have been
+    # accepted elsewhere, and serves again once the store responds.
     Given a mesh of 2 mapdesk nodes
     And traffic: 10 lookups a second of mapdesk for 2 s
     And traffic: 10 late-lookups a second of mapdesk for 2 s
--- a/features/path/urgent.feature
+++ b/features/path/urgent.feature
@@ -1,8 +1,8 @@
 Feature: Urgent requests don't wait behind routine ones
 
   Scenario: Dispatch asks amid a surge of long routine requests, and an instance dies
-    # Routine requests of four seconds fill every slot they may have and the queues. Urgent
-    # lookups have half a second: one that waited for a routine one to end would be too late.
+    # Routine requests of four seconds fill the queues and every slot that they may use. Urgent
+    # lookups have a deadline of half a second, which one that waited for a routine one would miss.
     Given a mesh of 3 mapdesk nodes
       """
       [services.mapdesk]
@@ -27,8 +27,8 @@
     And all alarms completed
 
   Scenario: Urgent lookups while large routine bodies fill the connections
-    # Routine uploads and answers of megabytes keep the connections between two nodes full. Urgent
-    # lookups travel on connections of their own.
+    # Routine uploads and responses of several megabytes saturate the connections between two nodes.
+    # Urgent lookups are sent on connections of their own.
     Given a mixed mesh of 1 mapdesk and 1 casedesk nodes
     And traffic: 10 filings a second of casedesk for 3 s
       | key          | value   |
@@ -46,8 +46,8 @@
     And all alarms completed
 
   Scenario: Routine refusals leave the urgent requests their second tries
-    # A surge of routine requests is turned away everywhere and has used up its budget of second
-    # tries. An urgent request that meets a dead instance first still goes on to another.
-    Given the budgets of a service whose routine second tries are used up
-    Then an urgent request that certainly did not run may be tried again
-    And a routine request that certainly did not run may not be tried again
+    # A surge of routine requests is rejected everywhere and has used up its retry budget. An urgent
+    # request whose first attempt meets a dead instance is still retried at another one.
+    Given the budgets of a service whose routine retries are used up
+    Then an urgent request that certainly did not run may be retried
+    And a routine request that certainly did not run may not be retried
--- a/features/peer_nodes.py
+++ b/features/peer_nodes.py
@@ -1,4 +1,4 @@
-"""Peer ports of nodes that find out about each other's ends, without processes."""
+"""Peer ports of nodes that detect each other's crashes, without processes."""
 
 import asyncio
 import socket
@@ -19,14 +19,14 @@
 KEY = "a key for peer ports on loopback only"
 HOST = "127.0.0.1"
 NOWHERE = "127.0.0.1:9"
-# Until a connection stands.
+# The timeout for connections to be set up.
 SETTLED_S = 3.0
 POLL_S = 0.01
 
 
 @attrs.define(slots=True, eq=False)
 class PeerNode:
-    """A node's peer port, and what it puts down to whom."""
+    """A node's peer port, and the fingerprints of the runs that it blames for crashes."""
 
     member: Member
     directory: ModelDirectory
@@ -41,9 +41,9 @@
         return list(self.server.server.connections)
 
     def kill(self) -> None:
-        """End as a process does that is killed: nobody listens, and all connections break."""
+        """Stop as a killed process does: the port is closed, and all connections break."""
         assert self.server.server is not None
-        # The library's own close needs a turn of the loop.
+        # The close method of the websockets library takes an iteration of the event loop.
         self.server.server.server.close()
         for session in self.sessions:
             session.transport.abort()
@@ -56,7 +56,7 @@
 
 
 async def open_peer_node(context: Any, name: str, data_centre: str = "nadi-hall") -> PeerNode:
-    """Start the peer port of a node; all know each other once ``meet`` was called."""
+    """Start the peer port of a node; the nodes know each other once ``meet`` was called."""
     clock = SystemClock()
     server = PeerServer(KEY, clock, FreezeDetector(clock))
     server.handler = SilentHandler()
@@ -91,13 +91,13 @@
 
 
 def listen_silently(context: Any) -> str:
-    """Return an address where connections are taken by the system alone."""
+    """Return an address where connections are accepted by the operating system only."""
     silent = context.cleanup.enter_context(socket.create_server((HOST, 0)))
     return "{}:{}".format(*silent.getsockname())
 
 
 def stop_slowly(peer_node: PeerNode, seconds: float) -> None:
-    """End as a process does whose listening socket is closed last, some time after the others."""
+    """Stop as a process does whose listening socket is closed ``seconds`` after the others."""
     host, _, port = peer_node.member.peer_address.rpartition(":")
     peer_node.kill()
     silent = socket.create_server((host, int(port)))
--- a/features/steps/hedging_steps.py
+++ b/features/steps/hedging_steps.py
@@ -27,22 +27,22 @@
 use_step_matcher("parse")
 
 HEDGE_DELAY_MS = 2.0
-END_S = 5.0  # far below the deadline of the requests
+TIMEOUT_S = 5.0  # far below the deadline of the requests
 SETTINGS = RouteSettings(service="mapdesk", hedge_budget=1.0, retry_budget=2.0)
 
 
 @attrs.define(eq=False)
 class ScriptedNodes:
-    """Stands for the peers: each does what its script says, ``hang``, ``lose``, ``answer N``."""
+    """Fake peers: each acts according to its script, such as ``hang``, ``lose`` or ``answer N``."""
 
     scripts: dict[str, str]
-    asked: list[str] = attrs.Factory(list)
+    requested: list[str] = attrs.Factory(list)
     cancelled: set[str] = attrs.Factory(set)
     open: set[str] = attrs.Factory(set)
-    answering: Any = None
+    on_answer: Any = None
 
     async def request(self, address: str, request: Request, body: RequestBody) -> Response:
-        self.asked.append(address)
+        self.requested.append(address)
         try:
             return await self.act(address)
         except asyncio.CancelledError:
@@ -60,12 +60,12 @@
                 ErrorCode.STORE_UNAVAILABLE, "no claim", step="test", retry_after_ms=1000
             )
         if what == "crash":
-            raise UnknownOutcomeError(ErrorCode.BACKEND_FAILED, "ended", step="test", peer=node)
+            raise UnknownOutcomeError(ErrorCode.BACKEND_FAILED, "crashed", step="test", peer=node)
         if what == "lose":
             raise UnknownOutcomeError(ErrorCode.PEER_LOST, "lost", step="test", peer=node)
         self.open.add(node)
-        if self.answering is not None:
-            self.answering()
+        if self.on_answer is not None:
+            self.on_answer()
 
         async def cancel() -> None:
             self.open.discard(node)
@@ -78,19 +78,19 @@
     yield b""
 
 
-class InTurn:
-    """Chooses the nodes in their order, and hedges after a fixed delay; notes what it is told."""
+class InOrderSelector:
+    """A selector that chooses nodes in order, hedges after a fixed delay and records failures."""
 
-    def __init__(self, nodes: list[str], model: Any) -> None:
+    def __init__(self, nodes: list[str], selector: Any) -> None:
         self.nodes = nodes
-        self.model = model
-        self.told: list[str] = []
+        self.selector = selector
+        self.failures: list[str] = []
 
     def rejected(self, *_: Any, **__: Any) -> None:
-        self.told.append("rejected")
+        self.failures.append("rejected")
 
     def lost(self, *_: Any, **__: Any) -> None:
-        self.told.append("lost")
+        self.failures.append("lost")
 
     def choose(self, profile: Any, now: float, excluded: Any = ()) -> str | None:
         return next((node for node in self.nodes if node not in excluded), None)
@@ -99,7 +99,7 @@
         return HEDGE_DELAY_MS
 
     def __getattr__(self, name: str) -> Any:
-        return getattr(self.model, name)
+        return getattr(self.selector, name)
 
 
 @given("a dispatcher with nodes that do {scripts}")
@@ -121,8 +121,8 @@
     context.dispatcher = Dispatcher(
         directory, view, None, context.nodes, clock, rng, Metrics(), Tracer("self", clock, rng)
     )
-    state = context.dispatcher.state("mapdesk")
-    state.selector = InTurn(names, make_selector(SETTINGS, own, rng))
+    state = context.dispatcher.service_state("mapdesk")
+    state.selector = InOrderSelector(names, make_selector(SETTINGS, own, rng))
 
 
 def start(context: Any, remaining_s: float = 60.0) -> "asyncio.Task[Response]":
@@ -138,94 +138,94 @@
     return asyncio.create_task(context.dispatcher.dispatch(request, inline_body(), SETTINGS))
 
 
-async def end(task: "asyncio.Task[Response]") -> Any:
-    async with asyncio.timeout(END_S):
-        (ended,) = await asyncio.gather(task, return_exceptions=True)
-    return ended
+async def wait_for(task: "asyncio.Task[Response]") -> Any:
+    async with asyncio.timeout(TIMEOUT_S):
+        (result,) = await asyncio.gather(task, return_exceptions=True)
+    return result
 
 
 @when("an idempotent request is dispatched")
 def dispatch(context: Any) -> None:
     async def work() -> Any:
-        return await end(start(context))
+        return await wait_for(start(context))
 
-    context.ended = asyncio.run(work())
+    context.result = asyncio.run(work())
 
 
 @when("an idempotent request with {remaining:d} ms left is dispatched")
 def dispatch_with_deadline(context: Any, remaining: int) -> None:
     async def work() -> Any:
-        return await end(start(context, remaining / 1000))
+        return await wait_for(start(context, remaining / 1000))
 
-    context.ended = asyncio.run(work())
+    context.result = asyncio.run(work())
 
 
-@when("an idempotent request is dispatched, and its caller leaves once {count:d} tries run")
-def leave_amid_tries(context: Any, count: int) -> None:
+@when("an idempotent request is dispatched, and its caller disconnects once {count:d} attempts run")
+def disconnect_during_attempts(context: Any, count: int) -> None:
     async def work() -> Any:
         task = start(context)
-        while len(context.nodes.asked) < count:
+        while len(context.nodes.requested) < count:
             await asyncio.sleep(0.001)
         task.cancel()
-        return await end(task)
+        return await wait_for(task)
 
-    context.ended = asyncio.run(work())
+    context.result = asyncio.run(work())
 
 
-@when("an idempotent request is dispatched, and its caller leaves with the second answer")
-def leave_with_answer(context: Any) -> None:
+@when("an idempotent request is dispatched, and its caller disconnects at the second response")
+def disconnect_with_response(context: Any) -> None:
     async def work() -> Any:
         task = start(context)
         loop = asyncio.get_running_loop()
-        # The turn after the try's end is the one in which the hedge cancels the first try.
-        context.nodes.answering = lambda: loop.call_soon(task.cancel)
-        return await end(task)
+        # The hedge cancels the first attempt in the loop iteration after this one.
+        context.nodes.on_answer = lambda: loop.call_soon(task.cancel)
+        return await wait_for(task)
 
-    context.ended = asyncio.run(work())
+    context.result = asyncio.run(work())
 
 
 @then("the caller gets {status:d} from {node}")
 def check_dispatched(context: Any, status: int, node: str) -> None:
-    assert isinstance(context.ended, Response), repr(context.ended)
-    assert (context.ended.status, context.ended.headers) == (status, (("X-Node", node),))
-    context.nodes.open.discard(node)  # the one that is sent on to the caller
+    assert isinstance(context.result, Response), repr(context.result)
+    assert (context.result.status, context.result.headers) == (status, (("X-Node", node),))
+    context.nodes.open.discard(node)  # this response is forwarded to the caller
 
 
 @then("the caller gets an unknown outcome with the code {code}")
 def check_unknown_outcome(context: Any, code: str) -> None:
-    assert isinstance(context.ended, UnknownOutcomeError), repr(context.ended)
-    assert context.ended.code == code, context.ended.code
+    assert isinstance(context.result, UnknownOutcomeError), repr(context.result)
+    assert context.result.code == code, context.result.code
 
 
 @then("the dispatch was cancelled")
 def check_cancelled(context: Any) -> None:
-    assert isinstance(context.ended, asyncio.CancelledError), repr(context.ended)
+    assert isinstance(context.result, asyncio.CancelledError), repr(context.result)
 
 
-@then("the try at {node} was cancelled")
-def check_try_cancelled(context: Any, node: str) -> None:
+@then("the attempt at {node} was cancelled")
+def check_attempt_cancelled(context: Any, node: str) -> None:
     assert node in context.nodes.cancelled, context.nodes.cancelled
 
 
-@then("no answer is left open")
+@then("no response is left open")
 def check_none_open(context: Any) -> None:
     assert not context.nodes.open, context.nodes.open
 
 
-@then("the selector takes no node for full or failing")
-def then_nothing_told(context: Any) -> None:
-    assert isinstance(context.ended, NotRunError), context.ended
-    told = context.dispatcher.states["mapdesk"].selector.told
-    assert not told, told
+@then("the selector counts no node as overloaded or failing")
+def then_no_failure_recorded(context: Any) -> None:
+    assert isinstance(context.result, NotRunError), context.result
+    failures = context.dispatcher.service_states["mapdesk"].selector.failures
+    assert not failures, failures
 
 
-@given("one of the nodes has just refused for want of room")
-def given_refused(context: Any) -> None:
+@given("one of the nodes has just rejected a request as overloaded")
+def given_overloaded(context: Any) -> None:
     dispatcher = context.dispatcher
-    dispatcher.states["mapdesk"].refused_at = dispatcher.clock.monotonic()
+    dispatcher.service_states["mapdesk"].overloaded_at = dispatcher.clock.monotonic()
 
 
-@then("{count:d} node was asked")
-@then("{count:d} nodes were asked")
-def then_asked(context: Any, count: int) -> None:
-    assert len(context.nodes.asked) == count, context.nodes.asked
+@then("{count:d} node got the request")
+@then("{count:d} nodes got the request")
+def then_requested(context: Any, count: int) -> None:
+    assert len(context.nodes.requested) == count, context.nodes.requested
--- a/features/steps/ingress_budget_steps.py
+++ b/features/steps/ingress_budget_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the budgets of second tries, without processes."""
+"""Steps on retry and hedge budgets, without processes."""
 
 import random
 from typing import Any
@@ -14,10 +14,10 @@
 from marjoramtide.settings import RouteSettings
 
 NOW = 1000.0
-MANY = 1000
+MAX_WITHDRAWALS = 1000
 
 
-@given("the budgets of a service whose routine second tries are used up")
+@given("the budgets of a service whose routine retries are used up")
 def given_used_up(context: Any) -> None:
     own = Member("n", "s", "r", "d", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
     context.state = make_service_state(RouteSettings(service="s"), own, random.Random(1))
@@ -25,43 +25,45 @@
         budgets.rejections.deposit(NOW)
         budgets.rejections.deposit(NOW + 1)
     routine = context.state.budgets[False].rejections
-    assert any(not routine.withdraw(NOW + 1) for _ in range(MANY))
+    assert any(not routine.withdraw(NOW + 1) for _ in range(MAX_WITHDRAWALS))
 
 
-def one_try(context: Any, urgent: bool) -> Attempts:
+def make_attempts(context: Any, urgent: bool) -> Attempts:
     request = Request("s", "GET", "/", (), urgent, True, NOW + 10)
     return Attempts(request, inline_body(), RouteSettings(), context.state, count=1)
 
 
 def may_retry(context: Any, urgent: bool) -> bool:
-    attempts = one_try(context, urgent)
+    attempts = make_attempts(context, urgent)
     refused = NotRunError(ErrorCode.CONNECT_FAILED, "refused", step="test")
     return attempts.may_retry(refused, NOW + 1)
 
 
-@then("an urgent request that certainly did not run may be tried again")
+@then("an urgent request that certainly did not run may be retried")
 def then_urgent(context: Any) -> None:
     assert may_retry(context, urgent=True)
 
 
-@then("a routine request that certainly did not run may not be tried again")
+@then("a routine request that certainly did not run may not be retried")
 def then_routine(context: Any) -> None:
     assert not may_retry(context, urgent=False)
 
 
-@when("{count:d} requests are refused with {hint:d} ms to come back after")
-def when_refused(context: Any, count: int, hint: int) -> None:
-    context.told = []
+@when("{count:d} requests are rejected with a Retry-After of {delay_ms:d} ms")
+def when_refused(context: Any, count: int, delay_ms: int) -> None:
+    context.delays = []
     for _ in range(count):
-        attempts = one_try(context, urgent=False)
-        attempts.note(NotRunError(ErrorCode.OVERLOADED, "full", step="test", retry_after_ms=hint))
-        context.told.append(attempts.final_error(NOW).retry_after_ms)
+        attempts = make_attempts(context, urgent=False)
+        attempts.record_failure(
+            NotRunError(ErrorCode.OVERLOADED, "full", step="test", retry_after_ms=delay_ms)
+        )
+        context.delays.append(attempts.final_error(NOW).retry_after_ms)
 
 
-@then("at least {count:d} different times are told, from {least:d} to {most:d} ms")
+@then("at least {count:d} different delays are returned, from {least:d} to {most:d} ms")
 def then_spread(context: Any, count: int, least: int, most: int) -> None:
-    assert len(set(context.told)) >= count, context.told
-    assert least <= min(context.told) and max(context.told) <= most, context.told
+    assert len(set(context.delays)) >= count, context.delays
+    assert least <= min(context.delays) and max(context.delays) <= most, context.delays
 
 
 @given(
@@ -100,20 +102,20 @@
     assert 0 < len(context.sent_at) <= allowed * share / 100, (len(context.sent_at), allowed)
 
 
-@given("a lookup with time left, whose service has second tries to spare")
+@given("a lookup with time left, whose service has retries left")
 def given_lookup(context: Any) -> None:
     own = Member("n", "s", "r", "d", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
     context.state = make_service_state(RouteSettings(service="s"), own, random.Random(1))
-    context.attempts = one_try(context, urgent=False)
+    context.attempts = make_attempts(context, urgent=False)
 
 
-@when("its first try fails as {outcome} with the code {code}")
+@when("its first attempt fails as {outcome} with the code {code}")
 def when_fails(context: Any, outcome: str, code: str) -> None:
     cls = UnknownOutcomeError if outcome == "unknown" else NotRunError
     context.error = cls(ErrorCode(code), "failed", step="test")
-    context.attempts.note(context.error)
+    context.attempts.record_failure(context.error)
 
 
-@then("it {verdict} tried again")
-def then_tried(context: Any, verdict: str) -> None:
+@then("it {verdict} retried")
+def then_retried(context: Any, verdict: str) -> None:
     assert context.attempts.may_retry(context.error, NOW) == (verdict == "is")
--- a/features/steps/ingress_callers_steps.py
+++ b/features/steps/ingress_callers_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the port for callers of a node whose backend servers are a fake."""
+"""Steps on the callers' port of a node with fake backend servers."""
 
 import asyncio
 import itertools
@@ -19,13 +19,13 @@
 
 use_step_matcher("parse")
 
-ANSWER = b"a" * 59999 + b"\n"
+BODY = b"a" * 59999 + b"\n"
 HEAD = b"GET /%d HTTP/1.1\r\nHost: s\r\n\r\n"
 SETTLE_S = 0.3
 
 
-async def answer_at_once(request: Request, body: RequestBody, settings: RouteSettings) -> Response:
-    return Response(200, (), ANSWER, length=len(ANSWER))
+async def respond_at_once(request: Request, body: RequestBody, settings: RouteSettings) -> Response:
+    return Response(200, (), BODY, length=len(BODY))
 
 
 async def start_ingress(context: Any, dispatch: Any) -> None:
@@ -51,10 +51,10 @@
     context.port = context.ingress.runner.addresses[0][1]
 
 
-@given("a node whose every answer is of 60 kB")
+@given("a node whose every response is 60 kB")
 def given_ingress(context: Any) -> None:
     context.runner = context.cleanup.enter_context(asyncio.Runner())
-    context.runner.run(start_ingress(context, answer_at_once))
+    context.runner.run(start_ingress(context, respond_at_once))
 
 
 @given("a caller that has sent {count:d} requests on one connection and reads nothing")
@@ -80,7 +80,7 @@
         context.ingress.is_stopping = True
         await context.ingress.wait_drained()
         await context.ingress.close()
-        # What the process has not handed to the system by now is lost with it.
+        # Bytes that the process has not written to its sockets by now are lost when it exits.
         for transport in transports:
             transport.abort()
         return await reading
@@ -88,29 +88,29 @@
     context.received = context.runner.run(work())
 
 
-@then("each answer that the caller gets is whole")
-def then_whole(context: Any) -> None:
+@then("each response that the caller gets is complete")
+def then_complete(context: Any) -> None:
     parts = STATUS_LINE.split(context.received)[1:]
     answers = list(zip(parts[::2], parts[1::2], strict=True))
     sizes = [len(rest.partition(b"\r\n\r\n")[2]) for status, rest in answers if status == b"200"]
-    assert len(sizes) > 1 and set(sizes) == {len(ANSWER)}, sizes
+    assert len(sizes) > 1 and set(sizes) == {len(BODY)}, sizes
 
 
-@given("it lets callers go that read nothing for {seconds:g} s")
+@given("it disconnects callers that read nothing for {seconds:g} s")
 def given_short_stall(context: Any, seconds: float) -> None:
     context.ingress.server.stall_timeout_s = seconds
 
 
-@then("the node has ended the connection of that caller")
-def then_let_go(context: Any) -> None:
+@then("the node has closed the connection of that caller")
+def then_disconnected(context: Any) -> None:
     assert not context.ingress.server.connections
     context.metrics.flush()
     assert context.metrics.totals["ingress.refused.slow-caller"] == 1, context.metrics.totals
 
 
-async def never_answer(request: Request, body: RequestBody, settings: RouteSettings) -> Response:
+async def never_respond(request: Request, body: RequestBody, settings: RouteSettings) -> Response:
     await asyncio.Event().wait()
-    raise AssertionError("it never ends")
+    raise AssertionError("unreachable")
 
 
 @given(
@@ -119,7 +119,7 @@
 )
 def given_full_ingress(context: Any, places: int, reserve: int) -> None:
     context.runner = context.cleanup.enter_context(asyncio.Runner())
-    context.runner.run(start_ingress(context, never_answer))
+    context.runner.run(start_ingress(context, never_respond))
     context.ingress.max_in_progress, context.ingress.urgent_reserve = places, reserve
 
 
@@ -154,7 +154,7 @@
 
 
 @given("a node whose backend servers answer when it stops")
-def given_answer_at_stop(context: Any) -> None:
+def given_response_at_stop(context: Any) -> None:
     async def answer(request: Request, body: RequestBody, settings: RouteSettings) -> Response:
         while not context.ingress.is_draining:
             await asyncio.sleep(0)
@@ -173,12 +173,12 @@
         await context.ingress.start_draining()
         return await asking
 
-    context.answer = context.runner.run(work())
+    context.response = context.runner.run(work())
 
 
 @then("the caller gets the answer, and the connection is closed")
 def then_answered(context: Any) -> None:
-    assert context.answer.data.endswith(b"late") and context.answer.closed, context.answer
+    assert context.response.data.endswith(b"late") and context.response.closed, context.response
 
 
 @given("it takes at most {count:d} connections")
@@ -186,7 +186,7 @@
     context.ingress.server.max_connections = count
 
 
-@when("{count:d} callers connect and then ask")
+@when("{count:d} callers connect and then send a request")
 def when_connect(context: Any, count: int) -> None:
     async def ask() -> bytes:
         address = f"127.0.0.1:{context.port}"
@@ -195,13 +195,15 @@
     async def work() -> list[bytes]:
         return await asyncio.gather(*(ask() for _ in range(count)), return_exceptions=True)
 
-    context.answers = context.runner.run(work())
+    context.responses = context.runner.run(work())
 
 
-@then("{good:d} of them get the answer, and {bad:d} a refusal")
-def then_turned_away(context: Any, good: int, bad: int) -> None:
-    whole = [data for data in context.answers if isinstance(data, bytes) and ANSWER in data]
-    told = [data for data in context.answers if isinstance(data, bytes) and data not in whole]
-    assert len(whole) == good and all(b"not-run" in data for data in told), told
+@then("{good:d} of them get the response, and {bad:d} a refusal")
+def then_connections_refused(context: Any, good: int, bad: int) -> None:
+    complete = [data for data in context.responses if isinstance(data, bytes) and BODY in data]
+    refused = [
+        data for data in context.responses if isinstance(data, bytes) and data not in complete
+    ]
+    assert len(complete) == good and all(b"not-run" in data for data in refused), refused
     context.metrics.flush()
     assert context.metrics.totals["ingress.refused.overloaded"] == bad
--- a/features/steps/node_ends_steps.py
+++ b/features/steps/node_ends_steps.py
@@ -1,4 +1,4 @@
-"""Steps on finding out whether a node has ended, over real connections, without processes."""
+"""Steps on detecting that a node has crashed, over real connections, without processes."""
 
 import asyncio
 from typing import Any
@@ -12,11 +12,11 @@
 
 use_step_matcher("parse")
 
-# Until a node that answers nothing is not looked at any more.
-LOOKED_AT_S = 0.8
+# Until a node that does not respond is no longer probed.
+PROBED_S = 0.8
 
 
-@given("a node that another one keeps connections to")
+@given("a node that another one has open connections to")
 def given_two(context: Any) -> None:
     context.runner = context.cleanup.enter_context(asyncio.Runner())
     context.peer_nodes, context.closing = [], []
@@ -52,26 +52,26 @@
     async def work() -> None:
         nonlocal member
         match what:
-            case "its process ends":
+            case "its process exits":
                 serving.kill()
-            case "its process ends, and takes connections for 0.2 s":
+            case "its process exits, and accepts connections for 0.2 s":
                 stop_slowly(serving, 0.2)
             case "it resets a connection":
                 serving.sessions[0].transport.abort()
-            case "its process stands still":
+            case "its process is frozen":
                 member = attrs.evolve(member, peer_address=listen_silently(context))
-            case "it is known to leave, and its process ends":
+            case "it is known to leave, and its process exits":
                 member = attrs.evolve(member, state=MemberState.LEAVING)
                 serving.kill()
-        # In the same turn of the loop: of the kept connections none has been read since.
+        # In the same iteration of the event loop, so no open connection has been read since.
         request = Request("mapdesk", "GET", "/", (), False, True, loop_time() + 60.0)
         await other.crash_detector.report_lost_request(member, request, inline_body(), loop_time())
-        await asyncio.sleep(LOOKED_AT_S)
+        await asyncio.sleep(PROBED_S)
 
     context.runner.run(work())
 
 
-@then("it is put down {whom}")
-def put_down(context: Any, whom: str) -> None:
+@then("it is attributed {whom}")
+def then_attributed(context: Any, whom: str) -> None:
     blamed = context.peer_nodes[1].blamed
     assert len(blamed) == (whom == "to that node"), blamed
--- a/features/steps/slowed_steps.py
+++ b/features/steps/slowed_steps.py
@@ -1,4 +1,4 @@
-"""Steps that dispatch requests to nodes whose backend servers are slow at the moment."""
+"""Steps that dispatch requests to nodes whose backend servers are currently slow."""
 
 import asyncio
 import random
@@ -39,20 +39,20 @@
 
 @attrs.define(eq=False)
 class SlowedNodes:
-    """Stands for the peers; those in ``slowed`` turn first tries away, as a serving node does."""
+    """Fake peers; those in ``slowed`` reject first attempts, as a serving node does."""
 
     slowed: set[str]
-    asked: list[str] = attrs.Factory(list)
+    requested: list[str] = attrs.Factory(list)
 
     async def request(self, address: str, request: Request, body: RequestBody) -> Response:
-        self.asked.append(address)
+        self.requested.append(address)
         await asyncio.sleep(0)
         if address in self.slowed and request.attempt == 1:
             raise NotRunError(ErrorCode.SLOWED, "slowed", step="test", report=SLOWED)
         return Response(200, (), report=SLOWED if address in self.slowed else None)
 
 
-def given_nodes(context: Any, names: list[str], slowed: set[str]) -> None:
+def start_dispatcher(context: Any, names: list[str], slowed: set[str]) -> None:
     members = [
         Member(name, "mapdesk", "r", "d", name, name, name, MemberState.READY) for name in names
     ]
@@ -76,12 +76,12 @@
 
 @given("a dispatcher whose only node refuses first tries as slowed")
 def given_only_slowed(context: Any) -> None:
-    given_nodes(context, ["a"], {"a"})
+    start_dispatcher(context, ["a"], {"a"})
 
 
 @given("a dispatcher of which one node refuses first tries as slowed and one answers")
 def given_one_slowed(context: Any) -> None:
-    given_nodes(context, ["a", "b"], {"a"})
+    start_dispatcher(context, ["a", "b"], {"a"})
 
 
 @when("a request comes to it")
@@ -92,29 +92,29 @@
     async def dispatch() -> Response:
         return await context.dispatcher.dispatch(request, inline_body(), SETTINGS)
 
-    context.answer = context.runner.run(dispatch())
+    context.response = context.runner.run(dispatch())
 
 
 @then("it is answered by a second try at that node")
 def answered_second(context: Any) -> None:
-    assert context.answer.status == 200
-    assert context.nodes.asked == ["a", "a"], context.nodes.asked
+    assert context.response.status == 200
+    assert context.nodes.requested == ["a", "a"], context.nodes.requested
 
 
 @then("it is answered by the other node, and the slowed one is asked once at most")
 def answered_by_other(context: Any) -> None:
-    assert context.answer.status == 200
-    assert context.nodes.asked[-1] == "b", context.nodes.asked
-    assert context.nodes.asked.count("a") <= 1, context.nodes.asked
+    assert context.response.status == 200
+    assert context.nodes.requested[-1] == "b", context.nodes.requested
+    assert context.nodes.requested.count("a") <= 1, context.nodes.requested
 
 
 @when("the slowed node tells of its pace before any request")
-def tells_early(context: Any) -> None:
+def reports_early(context: Any) -> None:
     context.dispatcher.record_load_report(context.dispatcher.directory.find("a"), SLOWED)
 
 
 @then("what is believed of it holds the slowdown")
-def believed(context: Any) -> None:
-    state = context.dispatcher.state("mapdesk")
-    told = state.selector.believed("a", SystemClock().monotonic())
-    assert told.get("slowdown") == SLOWED.slowdown, told
+def estimate_has_slowdown(context: Any) -> None:
+    state = context.dispatcher.service_state("mapdesk")
+    estimate = state.selector.believed("a", SystemClock().monotonic())
+    assert estimate.get("slowdown") == SLOWED.slowdown, estimate
--- a/features/steps/start_up_steps.py
+++ b/features/steps/start_up_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the first moments of a node."""
+"""Steps on the grace period of a node that has just started or was frozen."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 import aiohttp
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.steps.ingress_callers_steps import answer_at_once
+from features.steps.ingress_callers_steps import respond_at_once
 from features.steps.slowed_steps import SETTINGS, SlowedNodes
 from marjoramtide.clock import FreezeDetector, SystemClock
 from marjoramtide.exchange import NotRunError, Request, Response, inline_body
@@ -19,7 +19,7 @@
 
 use_step_matcher("parse")
 
-HANGS_S = 2.0
+TIMEOUT_S = 2.0
 
 
 def make_member(name: str, service: str) -> Member:
@@ -40,7 +40,7 @@
     clock, rng = SystemClock(), random.Random(1)
     context.runner = context.cleanup.enter_context(asyncio.Runner())
     context.nodes = SlowedNodes(set())
-    context.start_up = StartupGrace(clock)
+    context.startup_grace = StartupGrace(clock)
     context.dispatcher = Dispatcher(
         directory,
         view,
@@ -50,32 +50,32 @@
         rng,
         Metrics(),
         Tracer("own", clock, rng),
-        start_up=context.start_up,
+        startup_grace=context.startup_grace,
     )
 
 
-@given("a dispatcher in its first moments that knows nobody")
-def given_first_moments(context: Any) -> None:
+@given("a dispatcher in its grace period that knows no other nodes")
+def given_grace_period(context: Any) -> None:
     start_dispatcher(context)
-    context.start_up.begin()
+    context.startup_grace.begin()
 
 
-@given("a dispatcher in its first moments that knows a node, and not what is held back")
-def given_uninformed(context: Any) -> None:
+@given("a dispatcher in its grace period that knows a node, but not which requests are quarantined")
+def given_unknown_quarantine(context: Any) -> None:
     start_dispatcher(context)
     context.members = [make_member("a", "mapdesk")]
-    context.informed = False
-    context.start_up.is_quarantine_known = lambda: context.informed
-    context.start_up.begin()
+    context.is_quarantine_known = False
+    context.startup_grace.is_quarantine_known = lambda: context.is_quarantine_known
+    context.startup_grace.begin()
 
 
-@given("a dispatcher that has long been up and knows nobody")
+@given("a dispatcher that has long been up and knows no other nodes")
 def given_long_up(context: Any) -> None:
     start_dispatcher(context)
 
 
-@when("a request comes to it, and {seconds:g} s later news of {what}")
-def request_before_news(context: Any, seconds: float, what: str) -> None:
+@when("a request comes to it, and {seconds:g} s later it learns of {what}")
+def request_before_update(context: Any, seconds: float, what: str) -> None:
     now = SystemClock().monotonic()
     request = Request("mapdesk", "POST", "/", (), False, False, now + 5, goal=now + 3)
 
@@ -85,41 +85,41 @@
         except NotRunError as error:
             return error
         finally:
-            context.took_s = SystemClock().monotonic() - now
+            context.elapsed_s = SystemClock().monotonic() - now
 
     async def work() -> Response | NotRunError:
-        asked = asyncio.create_task(dispatch())
+        task = asyncio.create_task(dispatch())
         await asyncio.sleep(seconds)
         context.members = [make_member("a", "mapdesk")]
-        context.informed = True
-        context.start_up.notify()
-        async with asyncio.timeout(HANGS_S):
-            return await asked
+        context.is_quarantine_known = True
+        context.startup_grace.notify()
+        async with asyncio.timeout(TIMEOUT_S):
+            return await task
 
-    context.ended = context.runner.run(work())
+    context.result = context.runner.run(work())
 
 
 @then("it is answered by that node")
 def answered_by_it(context: Any) -> None:
-    assert isinstance(context.ended, Response), context.ended
-    assert context.nodes.asked == ["a"], context.nodes.asked
+    assert isinstance(context.result, Response), context.result
+    assert context.nodes.requested == ["a"], context.nodes.requested
 
 
 @then("it is answered by that node after {least:g} to {most:g} s")
 def answered_after(context: Any, least: float, most: float) -> None:
     answered_by_it(context)
-    assert least <= context.took_s <= most, context.took_s
+    assert least <= context.elapsed_s <= most, context.elapsed_s
 
 
 @then("it was refused within {seconds:g} s as {code}")
 def refused_within(context: Any, seconds: float, code: str) -> None:
-    assert getattr(context.ended, "code", None) == code, context.ended
-    assert context.ended.retry_after_ms, context.ended
-    assert context.took_s < seconds, context.took_s
+    assert getattr(context.result, "code", None) == code, context.result
+    assert context.result.retry_after_ms, context.result
+    assert context.elapsed_s < seconds, context.elapsed_s
 
 
 def start_port(context: Any) -> None:
-    """Start a callers' port whose node holds no settings in force."""
+    """Start a callers' port of a node without settings in force."""
     clock = SystemClock()
     context.freeze = FreezeDetector(clock)
     context.view = SimpleNamespace(
@@ -131,33 +131,33 @@
         on_change=lambda listener: None,
     )
     context.runner = context.cleanup.enter_context(asyncio.Runner())
-    context.start_up = StartupGrace(clock, context.freeze)
+    context.startup_grace = StartupGrace(clock, context.freeze)
     context.ingress = Ingress(
         "n",
         context.view,
-        SimpleNamespace(dispatch=answer_at_once),
+        SimpleNamespace(dispatch=respond_at_once),
         clock,
         Metrics(),
         Tracer("n", clock, random.Random(1)),
-        start_up=context.start_up,
+        startup_grace=context.startup_grace,
     )
     context.runner.run(context.ingress.start("127.0.0.1", 0))
     context.cleanup.callback(lambda: context.runner.run(context.ingress.close()))
 
 
-@given("a callers' port in its first moments without settings")
+@given("a callers' port in its grace period without settings")
 def given_port(context: Any) -> None:
     start_port(context)
-    context.start_up.begin()
+    context.startup_grace.begin()
 
 
-@given("a callers' port that has long been up, and stood still for {seconds:g} s")
-def given_stopped_port(context: Any, seconds: float) -> None:
+@given("a callers' port that has long been up, and was frozen for {seconds:g} s")
+def given_frozen_port(context: Any, seconds: float) -> None:
     start_port(context)
     context.freeze.last_look -= seconds
 
 
-@when("a caller asks there, and {seconds:g} s later the settings come")
+@when("a caller sends a request there, and {seconds:g} s later the settings arrive")
 def asks_before_settings(context: Any, seconds: float) -> None:
     port = context.ingress.runner.addresses[0][1]
 
@@ -169,12 +169,12 @@
             return response.status
 
     async def work() -> int:
-        asked = asyncio.create_task(ask())
+        task = asyncio.create_task(ask())
         await asyncio.sleep(seconds)
         context.view.is_current = True
-        context.start_up.notify()
-        async with asyncio.timeout(HANGS_S):
-            return await asked
+        context.startup_grace.notify()
+        async with asyncio.timeout(TIMEOUT_S):
+            return await task
 
     context.status = context.runner.run(work())
 
--- a/src/marjoramtide/exchange/__init__.py
+++ b/src/marjoramtide/exchange/__init__.py
@@ -1,4 +1,4 @@
-"""One request and its one answer, in the form in which the parts of a node hand them on."""
+"""Requests and responses, as the components of a node pass them to each other."""
 
 from marjoramtide.exchange._failures import (
     NotRunError,
--- a/src/marjoramtide/exchange/_failures.py
+++ b/src/marjoramtide/exchange/_failures.py
@@ -8,10 +8,11 @@
 
 
 class RequestFailedError(MarjoramtideError):
-    """A request without an answer; ``report`` is the load of the serving node, where it said so.
+    """A request failed; ``report`` is the load report of the serving node, if it sent one.
 
-    ``tries`` are the decisions that the ingress node made on the way, for its log.
-    ``reached`` tells whether the backend server was sent the request, even if it did not run it.
+    ``decisions`` are those that the ingress node made for the request, for its log.
+    ``reached_backend`` is true if the backend server was sent the request, even if it did not run
+    it.
     """
 
     def __init__(
@@ -28,7 +29,7 @@
         super().__init__(code, message, step=step, peer=peer, retry_after_ms=retry_after_ms)
         self.report = report
         self.reached_backend = reached_backend
-        self.tries: Sequence[Any] = ()
+        self.decisions: Sequence[Any] = ()
 
 
 class NotRunError(RequestFailedError):
@@ -36,4 +37,4 @@
 
 
 class UnknownOutcomeError(RequestFailedError):
-    """A backend server may have begun the request, and its whole answer did not arrive."""
+    """A backend server may have begun the request, and no complete response arrived."""
--- a/src/marjoramtide/exchange/_fingerprint.py
+++ b/src/marjoramtide/exchange/_fingerprint.py
@@ -1,4 +1,4 @@
-"""Telling whether two requests are the same one, sent again."""
+"""Fingerprints by which retries of a request are recognised."""
 
 import hashlib
 import itertools
@@ -7,20 +7,20 @@
 from marjoramtide.exchange._request import Request
 from marjoramtide.exchange._request_body import RequestBody
 
-# Headers that tell one caller's request from another's. All others may differ from one attempt to
-# the next (ids, dates, traces), and a request that looks new each time is never recognised.
+# Headers that distinguish the requests of different callers. All others may vary between attempts
+# (ids, dates, traces), and a request whose fingerprint varies would never be recognised.
 IDENTITY_HEADERS = frozenset(("authorization", "host"))
 FINGERPRINT_BYTES = 8
 
 
 class Fingerprinter:
-    """Makes a number of 64 bits of what stays the same when a request is sent again.
+    """Computes a 64-bit hash of the parts of a request that stay the same when it is retried.
 
-    That is its service, workspace, method, target, body and ``IDENTITY_HEADERS``. Of a long body it
-    is the length: no more is known of one before the request is admitted.
+    These are its service, workspace, method, target, body and ``IDENTITY_HEADERS``. Of a long body
+    only the length is used, since no more is known before the request is admitted.
 
-    By BLAKE2b (RFC 7693) with the fleet's key: all nodes of a fleet make the same number of a
-    request, and no caller can make up another request with the number of somebody else's.
+    The hash is BLAKE2b (RFC 7693) with the fleet's key: all nodes of a fleet compute the same hash,
+    and no caller can construct a request with the hash of another caller's.
     """
 
     def __init__(self, key: str) -> None:
@@ -28,17 +28,17 @@
 
     def of(self, request: Request, body: RequestBody) -> int:
         """Return the fingerprint of a request."""
-        who: Iterable[str] = (
+        identity: Iterable[str] = (
             f"{name.lower()}:{value}"
             for name, value in request.headers
             if name.lower() in IDENTITY_HEADERS
         )
         if request.workspace:
-            who = itertools.chain(who, (f"workspace:{request.workspace}",))
-        # Line feeds stand in no method, target or header, so that no part runs into the next.
-        head = "\n".join((request.service, request.method, request.target, *who, ""))
+            identity = itertools.chain(identity, (f"workspace:{request.workspace}",))
+        # No method, target or header contains a line feed, so the parts can't be confused.
+        head = "\n".join((request.service, request.method, request.target, *identity, ""))
         digest = hashlib.blake2b(
             head.encode(errors="surrogateescape"), digest_size=FINGERPRINT_BYTES, key=self.key
         )
-        digest.update(body.content)
+        digest.update(body.fingerprint_input)
         return int.from_bytes(digest.digest())
--- a/src/marjoramtide/exchange/_handler.py
+++ b/src/marjoramtide/exchange/_handler.py
@@ -1,4 +1,4 @@
-"""The interface of whoever serves requests."""
+"""The interface of components that serve requests."""
 
 from abc import ABC, abstractmethod
 
@@ -8,12 +8,12 @@
 
 
 class RequestHandler(ABC):
-    """Serves one request: beside its own backend server, or by way of another node."""
+    """Serves requests, at its own backend server or through another node."""
 
     @abstractmethod
     async def handle(self, request: Request, body: RequestBody) -> Response:
-        """Return the answer, or raise ``NotRunError`` or ``UnknownOutcomeError``.
+        """Return the response, or raise ``NotRunError`` or ``UnknownOutcomeError``.
 
-        Cancelling the call cancels the request where it has not begun to run, and otherwise gives
-        up its answer.
+        Cancelling the call cancels the request if it has not begun to run, and otherwise discards
+        its response.
         """
--- a/src/marjoramtide/exchange/_headers.py
+++ b/src/marjoramtide/exchange/_headers.py
@@ -1,8 +1,8 @@
-"""Which headers travel from end to end."""
+"""End-to-end and hop-by-hop headers."""
 
 from collections.abc import Iterable
 
-# RFC 9110, section 7.6.1, with the ones that name a connection by custom.
+# RFC 9110, section 7.6.1, and others that concern a connection by convention.
 HOP_BY_HOP = frozenset(
     (
         "connection",
@@ -16,7 +16,7 @@
         "upgrade",
     )
 )
-# Written anew at each hop.
+# Headers that each hop sets itself.
 REWRITTEN_REQUEST_HEADERS = frozenset(
     (
         "content-length",
@@ -34,17 +34,19 @@
 
 
 def end_to_end(
-    headers: Iterable[tuple[str, str]], own: frozenset[str]
+    headers: Iterable[tuple[str, str]], rewritten: frozenset[str]
 ) -> tuple[tuple[str, str], ...]:
-    """Return the headers without those of the connection, the ones it names, and ours."""
+    """Return the headers without hop-by-hop ones, those named by Connection, and ``rewritten``."""
     kept = []
-    named: set[str] = set()
+    connection_options: set[str] = set()
     for name, value in headers:
         lower = name.lower()
         if lower == "connection":
-            named.update(token.strip().lower() for token in value.split(","))
-        elif lower not in HOP_BY_HOP and lower not in own:
+            connection_options.update(token.strip().lower() for token in value.split(","))
+        elif lower not in HOP_BY_HOP and lower not in rewritten:
             kept.append((name, value))
-    if named:
-        return tuple((name, value) for name, value in kept if name.lower() not in named)
+    if connection_options:
+        return tuple(
+            (name, value) for name, value in kept if name.lower() not in connection_options
+        )
     return tuple(kept)
--- a/src/marjoramtide/exchange/_load_report.py
+++ b/src/marjoramtide/exchange/_load_report.py
@@ -1,29 +1,29 @@
-"""What a serving node knows of its own backend server."""
+"""The load report of a serving node about its backend server."""
 
 import attrs
 
 from marjoramtide.exchange._server_statement import ServerStatement
 
-# The upper bits of a report's sequence count the starts of the backend server that the node has
-# seen; a node makes far fewer reports than this for each of them.
-REPORTS_A_START = 1 << 32
+# The upper bits of a report's sequence number count the starts of the backend server that the node
+# has seen. A node sends far fewer reports than this for each of them.
+REPORTS_PER_START = 1 << 32
 
 
 @attrs.frozen(slots=True)
 class LoadReport:
-    """Exact local knowledge at one moment, carried on every answer and rejection between nodes.
-
-    ``service_time_ms`` is the smoothed time of executions, 0 while unknown; ``success_rate`` is the
-    share of recent executions that succeeded. ``sequence`` grows with each report of a node, so
-    that a late one never replaces a newer one; ``incarnation`` is the part of it that grows when
-    another start takes the place of the backend server. ``accepts`` is false while starting or
-    draining.
-
-    ``slowdown`` is how many times longer work takes there now than undisturbed, and stays so for
-    ``holds_ms``, negative where that isn't known; after that it may change every ``period_ms``,
-    and is ``usual_slowdown`` on the mean. Where a backend server tells that, ``service_time_ms`` is
-    the time of undisturbed work. ``statement`` is what the server says that it takes, ``None``
-    where it asks for nothing.
+    """The local load at one moment, sent with every response and rejection between nodes.
+
+    ``service_time_ms`` is the smoothed execution time, 0 while unknown; ``success_rate`` is the
+    share of recent executions that succeeded. ``sequence`` increases with each report of a node, so
+    that a delayed report never replaces a newer one; ``incarnation`` is the part of it that
+    increases when the backend server is replaced by a newly started one. ``accepts`` is false while
+    the server is starting or draining.
+
+    ``slowdown`` is the factor by which execution currently takes longer than without interference.
+    It stays the same for ``holds_ms`` (negative if unknown), may then change every ``period_ms``,
+    and has the mean ``usual_slowdown``. If a backend server reports these, ``service_time_ms`` is
+    the time without interference. ``statement`` is the server's own statement about the load that
+    it accepts, ``None`` if it makes none.
     """
 
     in_use: int
@@ -43,19 +43,19 @@
 
     @property
     def incarnation(self) -> int:
-        """Return which start of the backend server this is of, counted by its node from 0.
+        """Return the number of the backend server's start, counted by its node from 0.
 
-        Part of the sequence, and not a field of its own, so that a node that knows nothing of it
-        still reads the report and takes it for newer than those of former starts.
+        It is part of the sequence and not a field of its own, so that a node of a version without
+        it can still read the report and treats it as newer than those of earlier starts.
         """
-        return self.sequence // REPORTS_A_START
+        return self.sequence // REPORTS_PER_START
 
     @property
     def load(self) -> float:
-        """Return what runs and waits, as a multiple of the limit."""
+        """Return the running and queued requests as a multiple of the limit."""
         return (self.in_use + self.queued_urgent + self.queued_routine) / max(1, self.limit)
 
 
 def first_sequence(incarnation: int) -> int:
-    """Return the sequence of the first report of a start of the backend server."""
-    return incarnation * REPORTS_A_START + 1
+    """Return the sequence number of the first report after a start of the backend server."""
+    return incarnation * REPORTS_PER_START + 1
--- a/src/marjoramtide/exchange/_outcome.py
+++ b/src/marjoramtide/exchange/_outcome.py
@@ -1,4 +1,4 @@
-"""What a caller is told of its request."""
+"""The outcome of a request, as reported to its caller."""
 
 from enum import StrEnum
 
@@ -6,8 +6,8 @@
 class Outcome(StrEnum):
     """The value of the ``Request-Outcome`` header.
 
-    ``not-run`` is said only where it is known that no backend server began the request;
-    ``unknown`` where one may have.
+    ``not-run`` is only sent if it is certain that no backend server began the request, and
+    ``unknown`` if one may have.
     """
 
     COMPLETED = "completed"
--- a/src/marjoramtide/exchange/_request.py
+++ b/src/marjoramtide/exchange/_request.py
@@ -4,24 +4,28 @@
 
 from marjoramtide.exchange._server_statement import ServerStatement
 
-LABEL_CHARACTERS = 100
+MAX_LABEL_CHARACTERS = 100
 
 
 @attrs.frozen(slots=True)
 class Request:
-    """What the ingress node read from a caller, without the body.
-
-    ``target`` is the path with its query as the caller sent it; ``headers`` are the end-to-end
-    ones in their order. ``deadline`` is in seconds of this process's monotonic clock: between nodes
-    only what remains of it travels. ``trace`` is a W3C ``traceparent``. ``request_id`` is what the
-    caller calls this attempt, for logs and for telling its answer from others. Inside a class a
-    lower ``rank`` goes first; an answer after ``goal``, on the same clock as the deadline and equal
-    to it where none is known, is worth less to its caller. ``depth`` is 1 for a caller's request
-    and one more for each call on the way that led to this one; ``parent`` is the id of the running
-    request that made this call, empty where that isn't told. ``relayed`` where another node took it
-    from its caller, and knows that it is here; ``statement`` is what that one has heard of the
-    backend server here, ``None`` where it asks for nothing. ``workspace`` is whom it is for, empty
-    where that isn't known; a call is for the workspace of the request that made it.
+    """A request as the ingress node read it from a caller, without the body.
+
+    ``target`` is the path and query as the caller sent them; ``headers`` are the end-to-end headers
+    in their order. ``deadline`` is in seconds of this process's monotonic clock; nodes send each
+    other the remaining time. ``trace`` is a W3C ``traceparent``. ``request_id`` is the caller's id
+    of this attempt, for logs and for matching responses.
+
+    Within a priority class a lower ``rank`` is served first. ``goal`` is the latency target on the
+    same clock as the deadline, infinite if there is none: a later response is worth less to the
+    caller.
+
+    ``depth`` is 1 for a caller's request, and one more for each level of nested calls.
+    ``parent_run`` is the id of the running request that made this call, empty if unknown.
+    ``relayed`` is true if another node received the request from its caller and knows that it is
+    here. ``statement`` is that node's last known statement of the backend server here, ``None`` if
+    there is none. ``workspace`` is the name of the caller's workspace, empty if unknown; a nested
+    call has the workspace of the request that made it.
     """
 
     service: str
@@ -45,10 +49,10 @@
 
     @property
     def label(self) -> str:
-        """Return the method and the target, cut to what a log line bears."""
-        return f"{self.method} {self.target}"[:LABEL_CHARACTERS]
+        """Return the method and the target, truncated for log lines."""
+        return f"{self.method} {self.target}"[:MAX_LABEL_CHARACTERS]
 
     @property
     def is_call(self) -> bool:
-        """Tell whether a running request has made this one, and waits for it."""
+        """Return whether this is a nested call, which a running request waits for."""
         return self.depth > 1
--- a/src/marjoramtide/exchange/_response.py
+++ b/src/marjoramtide/exchange/_response.py
@@ -1,4 +1,4 @@
-"""The answer of a backend server on its way to the caller."""
+"""The response of a backend server on its way to the caller."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable, Sequence
 from typing import Any
@@ -7,19 +7,19 @@
 
 from marjoramtide.exchange._load_report import LoadReport
 
-SERVER_ERROR = 500
+MIN_SERVER_ERROR_STATUS = 500
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Response:
     """Status and headers, with the whole body or with the stream of a large one.
 
-    ``served_ms`` is how long the request spent at the serving node until the head of the answer,
-    ``work_ms`` how long the backend server would have taken undisturbed, 0 where that isn't known.
-    ``stream`` raises ``UnknownOutcomeError`` where the rest of the body does not arrive, so that a
-    truncated answer can't be taken for a whole one. ``cancel`` tells whoever is still producing the
-    body to stop; it is called once, by whoever does not read the stream to its end. ``tries`` are
-    those that led to this answer, for the log.
+    ``served_ms`` is the time that the request spent at the serving node until the response head,
+    ``work_ms`` the time that the backend server would have taken without interference, 0 if
+    unknown. ``stream`` raises ``UnknownOutcomeError`` if the rest of the body does not arrive, so
+    that a truncated response can't be taken for a complete one. ``cancel`` stops the producer of
+    the body; a consumer that does not read the stream to its end calls it once. ``decisions`` are
+    the attempts that led to this response, for the log.
     """
 
     status: int
@@ -31,15 +31,15 @@
     served_ms: float | None = None
     work_ms: float = 0.0
     cancel: Callable[[], Awaitable[None]] | None = None
-    tries: Sequence[Any] = ()
+    decisions: Sequence[Any] = ()
 
     @property
     def is_server_error(self) -> bool:
-        """Tell whether the backend server failed at the request (status 5xx)."""
-        return self.status >= SERVER_ERROR
+        """Return whether the status is a server error (5xx)."""
+        return self.status >= MIN_SERVER_ERROR_STATUS
 
     async def close(self) -> None:
-        """Stop a stream that nobody reads any more."""
+        """Stop the stream, since it is no longer read."""
         if self.cancel is not None:
             cancel, self.cancel = self.cancel, None
             await cancel()
--- a/src/marjoramtide/exchange/_runs.py
+++ b/src/marjoramtide/exchange/_runs.py
@@ -1,4 +1,4 @@
-"""What a backend server runs, as far as the calls that it makes are concerned."""
+"""The interface for looking up the running requests that made nested calls."""
 
 from abc import ABC, abstractmethod
 
@@ -6,23 +6,23 @@
 
 
 class RunRegistry(ABC):
-    """Finds running requests by identities that only whoever runs them is told."""
+    """Finds running requests by run ids that only the backend server running them knows."""
 
     @abstractmethod
     def find(self, run: str) -> Request | None:
-        """Return the request that runs under an identity."""
+        """Return the request that is running with this id."""
 
     @abstractmethod
     def may_have_run(self, run: str) -> bool:
-        """Tell whether a run may have been there that isn't known, or has just ended."""
+        """Return whether an unknown run may have had this id, or one that just ended."""
 
     @abstractmethod
     def record_refused_call(self, run: str) -> None:
-        """Note that a call of a run was refused for want of room."""
+        """Record that a nested call of a run was refused for lack of capacity."""
 
 
 class EmptyRunRegistry(RunRegistry):
-    """For a node whose backend server makes no calls."""
+    """Registry of a node whose backend server makes no nested calls."""
 
     def find(self, run: str) -> Request | None:
         return None
--- a/src/marjoramtide/exchange/_server_statement.py
+++ b/src/marjoramtide/exchange/_server_statement.py
@@ -1,15 +1,15 @@
-"""What a backend server says of itself beside its load."""
+"""A backend server's own statement about the load that it accepts."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class ServerStatement:
-    """What one start of a backend server says that it takes.
+    """The load that a backend server accepts between one start and the next, by its own statement.
 
-    ``instance`` is the identity of that start, empty where it has none. ``rate_per_s`` is how many
-    requests a second it takes from all callers together, ``None`` where it names no limit.
-    ``leaving`` tells that it takes nothing new at all.
+    ``instance`` is the id of that start, empty if it has none. ``rate_per_s`` is the number of
+    requests per second it accepts from all callers together, ``None`` if it states no limit.
+    ``leaving`` is true if it accepts no new requests.
     """
 
     instance: str = ""
@@ -18,5 +18,5 @@
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether it asks for nothing."""
+        """Return whether the statement restricts nothing."""
         return self.rate_per_s is None and not self.leaving
--- a/src/marjoramtide/ingress/__init__.py
+++ b/src/marjoramtide/ingress/__init__.py
@@ -1,4 +1,4 @@
-"""The side of a node that callers reach."""
+"""The ingress side of a node: HTTP requests of callers, from parsing to the final response."""
 
 from marjoramtide.ingress._authenticator import Authenticator
 from marjoramtide.ingress._caller_protocol import CallerProtocol
--- a/src/marjoramtide/ingress/_attempts.py
+++ b/src/marjoramtide/ingress/_attempts.py
@@ -1,4 +1,4 @@
-"""The tries made for one request."""
+"""The attempts made for one request."""
 
 import attrs
 
@@ -16,23 +16,30 @@
 from marjoramtide.ingress._service_state import ServiceState
 from marjoramtide.settings import RouteSettings
 
+# A Retry-After from a serving node is multiplied by a random factor from 1 up to this.
 RETRY_AFTER_JITTER = 1.5
-# Runs that may be lost with their servers or nodes until a request is not given to another one.
-MAX_LOST = 2
-LOST = frozenset((ErrorCode.PEER_LOST, ErrorCode.BACKEND_FAILED, ErrorCode.TRUNCATED))
+# A request is not sent to another node after this many of its runs were lost with their server or
+# node.
+MAX_LOST_RUNS = 2
+LOST_RUN_CODES = frozenset((ErrorCode.PEER_LOST, ErrorCode.BACKEND_FAILED, ErrorCode.TRUNCATED))
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Attempts:
-    """What has been tried, and what may be told of it.
-
-    ``unknown`` is the first failure after which a backend server may have begun the request. While
-    it is set, "not run" would be a lie whatever later tries say. ``count`` is how many nodes were
-    asked, ``turned_away`` how many of them refused before their backend server saw the request.
-    ``slowed`` are nodes that refused only because their backend server is slow at this moment.
-    ``running`` holds when each try that has not ended was begun, by its node; ``lost`` when those
-    were that broke off without an answer, with whatever ran them.
-    ``story`` holds what became of each try, for the log of a request that fails.
+    """The attempts of one request and what they allow the caller to be told.
+
+    ``count`` is the number of nodes the request was sent to, ``not_reached_backend`` how many of
+    them rejected it before their backend server saw it. ``rejected_by`` are the nodes that rejected
+    it, ``slowed_nodes`` those that did so only because their backend server is slow at the moment.
+
+    ``running_since`` holds the start of each attempt in progress by node, ``lost_since`` the starts
+    of those that were lost with the server or node that ran them.
+
+    ``unknown_error`` is the first failure after which a backend server may have begun the request.
+    Once it is set, the caller must not be told "not run", whatever later attempts report.
+    ``not_run_error`` is the last failure of the other kind.
+
+    ``decisions`` records the outcome of each attempt, for the log of a request that fails.
     """
 
     request: Request
@@ -41,69 +48,70 @@
     state: ServiceState
     excluded: set[str] = attrs.Factory(set)
     rejected_by: set[str] = attrs.Factory(set)
-    slowed: set[str] = attrs.Factory(set)
+    slowed_nodes: set[str] = attrs.Factory(set)
     count: int = 0
-    turned_away: int = 0
-    running: dict[str, float] = attrs.Factory(dict)
-    lost: list[float] = attrs.Factory(list)
-    unknown: UnknownOutcomeError | None = None
-    refused: RequestFailedError | None = None
-    answers: list[Response] = attrs.Factory(list)
-    story: list[Decision] = attrs.Factory(list)
+    not_reached_backend: int = 0
+    running_since: dict[str, float] = attrs.Factory(dict)
+    lost_since: list[float] = attrs.Factory(list)
+    unknown_error: UnknownOutcomeError | None = None
+    not_run_error: RequestFailedError | None = None
+    responses: list[Response] = attrs.Factory(list)
+    decisions: list[Decision] = attrs.Factory(list)
 
     @property
     def budgets(self) -> ClassBudgets:
         return self.state.budgets[self.request.urgent]
 
-    def note(self, error: RequestFailedError) -> None:
-        """Remember how a try failed."""
+    def record_failure(self, error: RequestFailedError) -> None:
+        """Record how an attempt failed."""
         if isinstance(error, UnknownOutcomeError):
-            self.unknown = self.unknown or error
+            self.unknown_error = self.unknown_error or error
         else:
             if error.code is ErrorCode.UNKNOWN_SERVICE:
-                # Failure: an instance was replaced, and its address belongs to a node of another
-                # service, which says so. Told on, the caller hears "not found" of a route that is
-                # there. Whether a route is there is this node's own knowledge alone.
+                # The address of a replaced instance may belong to a node of another service by now.
+                # Passed on to the caller, its reply would be a 404 for a route that exists; only
+                # this node's own settings decide that.
                 error.code = ErrorCode.NO_CANDIDATE
-            self.refused = error
+            self.not_run_error = error
             if error.code is ErrorCode.EVACUATED:
-                # That this node has not heard of it yet must not use up the caller's tries.
+                # This node has not learned of the evacuation yet. That must not use up the attempts
+                # that the route allows.
                 self.count -= 1
             else:
-                self.turned_away += not error.reached_backend
+                self.not_reached_backend += not error.reached_backend
 
-    def settle(self, ended: Response | BaseException) -> Exception | None:
-        """Take the end of a try: ``None`` where its answer is final, else how it failed.
+    def record_result(self, result: Response | BaseException) -> Exception | None:
+        """Record the end of an attempt; return its failure, or ``None`` for a final response.
 
-        A server error of an idempotent request is kept as the answer for want of a better one.
+        A server error in response to an idempotent request is kept in case no attempt does better.
         """
-        if isinstance(ended, Response):
-            self.answers.append(ended)
-            if not ended.is_server_error:
+        if isinstance(result, Response):
+            self.responses.append(result)
+            if not result.is_server_error:
                 return None
             return UnknownOutcomeError(
-                ErrorCode.BACKEND_FAILED, f"status {ended.status}", step="ingress.attempt"
+                ErrorCode.BACKEND_FAILED, f"status {result.status}", step="ingress.attempt"
             )
-        if not isinstance(ended, RequestFailedError):
-            raise ended
-        self.note(ended)
-        return ended
+        if not isinstance(result, RequestFailedError):
+            raise result
+        self.record_failure(result)
+        return result
 
-    def take_answer(self) -> Response:
-        """Return the last answer, for the caller; it is no longer ours to close."""
-        return self.answers.pop()
+    def pop_response(self) -> Response:
+        """Return the last response; the caller of this method has to close it from now on."""
+        return self.responses.pop()
 
     def may_retry(self, error: Exception, now: float) -> bool:
-        """Tell whether another try is allowed after ``error``, and charge its budget.
+        """Return whether to make another attempt after ``error``, and charge its budget.
 
-        A request that may have begun goes on only where it is idempotent; one that certainly did
-        not run goes on whatever it is. A body that was read from the caller can't be sent again.
+        A request that may have begun is retried only if it is idempotent; one that certainly did
+        not run is always safe to retry. A body that was streamed from the caller can't be resent.
         """
-        if now >= self.request.deadline or not self.may_ask():
+        if now >= self.request.deadline or not self.may_start_attempt():
             return False
-        if is_over(error):
+        if is_final(error):
             return False
-        if not self.body.repeatable:
+        if not self.body.is_replayable:
             return False
         if isinstance(error, NotRunError) and not error.reached_backend:
             return self.budgets.rejections.withdraw(now)
@@ -111,74 +119,76 @@
             return self.budgets.retries.withdraw(now)
         return self.request.idempotent and self.budgets.retries.withdraw(now)
 
-    def may_ask(self) -> bool:
-        """Tell whether the route allows another node to be asked.
+    def may_start_attempt(self) -> bool:
+        """Return whether the route allows the request to be sent to one more node.
 
-        A node that refuses knows that its backend server saw nothing, so asking another one costs a
-        hop and no execution. Servers that may have seen the request are what ``max_attempts``
-        bounds; a try under way counts as one of them.
+        A node that rejects a request knows that its backend server did not see it, so the next
+        attempt costs a hop and no execution. ``max_attempts`` limits the backend servers that may
+        have seen the request; attempts in progress count as such.
         """
-        if self.may_be_lost_again():
+        if self.may_lose_another_run():
             return False
-        asks = self.settings.max_asks or self.settings.max_attempts
-        reached_at_most = self.count - self.turned_away
-        return self.count < asks and reached_at_most < self.settings.max_attempts
+        max_sent = self.settings.max_asks or self.settings.max_attempts
+        max_reached = self.count - self.not_reached_backend
+        return self.count < max_sent and max_reached < self.settings.max_attempts
 
-    def may_be_lost_again(self) -> bool:
-        """Tell whether one more run might be the third that is lost.
+    def may_lose_another_run(self) -> bool:
+        """Return whether one more run could be the third that is lost.
 
-        Failure: a request ends the server that runs it, which takes some time to end, so that
-        nobody knows of it yet. Where the route allows three tries, one attempt of a caller ended
-        three servers; also by a second try beside the first, which was under way when that was
-        lost. A try that has run for longer than one that was lost speaks for the request.
+        Failure: a request crashes the server that runs it, and the crash takes some time, so that
+        no node knows of it yet. On a route with three attempts one caller's attempt crashed three
+        servers, also by a hedge that was in progress when the first run was lost. An attempt that
+        has been running for longer than a lost one indicates that the request is harmless.
         """
-        if not self.lost:
+        if not self.lost_since:
             return False
-        younger = sum(began > self.lost[-1] for began in self.running.values())
-        return len(self.lost) + younger >= MAX_LOST
+        younger = sum(since > self.lost_since[-1] for since in self.running_since.values())
+        return len(self.lost_since) + younger >= MAX_LOST_RUNS
 
-    def began(self, node: str, now: float) -> None:
-        """Note a try that begins."""
-        self.running[node] = now
+    def attempt_started(self, node: str, now: float) -> None:
+        """Record the start of an attempt."""
+        self.running_since[node] = now
 
-    def ended(self, node: str, error: BaseException | None = None) -> None:
-        """Note the end of a try, by an answer or an error."""
-        began = self.running.pop(node)
-        if isinstance(error, UnknownOutcomeError) and error.code in LOST:
-            self.lost.append(began)
+    def attempt_ended(self, node: str, error: BaseException | None = None) -> None:
+        """Record the end of an attempt, by a response or by ``error``."""
+        since = self.running_since.pop(node)
+        if isinstance(error, UnknownOutcomeError) and error.code in LOST_RUN_CODES:
+            self.lost_since.append(since)
 
     def final_error(self, now: float) -> RequestFailedError:
-        """Return what the caller is told when there is no answer."""
-        if self.unknown is not None:
-            error: RequestFailedError = self.unknown
-        elif self.refused is not None:
-            error = self.refused
+        """Return the error for the caller when no attempt got a response."""
+        if self.unknown_error is not None:
+            error: RequestFailedError = self.unknown_error
+        elif self.not_run_error is not None:
+            error = self.not_run_error
         else:
             error = NotRunError(
-                ErrorCode.NO_CANDIDATE, "no backend server may be asked", step="ingress.choose"
+                ErrorCode.NO_CANDIDATE,
+                "no backend server is available for the request",
+                step="ingress.choose",
             )
-        if self.refused is not None and self.refused.code is ErrorCode.QUARANTINED:
-            # Also where an earlier try may have run: to come back sooner is in vain.
-            error.retry_after_ms = self.refused.retry_after_ms
+        if self.not_run_error is not None and self.not_run_error.code is ErrorCode.QUARANTINED:
+            # Even if an earlier attempt may have run: the request stays quarantined until then.
+            error.retry_after_ms = self.not_run_error.retry_after_ms
         if error.retry_after_ms is None:
             error.retry_after_ms = self.state.selector.retry_after_ms(now)
         else:
-            # A full node tells all that it turns away in one moment the same. They would come back
-            # in one moment, and be turned away again.
+            # A full node gives all callers that it rejects at one moment the same delay. Without
+            # jitter they would all return at one moment and be rejected again.
             error.retry_after_ms = round(
                 error.retry_after_ms * self.state.rng.uniform(1, RETRY_AFTER_JITTER)
             )
         return error
 
 
-def is_over(error: Exception) -> bool:
-    """Tell whether a failure is the last word, whatever time and budgets are left.
+def is_final(error: Exception) -> bool:
+    """Return whether a failure rules out another attempt, whatever time and budgets are left.
 
-    What is held back is held back by all nodes of the service, or will be within moments; what is
-    not begun since its calls are refused would lack them beside each server. A try
-    that has run until the deadline leaves some milliseconds, since the serving node gives up a
-    little before: another server would begin in vain, and where the request has frozen the first
-    one it freezes a second.
+    A quarantined request is refused by all nodes of the service, or will be within moments. One
+    that was not started because its nested calls are being refused would lack them at any server.
+    An attempt that ran until the deadline leaves a few milliseconds, since the serving node gives
+    up slightly earlier: another server would start in vain, and a request that froze the first
+    server would freeze a second one.
     """
     if isinstance(error, NotRunError):
         return error.code in (ErrorCode.QUARANTINED, ErrorCode.CALLS_SHORT)
--- a/src/marjoramtide/ingress/_authenticator.py
+++ b/src/marjoramtide/ingress/_authenticator.py
@@ -1,4 +1,4 @@
-"""Who calls: the workspace of a request, by its key or by the run that made it."""
+"""Authentication of callers by API key, or by the run that made the request."""
 
 import attrs
 from aiohttp import web
@@ -20,36 +20,38 @@
     key_fingerprint,
 )
 
-# When a caller whose key can't be verified should come back: this node asks for the newest settings
-# several times in this time.
-VERIFIED_SOON_MS = 400
+# The Retry-After for a caller whose key can't be verified. This node asks for the newest settings
+# several times in this period.
+UNVERIFIED_RETRY_AFTER_MS = 400
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Authenticator:
-    """Names the workspace of each request, or refuses it, before its body is read."""
+    """Determines the workspace of each request, or refuses it, before its body is read."""
 
     view: SettingsView
     scheme: str
-    calls: NestedCalls = attrs.field(factory=NestedCalls)
+    nested_calls: NestedCalls = attrs.field(factory=NestedCalls)
 
-    def admit(self, http: web.BaseRequest, request: Request, settings: RouteSettings) -> Request:
-        """Return the request as the other nodes and the backend server are to see it.
+    def admit(
+        self, http_request: web.BaseRequest, request: Request, settings: RouteSettings
+    ) -> Request:
+        """Return the request as other nodes and the backend server are to receive it.
 
-        Raises ``unauthenticated``, and ``NotRunError`` with ``key-unverified`` where a good key, or
-        an unknown one, may have become the other since this node last heard of the settings.
+        Raises ``unauthenticated``, or ``NotRunError`` with ``key-unverified`` if a valid key may
+        have been revoked, or an unknown one added, since this node last learned of the settings.
         """
-        call = self.calls.inherit_from_parent(request)
+        call = self.nested_calls.inherit_from_parent(request)
         if call is not None:
             return call
         needs_key = settings.authentication == "key"
         if not needs_key and not self.view.workspaces:
             return request
-        workspace = self.holder(http, request, needs_key)
+        workspace = self.find_workspace(http_request, request, needs_key)
         request = attrs.evolve(request, headers=without_key(request))
-        return request if workspace is None else self.of_workspace(request, workspace)
+        return request if workspace is None else self.with_workspace(request, workspace)
 
-    def of_workspace(self, request: Request, workspace: WorkspaceSettings) -> Request:
+    def with_workspace(self, request: Request, workspace: WorkspaceSettings) -> Request:
         """Return a request with the name and the priority of its workspace."""
         urgent, rank = request.urgent, request.rank
         if workspace.workspace_priority != "route":
@@ -58,30 +60,30 @@
             rank = workspace.workspace_rank
         return attrs.evolve(request, workspace=workspace.name, urgent=urgent, rank=rank)
 
-    def holder(
-        self, http: web.BaseRequest, request: Request, needs_key: bool
+    def find_workspace(
+        self, http_request: web.BaseRequest, request: Request, needs_key: bool
     ) -> WorkspaceSettings | None:
-        """Return the workspace that the key of a request opens."""
+        """Return the workspace that the request's key belongs to."""
         if not needs_key:
-            return self.named_by_the_way(http)
-        key = read_caller_key(http, self.scheme)
+            return self.find_optional_workspace(http_request)
+        key = read_caller_key(http_request, self.scheme)
         if not key:
-            if self.calls.may_be_of_a_run(request):
-                raise unverified("the run that made this call is not known here")
+            if self.nested_calls.may_have_parent(request):
+                raise unverified("the run that made this call is not known to this node")
             raise unauthenticated("no key")
         workspace = self.view.workspaces.holder(key)
         if workspace is None:
             if not self.view.knows_all_keys:
-                raise unverified("this node may not know this key yet")
+                raise unverified("this node may not have learned of this key yet")
             raise unauthenticated(f"unknown key {key_fingerprint(key_digest(key))}")
         if not self.view.vouches_for_keys:
-            raise unverified("this node can't know whether this key was taken away")
+            raise unverified("this node can't know whether this key was revoked")
         return workspace
 
-    def named_by_the_way(self, http: web.BaseRequest) -> WorkspaceSettings | None:
-        """Return whose key comes with a request that needs none."""
+    def find_optional_workspace(self, http_request: web.BaseRequest) -> WorkspaceSettings | None:
+        """Return the workspace of the key that a request carries on a route that needs none."""
         try:
-            key = read_caller_key(http, self.scheme)
+            key = read_caller_key(http_request, self.scheme)
         except MarjoramtideError:
             return None
         known = self.view.workspaces.holder(key) if key else None
@@ -89,5 +91,10 @@
 
 
 def unverified(reason: str) -> NotRunError:
-    """Return the error for a caller of whom this node can't say whether it is known."""
-    return NotRunError(ErrorCode.KEY_UNVERIFIED, reason, step=STEP, retry_after_ms=VERIFIED_SOON_MS)
+    """Return the error for a caller whose key this node can neither accept nor reject."""
+    return NotRunError(
+        ErrorCode.KEY_UNVERIFIED,
+        reason,
+        step=STEP,
+        retry_after_ms=UNVERIFIED_RETRY_AFTER_MS,
+    )
--- a/src/marjoramtide/ingress/_caller_connection.py
+++ b/src/marjoramtide/ingress/_caller_connection.py
@@ -1,4 +1,4 @@
-"""One connection of a caller."""
+"""One caller's connection."""
 
 import asyncio
 from typing import Any
@@ -21,7 +21,7 @@
 
 
 class CallerConnection(RequestHandler):
-    """The library's connection, with bounds on slow callers' time and our own refusals."""
+    """aiohttp's connection with timeouts for slow callers and our own error responses."""
 
     __slots__ = (
         "added_idle_s",
@@ -60,20 +60,21 @@
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         super().connection_made(transport)
         if self._manager and len(self._manager._connections) > self.max_connections:
-            self.turn_away()
+            self.refuse_connection()
             return
-        # The library's own timer only ends connections that have answered a request before.
+        # aiohttp's own timer only closes connections that have completed a request before.
         self.start_head_timer(self.keepalive_timeout)
 
     def configure(self, head_timeout_s: float, idle_timeout_s: float) -> None:
-        """Go on by changed times.
+        """Apply changed timeouts.
 
-        Failure: the operator raises the idle timeout, callers reuse connections that have rested
-        for longer than the old one, and a booking is sent into a connection that closes. A shorter
-        one holds for new connections only, since callers of this one were promised the longer.
+        A longer idle timeout is applied to open connections too. Failure: the operator raises it,
+        callers reuse connections that were idle for longer than the old one, and send a booking on
+        a connection that is being closed. A shorter one only affects new connections, since callers
+        of this one rely on the longer one.
         """
         self.head_timeout_s = head_timeout_s
-        # The library reads its own figure once, when the connection opens.
+        # aiohttp reads its own keep-alive timeout only once, when the connection is opened.
         self.added_idle_s = max(0.0, idle_timeout_s - self.keepalive_timeout)
 
     def _process_keepalive(self) -> None:
@@ -83,22 +84,22 @@
             return
         super()._process_keepalive()
 
-    def turn_away(self) -> None:
-        """Refuse a connection that is one too many.
+    def refuse_connection(self) -> None:
+        """Refuse a connection above the connection limit.
 
-        Failure: callers open connections until the process has no descriptor left. The system then
-        takes their connections, but nobody answers them, and this node can't reach its peers, the
-        store or its backend server any more. The rest of the descriptors stays for those.
+        Failure: callers open connections until the process has no file descriptors left. The system
+        then accepts their connections, but the process can't, and this node can't connect to its
+        peers, the store or its backend server any more. The limit reserves descriptors for those.
         """
-        self.log_refused(ErrorCode.OVERLOADED, "too many connections of callers", "not-run")
+        self.log_refused(ErrorCode.OVERLOADED, "too many open connections of callers", "not-run")
         assert self.transport is not None
         self.transport.write(self.protocol.connection_limit_response)
         self.force_close()
 
     def data_received(self, data: bytes) -> None:
-        # A caller that sends a byte now and then would hold a connection, and a file descriptor of
-        # this process, for ever; enough of them and nobody else can connect. The timer starts with
-        # the first byte of a head and is not moved by later ones.
+        # A caller that sends a byte now and then would hold a connection and its file descriptor
+        # forever, and enough of such callers would prevent all others from connecting. The timer
+        # starts with the first byte of a request head and is not extended by later ones.
         idle = self._waiter is not None or self._request_count == 0
         waiting = idle and not self._messages
         super().data_received(data)
@@ -114,11 +115,12 @@
         super().connection_lost(exc)
 
     def pause_writing(self) -> None:
-        # A caller that sends requests and reads no answers is not idle, and no deadline runs for
-        # what was answered: it would hold a file descriptor for ever, as one with a slow head does.
+        # A caller that sends requests and reads no responses is not idle, and the deadlines of its
+        # completed requests no longer apply: like one with a slow head, it would hold a file
+        # descriptor forever.
         super().pause_writing()
         loop = asyncio.get_running_loop()
-        self.stall_timer = loop.call_later(self.stall_timeout_s, self.end_stalled)
+        self.stall_timer = loop.call_later(self.stall_timeout_s, self.abort_stalled)
 
     def resume_writing(self) -> None:
         self.stop_stall_timer()
@@ -129,18 +131,18 @@
             self.stall_timer.cancel()
             self.stall_timer = None
 
-    def end_stalled(self) -> None:
-        """Break the connection off: its caller has taken nothing for too long."""
+    def abort_stalled(self) -> None:
+        """Abort the connection: its caller has read nothing for too long."""
         self.stall_timer = None
-        self.log_refused(ErrorCode.SLOW_CALLER, "the caller takes no answers", "unknown")
+        self.log_refused(ErrorCode.SLOW_CALLER, "the caller does not read its responses", "unknown")
         if self.transport is not None:
             self.transport.abort()
 
     def fail_broken_body(self) -> None:
-        """Tell whoever reads a body that what follows in it breaks the protocol.
+        """Fail the reading of a body that is not valid HTTP.
 
-        The library only queues the error as the next request. The reader of the body would wait
-        for the rest until its deadline, with a slot of the backend server in its hands.
+        aiohttp only queues the parse error as the next request. The reader of the body would wait
+        for the rest until its deadline while holding a slot of the backend server.
         """
         errors = [message.exc for message, _ in self._messages if isinstance(message, _ErrInfo)]
         if not errors:
@@ -151,27 +153,30 @@
         for body in bodies:
             if not body.is_eof():
                 body.set_exception(errors[0])
-                self._lingering_time = 0.0  # nothing sensible follows
+                self._lingering_time = 0.0  # the rest can't be parsed
 
     def start_head_timer(self, seconds: float) -> None:
-        """End the connection after ``seconds`` unless a head is complete, or the timer sooner."""
+        """Close the connection after ``seconds`` unless a request head is complete by then.
+
+        A running timer is only ever shortened.
+        """
         loop = asyncio.get_running_loop()
         due = loop.time() + seconds
         if self.head_timer is not None:
             if self.head_timer.when() <= due:
                 return
             self.head_timer.cancel()
-        self.head_timer = loop.call_at(due, self.end_slow_head)
+        self.head_timer = loop.call_at(due, self.close_slow_head)
 
     def stop_head_timer(self) -> None:
         if self.head_timer is not None:
             self.head_timer.cancel()
             self.head_timer = None
 
-    def end_slow_head(self) -> None:
-        """Close the connection: its head took too long."""
+    def close_slow_head(self) -> None:
+        """Close the connection: its request head took too long."""
         self.head_timer = None
-        self.log_refused(ErrorCode.SLOW_CALLER, "no whole request head in time", "not-run")
+        self.log_refused(ErrorCode.SLOW_CALLER, "no complete request head in time", "not-run")
         self.force_close()
 
     def log_refused(self, code: ErrorCode, reason: str, outcome: str) -> None:
@@ -194,23 +199,23 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer what the library could not parse, or what our own code let escape."""
-        error = parse_error(exc)
+        """Return the response to a request that aiohttp can't parse, or to an internal error."""
+        error = convert_error(exc)
         caller = request.remote
         if isinstance(error, UnknownOutcomeError):
-            log.error("ingress.failed", **log_fields(error, caller), exc_info=exc)
+            log.error("ingress.failed", **error_fields(error, caller), exc_info=exc)
         else:
-            log.info("ingress.refused", **log_fields(error, caller))
+            log.info("ingress.refused", **error_fields(error, caller))
         self.metrics.count(f"ingress.refused.{error.code}")
         if request.writer.output_size > 0:
-            raise ConnectionError("the answer has begun; the connection is broken off")
+            raise ConnectionError("the response has begun; the connection is aborted")
         response = self.protocol.refusal(error, self.node)
         response.force_close()
         return response
 
 
-def log_fields(error: MarjoramtideError, caller: str | None) -> dict[str, Any]:
-    """Return what the log tells of a refusal."""
+def error_fields(error: MarjoramtideError, caller: str | None) -> dict[str, Any]:
+    """Return the log fields of an error."""
     return {
         "code": error.code,
         "step": error.step,
@@ -221,13 +226,13 @@
     }
 
 
-def parse_error(exc: BaseException | None) -> MarjoramtideError:
-    """Return our error for what the library raised."""
+def convert_error(exc: BaseException | None) -> MarjoramtideError:
+    """Return our error for an exception raised by aiohttp."""
     if not isinstance(exc, HttpProcessingError):
         return UnknownOutcomeError(ErrorCode.INTERNAL, "the node failed", step="ingress.handle")
     too_many = isinstance(exc, BadHttpMessage) and exc.message == TOO_MANY_HEADERS
     if too_many or isinstance(exc, LineTooLong):
         return MarjoramtideError(ErrorCode.HEAD_TOO_LARGE, "the head is too large", step=STEP)
-    # The first line says what is wrong; the rest quotes the caller's bytes.
+    # The first line names the problem; the rest quotes the caller's bytes.
     reason = exc.message.partition("\n")[0].rstrip(":")[:MAX_REASON_CHARACTERS]
     return MarjoramtideError(ErrorCode.BAD_REQUEST, reason, step=STEP)
--- a/src/marjoramtide/ingress/_caller_protocol.py
+++ b/src/marjoramtide/ingress/_caller_protocol.py
@@ -1,4 +1,4 @@
-"""The interface to what callers speak beyond plain HTTP."""
+"""The interface for protocol conventions of callers beyond plain HTTP."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
@@ -12,29 +12,29 @@
 
 
 class CallerProtocol(ABC):
-    """Reads requests and words answers; it decides nothing and holds no state."""
+    """Reads requests and formats responses; it makes no decisions and holds no state."""
 
     connection_limit_response: bytes
-    """The whole answer to a connection that is one too many."""
+    """The raw HTTP response to a connection above the connection limit."""
 
     scheme: str
-    """The scheme of ``Authorization`` with which callers send their keys."""
+    """The ``Authorization`` scheme of callers' keys."""
 
     @abstractmethod
     def read(
-        self, http: web.BaseRequest, view: SettingsView, tracer: Tracer, now: float
+        self, http_request: web.BaseRequest, view: SettingsView, tracer: Tracer, now: float
     ) -> tuple[Request, RouteSettings]:
         """Return the request with the settings of its route.
 
-        ``now`` is in seconds of the monotonic clock. ``parent`` of the request names the run that
-        it is a call of, as its sender says. Raises ``bad-request``, ``head-too-large``,
+        ``now`` is in seconds of the monotonic clock. The request's ``parent_run`` is the run that
+        made it according to the sender. Raises ``bad-request``, ``head-too-large``,
         ``unknown-service`` or ``depth-exceeded``.
         """
 
     @abstractmethod
     def refusal(self, error: MarjoramtideError, node: str, request_id: str = "") -> web.Response:
-        """Return the one final answer for a request that was given up."""
+        """Return the final response to a request that failed with ``error``."""
 
     @abstractmethod
-    def response_headers(self, answer: Response, node: str) -> Iterable[tuple[str, str]]:
-        """Return the headers with which a backend server's answer goes to the caller."""
+    def response_headers(self, response: Response, node: str) -> Iterable[tuple[str, str]]:
+        """Return the headers that a backend server's response is sent to the caller with."""
--- a/src/marjoramtide/ingress/_caller_server.py
+++ b/src/marjoramtide/ingress/_caller_server.py
@@ -1,4 +1,4 @@
-"""The library's server for callers' connections."""
+"""aiohttp's server, set up for callers' connections."""
 
 import resource
 import sys
@@ -12,15 +12,15 @@
 from marjoramtide.settings import DEFAULTS
 from marjoramtide.telemetry import Metrics
 
-# Also a caller on a bad line takes the 48 kB between the library's water marks within this time.
+# Even a caller with a slow connection reads the 48 kB between aiohttp's water marks in this time.
 STALL_TIMEOUT_S = 30.0
 
-# Of the descriptors of the process; the rest is for peers, the backend server and the store.
+# Of the process's file descriptors; the rest is for peers, the backend server and the store.
 CALLERS_SHARE = 0.5
 
 
 def max_connections() -> int:
-    """Return how many callers' connections this process may hold at once."""
+    """Return how many connections of callers this process may have open at once."""
     descriptors, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if descriptors == resource.RLIM_INFINITY:
         return sys.maxsize
@@ -28,7 +28,7 @@
 
 
 class CallerServer(web.Server):
-    """Makes our connections in place of the library's."""
+    """Creates ``CallerConnection`` objects in place of aiohttp's own."""
 
     def __init__(
         self, node: str, protocol: CallerProtocol, metrics: Metrics, *args: Any, **kwargs: Any
@@ -42,7 +42,7 @@
         self.max_connections = max_connections()
 
     def configure(self, values: Mapping[str, Any]) -> None:
-        """Go on by changed settings, on open connections too, but for the bounds of a line."""
+        """Apply changed settings; the line limits only affect new connections."""
         self.head_timeout_s = values["head_timeout_ms"] / 1000
         idle_timeout_s = values["idle_timeout_ms"] / 1000
         self._kwargs["keepalive_timeout"] = idle_timeout_s
@@ -53,9 +53,9 @@
 
     @property
     def has_unsent(self) -> bool:
-        """Tell whether bytes of any answer still wait to be handed to the system."""
-        # The library's own table: a connection that is being closed no longer has its transport,
-        # which goes on sending what is left.
+        """Return whether any response still has bytes that were not written to its socket."""
+        # Looked up in aiohttp's own table: a connection that is being closed has no reference to
+        # its transport any more, although the transport goes on sending what is buffered.
         return any(each.get_write_buffer_size() > 0 for each in self._connections.values())
 
     def __call__(self) -> CallerConnection:
--- a/src/marjoramtide/ingress/_calls.py
+++ b/src/marjoramtide/ingress/_calls.py
@@ -1,12 +1,12 @@
-"""Calls of requests that the own backend server runs."""
+"""Nested calls: requests made by requests that run at this node's backend server."""
 
 import attrs
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.exchange import EmptyRunRegistry, Request, RunRegistry
 
-# Why a call fails that would have been served if fewer had come.
-WANT_OF_ROOM = frozenset(
+# Codes of failures for lack of capacity: the call would have been served under less load.
+CAPACITY_CODES = frozenset(
     (
         ErrorCode.OVERLOADED,
         ErrorCode.DEADLINE,
@@ -19,17 +19,17 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class NestedCalls:
-    """Knows calls by the runs that they name."""
+    """Links nested calls to their parents: the running requests that they name."""
 
     runs: RunRegistry = attrs.field(factory=EmptyRunRegistry)
 
     def inherit_from_parent(self, request: Request) -> Request | None:
-        """Return a call with the class, rank and workspace of the request that waits for it.
+        """Return a nested call with the priority class, rank and workspace of its parent.
 
-        ``None`` where it is the call of no run here. Failure: lookups for routine requests go
-        before callers' own urgent ones of the service that is called, since its operator has ranked
-        the lookup by itself. By their parents' rank, calls of routine requests wait behind what is
-        more urgent, and those of urgent ones don't.
+        Returns ``None`` if no request that runs here is its parent. Failure: lookups made for
+        routine requests are served before callers' own urgent requests to the same service, since
+        the operator ranked the lookup's route on its own. With their parents' ranks, the nested
+        calls of routine requests wait behind more urgent requests, and those of urgent ones don't.
         """
         parent = self.runs.find(request.parent_run) if request.parent_run else None
         if parent is None:
@@ -39,13 +39,13 @@
         )
 
     def record_failure(self, request: Request, error: MarjoramtideError) -> None:
-        """Note that a call failed for want of room at the service that was called."""
-        if request.parent_run and error.code in WANT_OF_ROOM:
+        """Report a nested call that failed for lack of capacity to its parent's run."""
+        if request.parent_run and error.code in CAPACITY_CODES:
             self.runs.record_refused_call(request.parent_run)
 
-    def may_be_of_a_run(self, request: Request) -> bool:
-        """Tell whether a request names a run that this node may have missed, or has just seen end.
+    def may_have_parent(self, request: Request) -> bool:
+        """Return whether a request names a run that this node may have missed, or that just ended.
 
-        A node that starts anew beside a server that runs on doesn't know what that one runs.
+        A node that restarts beside a server that keeps running doesn't know what that server runs.
         """
         return bool(request.parent_run) and self.runs.may_have_run(request.parent_run)
--- a/src/marjoramtide/ingress/_class_budgets.py
+++ b/src/marjoramtide/ingress/_class_budgets.py
@@ -1,32 +1,34 @@
-"""The budgets of second tries of one class of requests."""
+"""Retry and hedge budgets of one priority class."""
 
 import attrs
 
 from marjoramtide.policy import WINDOW_S, RetryBudget
 from marjoramtide.settings import RouteSettings
 
-# Being turned away costs the serving node little, so a quiet service may go on asking.
+# A rejection costs the serving node little, so a service with few requests may go on retrying.
 REJECTIONS_PER_S = 10.0
 RETRIES_PER_S = 1.0
 HEDGES_PER_S = 0.2
-# Of what all nodes together may send, the parts for retries and for hedges, and for how many
-# seconds they are saved. Ten seconds then see 1.3 times the income of all budgets, 0.52 of what may
-# be sent. The rest is for the calls of what runs twice, which count at the services called, and for
-# nodes that have not heard yet how many share. Saved for ten seconds, nearly twice the income can
-# be spent: with 60 nodes in memory, whose requests all fail after 15 quiet seconds, 770 second
-# tries of 1340 that were allowed, before any call of theirs is counted.
-RETRIES_PART = 0.25
-HEDGES_PART = 0.15
-SAVED_S = 3.0
-CLASSES = 2
+# The shares of retries and hedges in what all nodes together may send as second attempts, and the
+# seconds over which unused budget accumulates. In any 10 s at most 1.3 times the income of all
+# budgets is spent, which is 0.52 of the allowance. The rest is left for nested calls of requests
+# that run twice, which count at the services called, and for nodes that have not learned yet how
+# many nodes share the allowance. With 10 s of accumulation nearly twice the income can be spent: in
+# a run with 60 in-memory nodes, all of whose requests failed after 15 quiet seconds, that was 770
+# of the 1340 second attempts allowed, before counting any nested calls.
+RETRY_SHARE = 0.25
+HEDGE_SHARE = 0.15
+ACCUMULATION_S = 3.0
+PRIORITY_CLASSES = 2
 
 
 @attrs.frozen(slots=True)
 class ClassBudgets:
-    """How many second tries urgent or routine requests may make.
+    """How many retries and hedges urgent or routine requests may make.
 
-    Failure of one budget for both: a surge of routine requests is turned away everywhere and uses
-    up every second try; an urgent request that meets a dead instance first is then refused.
+    The classes have separate budgets. Failure of a shared one: a surge of routine requests is
+    rejected everywhere and uses up the budget; an urgent request whose first attempt meets a dead
+    instance is then refused.
     """
 
     retries: RetryBudget
@@ -34,25 +36,25 @@
     hedges: RetryBudget
 
     def share_among(self, nodes: int, settings: RouteSettings) -> None:
-        """Take this node's part of what all ``nodes`` may spend without requests of their own.
+        """Set this node's part of the rate that all ``nodes`` share whatever their own load.
 
-        Failure: each node allows itself a second try a second, whatever it serves; a hundred nodes
-        send a hundred, and the service fails under them.
+        Failure: if each node allows itself one second attempt per second, whatever it serves, a
+        hundred nodes send a hundred, and the service fails under them.
         """
         if settings.second_try_ratio:
-            each = settings.second_tries_per_s / max(1, nodes) / CLASSES
-            self.retries.min_per_s = RETRIES_PART * each
-            self.hedges.min_per_s = HEDGES_PART * each
+            per_class = settings.second_tries_per_s / max(1, nodes) / PRIORITY_CLASSES
+            self.retries.min_per_s = RETRY_SHARE * per_class
+            self.hedges.min_per_s = HEDGE_SHARE * per_class
 
 
 def make_class_budgets(settings: RouteSettings) -> ClassBudgets:
-    """Return full budgets by the shares in the settings."""
+    """Return full budgets as the settings define them."""
     ratio = settings.second_try_ratio
-    retry_share = min(settings.retry_budget, RETRIES_PART * ratio or 1)
-    hedge_share = min(settings.hedge_budget, HEDGES_PART * ratio or 1)
-    saved_s = SAVED_S if ratio else WINDOW_S
+    retry_share = min(settings.retry_budget, RETRY_SHARE * ratio or 1)
+    hedge_share = min(settings.hedge_budget, HEDGE_SHARE * ratio or 1)
+    accumulation_s = ACCUMULATION_S if ratio else WINDOW_S
     return ClassBudgets(
-        RetryBudget(retry_share, 0.0 if ratio else RETRIES_PER_S, saved_s),
+        RetryBudget(retry_share, 0.0 if ratio else RETRIES_PER_S, accumulation_s),
         RetryBudget(settings.rejection_budget, REJECTIONS_PER_S),
-        RetryBudget(hedge_share, 0.0 if ratio else HEDGES_PER_S, saved_s),
+        RetryBudget(hedge_share, 0.0 if ratio else HEDGES_PER_S, accumulation_s),
     )
--- a/src/marjoramtide/ingress/_decision.py
+++ b/src/marjoramtide/ingress/_decision.py
@@ -1,15 +1,16 @@
-"""One choice of a serving node, as operators are shown it."""
+"""One choice of a serving node, as shown to operators."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class Decision:
-    """Which node a try went to and what became of it.
+    """Which node an attempt was sent to, and its outcome.
 
-    ``time`` is in seconds since the Unix epoch; ``elapsed_ms`` counts from the choice to the end.
-    ``believed`` is what the choice rested on, with the age of the report it came from.
-    ``outcome`` is ``answered`` or the code of the error, ``detail`` the status or its message.
+    ``time`` is in seconds since the Unix epoch; ``elapsed_ms`` is measured from the choice to the
+    end. ``believed`` is the selector's estimate of the node on which the choice was based, with the
+    age of the report behind it. ``outcome`` is ``answered`` or an error code, ``detail`` the HTTP
+    status or the error's message.
     """
 
     time: float
--- a/src/marjoramtide/ingress/_dispatcher.py
+++ b/src/marjoramtide/ingress/_dispatcher.py
@@ -1,4 +1,4 @@
-"""Choosing nodes for a request until there is one final answer."""
+"""Dispatch of a request to serving nodes until there is one final response."""
 
 import asyncio
 import math
@@ -24,7 +24,7 @@
 )
 from marjoramtide.ingress._attempts import Attempts
 from marjoramtide.ingress._decision import Decision
-from marjoramtide.ingress._failure_feedback import learn_failure
+from marjoramtide.ingress._failure_feedback import apply_failure
 from marjoramtide.ingress._hedge import Hedge
 from marjoramtide.ingress._known_statements import KnownStatements
 from marjoramtide.ingress._peer_crash_detector import PeerCrashDetector
@@ -47,248 +47,260 @@
 
 
 class Dispatcher:
-    """Sends each request to the node that the selector chooses, again where that is safe."""
+    """Sends each request to the node that the selector chooses, and retries where that is safe."""
 
     def __init__(
         self,
         directory: Directory,
         view: SettingsView,
-        local: RequestHandler,
+        local_handler: RequestHandler,
         peers: PeerClient,
         clock: Clock,
         rng: random.Random,
         metrics: Metrics,
         tracer: Tracer,
-        start_up: StartupGrace | None = None,
-        peer_ends: PeerCrashDetector | None = None,
+        startup_grace: StartupGrace | None = None,
+        crash_detector: PeerCrashDetector | None = None,
     ) -> None:
-        """Without a ``start_up`` no request waits for members.
+        """Initialize the dispatcher.
 
-        Without ``peer_ends`` nobody looks whether a node has ended with what it served.
+        Without a ``startup_grace`` no request waits for members to become known. Without a
+        ``crash_detector`` lost requests are not checked for a crash of their node.
         """
         self.directory = directory
         self.view = view
-        self.local = local
+        self.local_handler = local_handler
         self.peers = peers
         self.clock = clock
         self.rng = rng
         self.metrics = metrics
         self.tracer = tracer
-        self.states: dict[str, ServiceState] = {}
+        self.service_states: dict[str, ServiceState] = {}
         self.statements = KnownStatements()
         self.splits: dict[tuple[str, str, Shares], SmoothSplit] = {}
-        self.limits: set[asyncio.Timeout] = set()
-        self.start_up = start_up or StartupGrace(clock)
-        self.peer_ends = peer_ends
+        self.timeouts: set[asyncio.Timeout] = set()
+        self.startup_grace = startup_grace or StartupGrace(clock)
+        self.crash_detector = crash_detector
         view.on_change(self.settings_changed)
 
     def settings_changed(self, revision: int) -> None:
-        """Forget what rests on settings that have changed, and keep what was learned otherwise.
+        """Discard the state of services whose settings have changed, and keep all other state.
 
-        Without the latter each of hundreds of changes a day makes every node guess anew.
+        If all of it were discarded, each of hundreds of changes a day would make every node start
+        over with its estimates.
         """
         self.splits.clear()
-        self.states = {
+        self.service_states = {
             service: state
-            for service, state in self.states.items()
-            if self.settings_of(service) == state.settings
+            for service, state in self.service_states.items()
+            if self.service_settings(service) == state.settings
         }
 
-    def settings_of(self, service: str) -> RouteSettings | None:
-        """Return the settings of the whole service, ``None`` where it was removed."""
+    def service_settings(self, service: str) -> RouteSettings | None:
+        """Return the settings of the whole service, or ``None`` if it was removed."""
         try:
             return self.view.route(service, "/")
         except MarjoramtideError:
             return None
 
-    def state(self, service: str) -> ServiceState:
-        """Return what is kept for a service, up to date with its members."""
-        state = self.states.get(service)
-        if state is None:
+    def service_state(self, service: str) -> ServiceState:
+        """Return the state of a service, updated to its current members."""
+        service_state = self.service_states.get(service)
+        if service_state is None:
             settings = self.view.route(service, "/")
-            state = make_service_state(settings, self.directory.self_member, self.rng)
-            self.states[service] = state
-        state.refresh(self.directory, self.clock.monotonic())
-        return state
-
-    def draw(self, settings: RouteSettings) -> str:
-        """Return the service whose backend servers are to run the next request of a route."""
-        # By the shares, too: a request that was read before a change may be drawn after it.
-        name = (settings.service, settings.route, settings.split)
-        split = self.splits.get(name)
+            service_state = make_service_state(settings, self.directory.self_member, self.rng)
+            self.service_states[service] = service_state
+        service_state.refresh(self.directory, self.clock.monotonic())
+        return service_state
+
+    def draw_service(self, settings: RouteSettings) -> str:
+        """Return the service that is to run the next request of a route with a weighted split."""
+        # The split is part of the key: a request read before a change may be dispatched after it.
+        key = (settings.service, settings.route, settings.split)
+        split = self.splits.get(key)
         if split is None:
-            split = self.splits[name] = make_smooth_split(settings.split, self.rng)
+            split = self.splits[key] = make_smooth_split(settings.split, self.rng)
         return split.draw()
 
     async def dispatch(
         self, request: Request, body: RequestBody, settings: RouteSettings
     ) -> Response:
-        """Return the answer; raises ``NotRunError`` or ``UnknownOutcomeError`` as soon as known.
+        """Return the response; raises ``NotRunError`` or ``UnknownOutcomeError`` as soon as known.
 
-        Where the route shares its requests out, the part is drawn once and kept: what has no room
-        there is refused, not moved, so that the parts keep the shares that the operator gave them.
+        On a route with a weighted split the service is drawn once: if it is overloaded, the request
+        is refused instead of moved, so that the services keep the shares set by the operator.
         """
         if settings.split:
-            request = attrs.evolve(request, service=self.draw(settings))
-        attempts = Attempts(request, body, settings, self.state(request.service))
+            request = attrs.evolve(request, service=self.draw_service(settings))
+        attempts = Attempts(request, body, settings, self.service_state(request.service))
         now = self.clock.monotonic()
         attempts.budgets.retries.deposit(now)
         attempts.budgets.rejections.deposit(now)
         try:
             async with self.time_limit(max(0.0, request.deadline - now)):
-                await self.start_up.wait_until(
-                    lambda: self.knows(request.service) and self.start_up.is_quarantine_known()
+                await self.startup_grace.wait_until(
+                    lambda: self.has_members(request.service)
+                    and self.startup_grace.is_quarantine_known()
                 )
                 if request.idempotent and body.inline is not None:
                     attempts.budgets.hedges.deposit(now)
-                    answer = await self.try_hedged(attempts)
+                    response = await self.run_hedged(attempts)
                 else:
-                    answer = await self.try_in_turn(attempts)
-                answer.tries = attempts.story
-                return answer
+                    response = await self.run_sequential(attempts)
+                response.decisions = attempts.decisions
+                return response
         except RequestFailedError as error:
-            error.tries = attempts.story
+            error.decisions = attempts.decisions
             raise
         except TimeoutError as error:
             late = UnknownOutcomeError(
                 ErrorCode.DEADLINE,
-                "the deadline passed before the answer came",
+                "the deadline passed before the response came",
                 step="ingress.dispatch",
                 retry_after_ms=attempts.state.selector.retry_after_ms(self.clock.monotonic()),
             )
-            late.tries = attempts.story
+            late.decisions = attempts.decisions
             raise late from error
 
     @asynccontextmanager
     async def time_limit(self, seconds: float) -> AsyncIterator[None]:
-        """Limit what is done inside to a time, which ``end_all`` may cut short."""
-        async with asyncio.timeout(seconds) as limit:
-            self.limits.add(limit)
+        """Raise ``TimeoutError`` after ``seconds``, or earlier if ``expire_all`` is called."""
+        async with asyncio.timeout(seconds) as timeout:
+            self.timeouts.add(timeout)
             try:
                 yield
             finally:
-                self.limits.discard(limit)
+                self.timeouts.discard(timeout)
 
     def expire_all(self) -> None:
-        """End all that is under way, as if each deadline had passed."""
+        """End all requests in progress, as if their deadlines had passed."""
         now = asyncio.get_running_loop().time()
-        for limit in self.limits:
-            if not limit.expired():
-                limit.reschedule(now)
+        for timeout in self.timeouts:
+            if not timeout.expired():
+                timeout.reschedule(now)
 
-    def knows(self, service: str) -> bool:
-        """Tell whether any node is known that may take work of a service."""
+    def has_members(self, service: str) -> bool:
+        """Return whether any node of a service is known."""
         return bool(self.directory.members_of(service))
 
-    async def try_in_turn(self, attempts: Attempts) -> Response:
-        """Try one node after the other."""
+    async def run_sequential(self, attempts: Attempts) -> Response:
+        """Send the request to one node at a time until there is a response."""
         while True:
-            node = self.choose(attempts)
+            node = self.choose_node(attempts)
             if node is None:
                 raise attempts.final_error(self.clock.monotonic())
             try:
-                return await self.attempt(attempts, node)
+                return await self.run_attempt(attempts, node)
             except RequestFailedError as error:
-                attempts.note(error)
+                attempts.record_failure(error)
                 now = self.clock.monotonic()
                 if not attempts.may_retry(error, now):
                     raise attempts.final_error(now) from error
 
-    async def try_hedged(self, attempts: Attempts) -> Response:
-        """Try nodes, a second one beside the first where that one is slow; the loser is cancelled.
+    async def run_hedged(self, attempts: Attempts) -> Response:
+        """Send the request with hedging: to a second node in parallel if the first one is slow.
 
-        Only for idempotent requests whose body can be sent again.
+        The attempts that lose are cancelled. Only for idempotent requests whose body can be resent.
         """
-        first = self.choose(attempts)
+        first = self.choose_node(attempts)
         if first is None:
             raise attempts.final_error(self.clock.monotonic())
         delay_ms = attempts.state.selector.hedge_delay_ms(
-            first, self.clock.monotonic(), self.profile(attempts)
+            first, self.clock.monotonic(), self.call_profile(attempts)
         )
         delay_s = None if delay_ms is None else delay_ms / 1000
         hedge = Hedge(
-            start=lambda: self.start_hedge(attempts, hedge),
-            failed=lambda task: self.go_on(attempts, hedge, task.exception() or task.result()),
+            start_hedge=lambda: self.start_hedge(attempts, hedge),
+            on_failure=lambda task: self.handle_result(
+                attempts, hedge, task.exception() or task.result()
+            ),
         )
         try:
-            ended = await hedge.first(self.attempt(attempts, first), delay_s)
-            if self.go_on(attempts, hedge, ended):
-                return attempts.take_answer()
-            return await self.await_others(attempts, hedge, None if hedge.started else delay_s)
+            result = await hedge.run_first(self.run_attempt(attempts, first), delay_s)
+            if self.handle_result(attempts, hedge, result):
+                return attempts.pop_response()
+            return await self.wait_for_hedges(
+                attempts, hedge, None if hedge.delay_passed else delay_s
+            )
         finally:
-            if hedge.running or attempts.answers:
-                await self.cancel_all(hedge.running, attempts)
+            if hedge.tasks or attempts.responses:
+                await self.cancel_attempts(hedge.tasks, attempts)
 
-    async def await_others(
+    async def wait_for_hedges(
         self, attempts: Attempts, hedge: Hedge, delay_s: float | None
     ) -> Response:
-        """Wait for what runs after the first try has failed."""
-        while hedge.running:
+        """Wait for the attempts in progress after the first one has failed."""
+        while hedge.tasks:
             done, _ = await asyncio.wait(
-                hedge.running, timeout=delay_s, return_when=asyncio.FIRST_COMPLETED
+                hedge.tasks, timeout=delay_s, return_when=asyncio.FIRST_COMPLETED
             )
             if not done:
                 delay_s = None
                 self.start_hedge(attempts, hedge)
                 continue
             for task in done:
-                hedge.running.discard(task)
-                if self.go_on(attempts, hedge, task.exception() or task.result()):
-                    return attempts.take_answer()
-        if attempts.answers:
-            return attempts.take_answer()
+                hedge.tasks.discard(task)
+                if self.handle_result(attempts, hedge, task.exception() or task.result()):
+                    return attempts.pop_response()
+        if attempts.responses:
+            return attempts.pop_response()
         raise attempts.final_error(self.clock.monotonic())
 
     def start_hedge(self, attempts: Attempts, hedge: Hedge) -> None:
-        """Begin a second try beside one that takes long, within the budget."""
+        """Start a hedge in parallel with a slow attempt, if its budget allows."""
         now = self.clock.monotonic()
-        if not attempts.may_ask():
+        if not attempts.may_start_attempt():
             return
         if attempts.state.may_hedge(now) and attempts.budgets.hedges.withdraw(now):
             self.metrics.count("ingress.hedges")
-            self.start_another(attempts, hedge)
+            self.start_next_attempt(attempts, hedge)
 
-    def go_on(self, attempts: Attempts, hedge: Hedge, ended: Response | BaseException) -> bool:
-        """Take the end of a try; tell whether it is final, else begin another where allowed."""
-        failure = attempts.settle(ended)
+    def handle_result(
+        self, attempts: Attempts, hedge: Hedge, result: Response | BaseException
+    ) -> bool:
+        """Return whether the result of an attempt is final; if not, retry where allowed."""
+        failure = attempts.record_result(result)
         if failure is None:
             return True
         if attempts.may_retry(failure, self.clock.monotonic()):
             self.metrics.count("ingress.retries")
-            self.start_another(attempts, hedge)
+            self.start_next_attempt(attempts, hedge)
         return False
 
-    def start_another(self, attempts: Attempts, hedge: Hedge) -> None:
-        """Begin a try at another node, where there is one."""
-        node = self.choose(attempts)
+    def start_next_attempt(self, attempts: Attempts, hedge: Hedge) -> None:
+        """Start an attempt at another node, if there is one."""
+        node = self.choose_node(attempts)
         if node is not None:
-            hedge.add(self.attempt(attempts, node))
+            hedge.add(self.run_attempt(attempts, node))
 
-    async def cancel_all(self, running: "set[asyncio.Task[Response]]", attempts: Attempts) -> None:
-        """Cancel the tries that lost, and close what they may have brought all the same."""
-        for task in running:
+    async def cancel_attempts(
+        self, tasks: "set[asyncio.Task[Response]]", attempts: Attempts
+    ) -> None:
+        """Cancel the attempts that lost, and close any responses that they got nevertheless."""
+        for task in tasks:
             task.cancel()
-        for ended in await asyncio.gather(*running, return_exceptions=True):
-            if isinstance(ended, Response):
-                await ended.close()
-        for answer in attempts.answers:
-            await answer.close()
-
-    def choose(self, attempts: Attempts) -> str | None:
-        """Return a node that was not tried yet, and count the try."""
-        profile = self.profile(attempts)
+        for result in await asyncio.gather(*tasks, return_exceptions=True):
+            if isinstance(result, Response):
+                await result.close()
+        for response in attempts.responses:
+            await response.close()
+
+    def choose_node(self, attempts: Attempts) -> str | None:
+        """Return a node that the request was not sent to yet, and count the attempt."""
+        profile = self.call_profile(attempts)
         now = self.clock.monotonic()
-        # Also between the tries of one request: whoever has come since its beginning may be the
-        # only one left, as where the server that queued it leaves when its successor is up.
+        # Refreshed for each attempt: a node that joined since the request came in may be the only
+        # one left, for example when the server that queued the request leaves once its successor
+        # is up.
         attempts.state.refresh(self.directory, now)
         node = attempts.state.selector.choose(profile, now, attempts.excluded)
         if node is None and attempts.rejected_by:
-            # A node may turn a first try away because others probably have room. Where there is
-            # no other, the request would be refused though it could be served in time; a second
-            # try is judged by the node's room alone.
+            # A node may reject a first attempt because other nodes probably have free capacity. If
+            # there is no other, the request would be refused although it could be served in time.
+            # A second attempt is admitted or rejected by the node's own capacity alone.
             attempts.excluded -= attempts.rejected_by
             node = attempts.state.selector.choose(profile, now, attempts.excluded)
-        if node is None and attempts.slowed:
+        if node is None and attempts.slowed_nodes:
             node = self.choose_slowed_node(attempts, profile, now)
         if node is not None:
             attempts.excluded.add(node)
@@ -298,89 +310,90 @@
     def choose_slowed_node(
         self, attempts: Attempts, profile: CallProfile, now: float
     ) -> str | None:
-        """Return the best of the nodes that refused for their servers' pace alone, once.
+        """Return the best of the nodes that rejected the request only as slow; once per request.
 
-        Failure: the only server of a service that is left is slow for some tenths of a second. It
-        has room, but turns first tries away, since others may be quick, and nobody asks again. A
-        second try waits there until the server is quick, or is told that it would be too late.
+        Failure: the only remaining server of a service is slow for a few tenths of a second. It has
+        free capacity but rejects first attempts, since other servers may be faster, and the request
+        is not sent to it again. A second attempt waits there until the server is fast again, or is
+        rejected if that would be too late.
         """
-        others = {member.node for member in attempts.state.members} - attempts.slowed
-        attempts.slowed.clear()
-        patient = attrs.evolve(profile, goal=math.inf)
-        return attempts.state.selector.choose(patient, now, others)
+        others = {member.node for member in attempts.state.members} - attempts.slowed_nodes
+        attempts.slowed_nodes.clear()
+        without_goal = attrs.evolve(profile, goal=math.inf)
+        return attempts.state.selector.choose(without_goal, now, others)
 
-    def profile(self, attempts: Attempts) -> CallProfile:
-        """Return what the selector sees of a request."""
+    def call_profile(self, attempts: Attempts) -> CallProfile:
+        """Return the properties of the request that the selector considers."""
         request = attempts.request
         route = attempts.settings.route
         return make_call_profile(request, request.deadline, attempts.count + 1, route)
 
-    async def attempt(self, attempts: Attempts, node: str) -> Response:
-        """Send the request to one node, and let the selector learn from what becomes of it."""
+    async def run_attempt(self, attempts: Attempts, node: str) -> Response:
+        """Send the request to one node, and update the selector with the outcome."""
         selector = attempts.state.selector
         started = self.clock.monotonic()
-        # Taken now, since the log is to tell what the choice rested on, not what came of it.
+        # Read before sending: the log is to show the estimate that the choice was based on.
         believed = selector.believed(node, started)
         selector.sent(node, started)
-        attempts.began(node, started)
-        sent = self.known_statement(node)
+        attempts.attempt_started(node, started)
+        sent_statement = self.known_statement(node)
         try:
-            answer = await self.send(attempts, node, sent)
+            response = await self.send(attempts, node, sent_statement)
         except BaseException as error:
-            attempts.ended(node, error)
+            attempts.attempt_ended(node, error)
             code = getattr(error, "code", ErrorCode.CANCELLED)
             now = self.clock.monotonic()
-            learn_failure(attempts, self.directory, node, error, now, (now - started) * 1000)
+            apply_failure(attempts, self.directory, node, error, now, (now - started) * 1000)
             message = getattr(error, "message", "")
-            self.note_statement(node, getattr(error, "report", None), sent)
-            await self.look_for_end(attempts, node, error, started)
-            self.note_decision(attempts, node, started, str(code), message, believed)
+            self.record_statement(node, getattr(error, "report", None), sent_statement)
+            await self.detect_crash(attempts, node, error, started)
+            self.record_decision(attempts, node, started, str(code), message, believed)
             raise
-        attempts.ended(node)
-        self.note_statement(node, answer.report, sent)
+        attempts.attempt_ended(node)
+        self.record_statement(node, response.report, sent_statement)
         now = self.clock.monotonic()
-        self.note_decision(attempts, node, started, ANSWERED, str(answer.status), believed)
+        self.record_decision(attempts, node, started, ANSWERED, str(response.status), believed)
         selector.answered(
             node,
-            answer.report,
+            response.report,
             (now - started) * 1000,
-            not answer.is_server_error,
+            not response.is_server_error,
             now,
-            served_ms=answer.served_ms,
+            served_ms=response.served_ms,
             kind=attempts.settings.route,
-            work_ms=answer.work_ms,
+            work_ms=response.work_ms,
         )
-        return answer
+        return response
 
     def known_statement(self, node: str) -> ServerStatement | None:
-        """Return what is known that the backend server beside a node has said that it takes."""
+        """Return the last known statement of a node's backend server."""
         if not self.statements:
             return None
         member = self.directory.find(node)
-        return None if member is None else self.statements.of(member.peer_address)
+        return None if member is None else self.statements.get(member.peer_address)
 
-    def note_statement(
-        self, node: str, report: LoadReport | None, sent: ServerStatement | None
+    def record_statement(
+        self, node: str, report: LoadReport | None, sent_statement: ServerStatement | None
     ) -> None:
-        """Keep what a node's report says that its backend server takes."""
+        """Record the backend server's statement in a node's report."""
         if report is None or not (self.statements or report.statement):
             return
         member = self.directory.find(node)
         if member is not None and node != self.directory.self_member.node:
-            self.statements.note(member, report, sent)
+            self.statements.update(member, report, sent_statement)
 
-    async def look_for_end(
+    async def detect_crash(
         self, attempts: Attempts, node: str, error: BaseException, started: float
     ) -> None:
-        """Find out whether a node has ended with the request, before that is tried elsewhere."""
+        """Find out whether a node crashed with the request before it is sent to another one."""
         lost = isinstance(error, UnknownOutcomeError) and error.code is ErrorCode.PEER_LOST
         member = self.directory.find(node) if lost else None
-        if self.peer_ends is not None and member is not None:
-            await self.peer_ends.report_lost_request(
+        if self.crash_detector is not None and member is not None:
+            await self.crash_detector.report_lost_request(
                 member, attempts.request, attempts.body, started
             )
 
-    def note_decision(
+    def record_decision(
         self,
         attempts: Attempts,
         node: str,
@@ -389,7 +402,7 @@
         detail: str,
         believed: dict[str, object],
     ) -> None:
-        """Keep what became of a try for ``explain``."""
+        """Record the outcome of an attempt for ``explain`` and for the log."""
         request = attempts.request
         decision = Decision(
             self.clock.wall(),
@@ -403,25 +416,25 @@
             believed,
         )
         attempts.state.decisions.append(decision)
-        attempts.story.append(decision)
+        attempts.decisions.append(decision)
 
     def record_load_report(self, member: Member, report: LoadReport) -> None:
-        """Take in the load of a member that has published it unasked."""
+        """Record a load report that a member has published by itself."""
         try:
-            # Also before the first request for the service: a node tells of changes alone, so what
-            # is passed over now is not heard again until the next one.
-            state = self.state(member.service)
+            # Even before the first request for the service: a node publishes only changes, so a
+            # report dropped now would be missing until the next change.
+            state = self.service_state(member.service)
         except MarjoramtideError:
-            return  # the settings don't know the service, so nothing is asked of it either
+            return  # the service is not in the settings, so no requests are sent to it
         state.selector.reported(member.node, report, self.clock.monotonic())
-        self.note_statement(member.node, report, None)
+        self.record_statement(member.node, report, None)
 
     def explain(self, service: str) -> dict[str, list[dict[str, Any]]]:
-        """Return what is believed of each member of a service, and the last decisions.
+        """Return the selector's estimates of a service's members, and the latest decisions.
 
         Raises ``unknown-service``.
         """
-        state = self.state(service)
+        state = self.service_state(service)
         return {
             "members": state.selector.explain(self.clock.monotonic()),
             "decisions": [attrs.asdict(decision) for decision in state.decisions],
@@ -430,9 +443,9 @@
     async def send(
         self, attempts: Attempts, node: str, statement: ServerStatement | None
     ) -> Response:
-        """Send the request to a node: by a call where it is this one, else by its peer address.
+        """Send the request to a node: by a local call if it is this node, else to its peer address.
 
-        ``statement`` is what is known of the backend server there.
+        ``statement`` is the last known statement of the backend server there.
         """
         request = attempts.request
         with self.tracer.span("attempt", request.trace) as span:
@@ -442,11 +455,14 @@
             elif attempts.count > 1:
                 request = attrs.evolve(request, attempt=attempts.count)
             if node == self.directory.self_member.node:
-                return await self.local.handle(request, attempts.body)
+                return await self.local_handler.handle(request, attempts.body)
             member = self.directory.find(node)
             if member is None:
                 raise NotRunError(
-                    ErrorCode.NO_CANDIDATE, "the node has left", step="ingress.send", peer=node
+                    ErrorCode.NO_CANDIDATE,
+                    "the node has left the fleet",
+                    step="ingress.send",
+                    peer=node,
                 )
             if statement is not None:
                 request = attrs.evolve(request, statement=statement)
--- a/src/marjoramtide/ingress/_failure_feedback.py
+++ b/src/marjoramtide/ingress/_failure_feedback.py
@@ -1,4 +1,4 @@
-"""What a failed try tells of the node that was asked."""
+"""Feedback from failed attempts to node selection, membership and the request's next attempts."""
 
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import NotRunError, UnknownOutcomeError
@@ -6,7 +6,7 @@
 from marjoramtide.membership import Directory
 
 
-def learn_failure(
+def apply_failure(
     attempts: Attempts,
     directory: Directory,
     node: str,
@@ -14,40 +14,40 @@
     now: float,
     elapsed_ms: float,
 ) -> None:
-    """Let the selector, membership and the request's next tries learn from a failed try.
+    """Update the selector, membership and ``attempts`` after a failed attempt at ``node``.
 
-    ``now`` is in seconds of the monotonic clock; the try took ``elapsed_ms`` milliseconds.
+    ``now`` is in seconds of the monotonic clock; the attempt took ``elapsed_ms`` milliseconds.
     """
     selector = attempts.state.selector
     match error:
         case _ if attempts.body.error is not None:
-            # The caller's body broke off; the node that was to read it is not to blame.
+            # The caller's body broke off; the node that was reading it did not fail.
             selector.cancelled(node, now, elapsed_ms=elapsed_ms)
         case NotRunError(
             code=ErrorCode.CONNECT_FAILED | ErrorCode.PEER_LOST | ErrorCode.UNKNOWN_SERVICE
         ):
-            # Also where a node of another service answers at the address: the one that was
-            # meant is gone, and membership has not noticed yet.
+            # UNKNOWN_SERVICE: a node of another service answers at the address, so the intended
+            # node is gone and membership has not noticed yet.
             selector.lost(node, now, elapsed_ms=elapsed_ms, unreachable=True)
             directory.report_failure(node)
         case NotRunError(code=ErrorCode.EVACUATED):
-            attempts.excluded |= neighbours(attempts, directory, node)
+            attempts.excluded |= data_centre_nodes(attempts, directory, node)
             selector.cancelled(node, now, elapsed_ms=elapsed_ms)
         case NotRunError(
             code=ErrorCode.STORE_UNAVAILABLE | ErrorCode.KEY_REUSED | ErrorCode.QUARANTINED
         ):
-            # The claim or the request was refused, not the load: a node that took the hint to come
-            # back for its own would be left alone by everyone's lookups, and in an outage of the
-            # store all nodes would be in turn.
+            # The claim or the request was refused, not the load. If the Retry-After were taken as
+            # the node's own, no lookups would be sent to it, and in a store outage all nodes would
+            # be avoided in turn.
             selector.cancelled(node, now, elapsed_ms=elapsed_ms)
         case UnknownOutcomeError(code=ErrorCode.DUPLICATE_KEY):
             selector.cancelled(node, now, elapsed_ms=elapsed_ms)
         case NotRunError():
             attempts.rejected_by.add(node)
             if error.code is ErrorCode.SLOWED:
-                attempts.slowed.add(node)
+                attempts.slowed_nodes.add(node)
             if error.code is ErrorCode.OVERLOADED:
-                attempts.state.refused_at = now
+                attempts.state.overloaded_at = now
             retry_after_ms = error.retry_after_ms or 0
             selector.rejected(node, error.report, retry_after_ms, now, elapsed_ms=elapsed_ms)
         case UnknownOutcomeError(code=ErrorCode.DEADLINE):
@@ -60,13 +60,14 @@
             selector.cancelled(node, now, elapsed_ms=elapsed_ms)
 
 
-def neighbours(attempts: Attempts, directory: Directory, node: str) -> set[str]:
-    """Return the nodes in the data centre of one that refused since that is evacuated.
+def data_centre_nodes(attempts: Attempts, directory: Directory, node: str) -> set[str]:
+    """Return the service's nodes in the data centre of a node that is being evacuated.
 
-    This node has not heard of it yet. Without this a request asks one of them after the other.
+    This node has not learned of the evacuation yet. Without this a request would be sent to all of
+    them in turn.
     """
-    asked = directory.find(node)
-    if asked is None:
+    evacuated = directory.find(node)
+    if evacuated is None:
         return {node}
     members = attempts.state.members
-    return {each.node for each in members if each.data_centre == asked.data_centre}
+    return {each.node for each in members if each.data_centre == evacuated.data_centre}
--- a/src/marjoramtide/ingress/_hedge.py
+++ b/src/marjoramtide/ingress/_hedge.py
@@ -1,4 +1,4 @@
-"""Further tries beside a first one that takes long."""
+"""Hedged attempts: further attempts in parallel with a slow first one."""
 
 import asyncio
 from collections.abc import Callable, Coroutine
@@ -11,65 +11,65 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Hedge:
-    """Runs the first try of a request in the request's own task, and others beside it if need be.
+    """Runs the first attempt in the request's own task, and later ones in tasks of their own.
 
-    Nearly all requests end with their first try, and a task for each would cost more than the rest
-    of the hedging. A later try that brings a good answer ends the first by cancelling the task, in
-    the way of ``asyncio.timeout``: where the count of cancellations is not back at what it was,
-    somebody else has cancelled too, and that counts.
+    Nearly all requests end with their first attempt, and a task for each would cost more than all
+    the rest of hedging. A later attempt that succeeds ends the first by cancelling the request's
+    task, the way ``asyncio.timeout`` does: if the count of cancellations doesn't return to its
+    earlier value, somebody else has cancelled the task too, and that cancellation takes effect.
 
-    ``start`` is called after the delay, ``failed`` with the end of a later try that brought no good
-    answer while the first one runs on.
+    ``start_hedge`` is called after the hedge delay, ``on_failure`` with the task of a later attempt
+    that ended without a successful response while the first one is still running.
     """
 
-    start: Callable[[], None]
-    failed: Callable[["asyncio.Task[Response]"], object]
-    running: "set[asyncio.Task[Response]]" = attrs.Factory(set)
-    started: bool = False
-    owner: "asyncio.Task[Any] | None" = None
+    start_hedge: Callable[[], None]
+    on_failure: Callable[["asyncio.Task[Response]"], object]
+    tasks: "set[asyncio.Task[Response]]" = attrs.Factory(set)
+    delay_passed: bool = False
+    first_task: "asyncio.Task[Any] | None" = None
     winner: "asyncio.Task[Response] | None" = None
 
-    async def first(
+    async def run_first(
         self, attempt: Coroutine[Any, Any, Response], delay_s: float | None
     ) -> Response | Exception:
-        """Return the good answer that came first, or how the first try failed."""
-        owner = self.owner = asyncio.current_task()
-        assert owner is not None
-        cancellations = owner.cancelling()
+        """Return the first successful response, or the failure of the first attempt."""
+        first_task = self.first_task = asyncio.current_task()
+        assert first_task is not None
+        cancellations = first_task.cancelling()
         loop = asyncio.get_running_loop()
-        timer = None if delay_s is None else loop.call_later(delay_s, self.late)
+        timer = None if delay_s is None else loop.call_later(delay_s, self.on_delay)
         try:
             return await attempt
         except RequestFailedError as error:
             return error
         except asyncio.CancelledError:
-            if self.winner is None or owner.uncancel() > cancellations:
+            if self.winner is None or first_task.uncancel() > cancellations:
                 raise
-            self.running.discard(self.winner)
+            self.tasks.discard(self.winner)
             return self.winner.result()
         finally:
-            self.owner = None
+            self.first_task = None
             if timer is not None:
                 timer.cancel()
 
-    def late(self) -> None:
-        self.started = True
-        self.start()
+    def on_delay(self) -> None:
+        self.delay_passed = True
+        self.start_hedge()
 
     def add(self, attempt: Coroutine[Any, Any, Response]) -> None:
-        """Run another try beside the first."""
+        """Run another attempt in parallel."""
         task = asyncio.create_task(attempt)
-        self.running.add(task)
-        task.add_done_callback(self.ended)
+        self.tasks.add(task)
+        task.add_done_callback(self.on_done)
 
-    def ended(self, task: "asyncio.Task[Response]") -> None:
-        # Once the first try has ended, whoever waits for the rest takes their ends.
-        if self.owner is None or self.winner is not None or task.cancelled():
+    def on_done(self, task: "asyncio.Task[Response]") -> None:
+        # Once the first attempt has ended, the dispatcher waits for the remaining tasks itself.
+        if self.first_task is None or self.winner is not None or task.cancelled():
             return
         error = task.exception()
         if error is None and not task.result().is_server_error:
             self.winner = task
-            self.owner.cancel()
+            self.first_task.cancel()
         elif error is None or isinstance(error, RequestFailedError):
-            self.running.discard(task)
-            self.failed(task)
+            self.tasks.discard(task)
+            self.on_failure(task)
--- a/src/marjoramtide/ingress/_ingress.py
+++ b/src/marjoramtide/ingress/_ingress.py
@@ -1,4 +1,4 @@
-"""The port on which callers reach the service."""
+"""The HTTP server for callers."""
 
 import asyncio
 import logging
@@ -21,7 +21,7 @@
     inline_body,
 )
 from marjoramtide.ingress._authenticator import Authenticator
-from marjoramtide.ingress._caller_connection import log_fields
+from marjoramtide.ingress._caller_connection import error_fields
 from marjoramtide.ingress._caller_protocol import CallerProtocol
 from marjoramtide.ingress._caller_server import CallerServer
 from marjoramtide.ingress._decision import Decision
@@ -36,21 +36,22 @@
 log = structlog.get_logger()
 
 MAX_HEADERS = 100
-# After a refusal the rest of a body is read and dropped for so long: a connection that is closed
-# with bytes unread is reset, and the caller might lose the answer.
+# For this long after a refusal the rest of the body is read and discarded: a connection that is
+# closed with unread bytes is reset, and the caller might lose the response.
 LINGER_S = 2.0
-COME_BACK_MS = 1000
-# Where a node holds no settings yet. One that starts reads them within 70 to 150 ms; one that was
-# cut off catches up within seconds, and its callers would use up their retries before.
-STARTING_COME_BACK_MS = 200
-# Far above what the backend servers behind one node take at once; each holds up to 64 kB of body.
+RETRY_AFTER_MS = 1000
+# For a node that has no settings yet. A node that starts reads them within 70 to 150 ms. One that
+# was cut off catches up within seconds; with this delay its callers would use up their retries
+# first.
+STARTING_RETRY_AFTER_MS = 200
+# Far more than the backend servers behind one node take at once. Each holds up to 64 kB of body.
 MAX_IN_PROGRESS = 2048
 URGENT_RESERVE = 256
-UNSENT_CHECK_S = 0.02
+UNSENT_POLL_S = 0.02
 
 
 class Ingress:
-    """Takes callers' HTTP and gives each request its one final answer."""
+    """Receives callers' HTTP requests and sends exactly one final response to each."""
 
     def __init__(
         self,
@@ -61,17 +62,18 @@
         metrics: Metrics,
         tracer: Tracer,
         protocol: CallerProtocol | None = None,
-        start_up: StartupGrace | None = None,
+        startup_grace: StartupGrace | None = None,
         authenticator: Authenticator | None = None,
         quotas: RequestQuota | None = None,
     ) -> None:
-        """Without a ``start_up`` no request waits for settings.
+        """Initialize the server.
 
-        Without an ``authenticator`` the backend server beside this node makes no calls without a
-        key, without ``quotas`` no workspace is limited.
+        Without a ``startup_grace`` no request waits for settings. Without an ``authenticator`` the
+        backend server beside this node can't make calls without a key. Without ``quotas`` no
+        workspace is limited.
         """
         self.node = node
-        self.start_up = start_up or StartupGrace(clock)
+        self.startup_grace = startup_grace or StartupGrace(clock)
         self.protocol = protocol or DefaultCallerProtocol()
         self.authenticator = authenticator or Authenticator(view, self.protocol.scheme)
         self.quotas = quotas or NoQuota()
@@ -113,26 +115,26 @@
         await self.site.start()
 
     def configure(self, revision: int) -> None:
-        """Put the bounds on what callers may send into force, at the start and at each change."""
+        """Apply the limits for callers from the settings, at start-up and after each change."""
         assert self.server is not None
         self.server.configure(self.view.node_values)
 
-    async def handle(self, http: web.BaseRequest) -> web.StreamResponse:
+    async def handle(self, http_request: web.BaseRequest) -> web.StreamResponse:
         """Serve one request of a caller."""
         self.in_progress += 1
         self.idle.clear()
         started = self.clock.monotonic()
         try:
-            response = await self.answer(http, started)
+            http_response = await self.answer(http_request, started)
         except asyncio.CancelledError:
-            if not http.content.is_eof():
+            if not http_request.content.is_eof():
                 self.metrics.count("ingress.caller_left")
                 log.info(
                     "ingress.caller_left",
                     code=ErrorCode.TRUNCATED,
                     step="ingress.read_body",
                     peer="",
-                    caller=http.remote,
+                    caller=http_request.remote,
                 )
             raise
         finally:
@@ -140,89 +142,91 @@
             if not self.in_progress:
                 self.idle.set()
         self.metrics.timing("ingress.request", (self.clock.monotonic() - started) * 1000)
-        return response
+        return http_response
 
-    async def answer(self, http: web.BaseRequest, now: float) -> web.StreamResponse:
+    async def answer(self, http_request: web.BaseRequest, now: float) -> web.StreamResponse:
         body: RequestBody | None = None
         request: Request | None = None
         lease: QuotaLease | None = None
         try:
-            await self.start_up.wait_until(lambda: self.view.is_current)
-            self.check_open()
-            request, settings = self.protocol.read(http, self.view, self.tracer, now)
-            request = self.authenticator.admit(http, request, settings)
-            self.check_room(request)
+            await self.startup_grace.wait_until(lambda: self.view.is_current)
+            self.check_accepting()
+            request, settings = self.protocol.read(http_request, self.view, self.tracer, now)
+            request = self.authenticator.admit(http_request, request, settings)
+            self.check_capacity(request)
             lease = await self.quotas.admit(request)
-            body = await self.read_body(http, request, settings)
+            body = await self.read_body(http_request, request, settings)
             with self.tracer.span("ingress", request.trace) as span:
                 if span is not None:
                     span.attributes |= {"method": request.method, "service": request.service}
-                    if read_trace(http.headers.get("Traceparent", "")) is None:
+                    if read_trace(http_request.headers.get("Traceparent", "")) is None:
                         span.parent_id = ""
                     request = attrs.evolve(request, trace=span.header())
                 answer = await self.dispatcher.dispatch(request, body, settings)
-            self.note_late(request, answer)
-            return await self.send(http, request, answer)
+            self.log_if_late(request, answer)
+            return await self.send(http_request, request, answer)
         except MarjoramtideError as error:
-            broken = body.error if body is not None else None
+            body_error = body.error if body is not None else None
             if lease is not None and not isinstance(error, UnknownOutcomeError):
                 lease.refund()
             if request is not None:
-                self.authenticator.calls.record_failure(request, error)
-            return self.refuse(http, broken or error, request)
+                self.authenticator.nested_calls.record_failure(request, error)
+            return self.refuse(http_request, body_error or error, request)
 
     async def read_body(
-        self, http: web.BaseRequest, request: Request, settings: RouteSettings
+        self, http_request: web.BaseRequest, request: Request, settings: RouteSettings
     ) -> RequestBody:
-        """Read the body, or its beginning, within the deadline."""
-        if not http.can_read_body:
+        """Read the body, or the beginning of a large one, within the deadline."""
+        if not http_request.can_read_body:
             return inline_body()
         remaining = request.deadline - self.clock.monotonic()
         try:
             async with asyncio.timeout(max(0.0, remaining)):
-                return await read_body(http, settings.max_body_bytes)
+                return await read_body(http_request, settings.max_body_bytes)
         except TimeoutError as error:
-            # Without this a body that trickles holds its connection and its memory for ever.
+            # Without this a body that trickles in would hold its connection and memory forever.
             raise NotRunError(
                 ErrorCode.SLOW_CALLER,
                 "the body did not arrive before the deadline",
                 step="ingress.read_body",
             ) from error
 
-    def check_open(self) -> None:
-        """Refuse where this node must not take callers' requests."""
+    def check_accepting(self) -> None:
+        """Raise ``NotRunError`` if this node must not accept callers' requests."""
         if self.is_stopping:
             raise NotRunError(
                 ErrorCode.DRAINING, "the node is stopping", step="ingress", retry_after_ms=0
             )
         if not self.view.is_current:
-            # Cut off from the store and every peer, this node can't know what was accepted since;
-            # serving by old settings would make an accepted change untrue here.
+            # This node is cut off from the store and all peers, so it can't know of changes
+            # accepted since. By serving with old settings it would violate an accepted change.
             raise NotRunError(
                 ErrorCode.STALE_SETTINGS,
-                "the node can't know which settings are in force",
+                "the node can't determine which settings are in force",
                 step="ingress",
-                retry_after_ms=COME_BACK_MS if self.view.revision else STARTING_COME_BACK_MS,
+                retry_after_ms=RETRY_AFTER_MS if self.view.revision else STARTING_RETRY_AFTER_MS,
             )
 
-    def check_room(self, request: Request) -> None:
-        """Refuse what is more than this node can hold; the last places are for urgent requests.
+    def check_capacity(self, request: Request) -> None:
+        """Raise ``NotRunError`` if too many requests are in progress.
 
-        Queues are bounded at each serving node, but a request may also wait for its body, or for
-        nodes that don't answer: many callers at once would fill the memory, and a process that is
-        killed for it leaves the outcome of everything in progress unknown.
+        The last ``urgent_reserve`` places are for urgent requests.
+
+        Each serving node has a bounded queue, but a request may also wait for its body or for nodes
+        that don't respond. Many callers at once would fill the memory, and if the process is killed
+        for that, the outcome of all requests in progress is unknown.
         """
-        room = self.max_in_progress - (0 if request.urgent else self.urgent_reserve)
-        if self.in_progress > room:
+        limit = self.max_in_progress - (0 if request.urgent else self.urgent_reserve)
+        if self.in_progress > limit:
             raise NotRunError(
                 ErrorCode.OVERLOADED,
                 "too many requests are in progress at this node",
                 step="ingress",
-                retry_after_ms=COME_BACK_MS,
+                retry_after_ms=RETRY_AFTER_MS,
             )
 
     def refuse(
-        self, http: web.BaseRequest, error: MarjoramtideError, request: Request | None
+        self, http_request: web.BaseRequest, error: MarjoramtideError, request: Request | None
     ) -> web.Response:
         self.metrics.count(f"ingress.refused.{error.code}")
         request_id = request.request_id if request is not None else ""
@@ -231,27 +235,30 @@
             request=request_id,
             revision=self.view.revision,
             retry_after_ms=error.retry_after_ms,
-            **self.told(http, request, error),
-            **log_fields(error, http.remote),
+            **self.failure_fields(http_request, request, error),
+            **error_fields(error, http_request.remote),
         )
-        response = self.protocol.refusal(error, self.node, request_id)
-        if self.is_draining or not http.content.at_eof():
-            # The rest of a body that was not read would be taken for the next request.
-            response.force_close()
-        return response
+        http_response = self.protocol.refusal(error, self.node, request_id)
+        if self.is_draining or not http_request.content.at_eof():
+            # The unread rest of a body would be parsed as the next request.
+            http_response.force_close()
+        return http_response
 
-    def told(
-        self, http: web.BaseRequest, request: Request | None, error: MarjoramtideError
+    def failure_fields(
+        self, http_request: web.BaseRequest, request: Request | None, error: MarjoramtideError
     ) -> dict[str, Any]:
-        """Return what the log tells of a request that failed: its route, its time and its tries."""
+        """Return the log fields of a failed request: its route, time left and attempts."""
         if request is None:
-            return {"host": http.headers.get("Host", "")[:100], "path": http.raw_path[:100]}
-        tries = error.tries if isinstance(error, RequestFailedError) else ()
+            return {
+                "host": http_request.headers.get("Host", "")[:100],
+                "path": http_request.raw_path[:100],
+            }
+        decisions = error.decisions if isinstance(error, RequestFailedError) else ()
         left_ms = round((request.deadline - self.clock.monotonic()) * 1000)
-        return request_fields(request, tries) | {"left_ms": left_ms}
+        return request_fields(request, decisions) | {"left_ms": left_ms}
 
-    def note_late(self, request: Request, answer: Response) -> None:
-        """Tell of an answer that comes later than the operator wants it, and of its tries."""
+    def log_if_late(self, request: Request, response: Response) -> None:
+        """Log a response that exceeds the latency target of its route, with its attempts."""
         late_s = self.clock.monotonic() - request.goal
         if late_s > 0:
             self.metrics.count("ingress.late")
@@ -259,88 +266,90 @@
                 "ingress.late",
                 request=request.request_id,
                 revision=self.view.revision,
-                status=answer.status,
+                status=response.status,
                 late_ms=round(late_s * 1000),
-                served_ms=None if answer.served_ms is None else round(answer.served_ms),
-                work_ms=round(answer.work_ms),
-                **request_fields(request, answer.tries),
+                served_ms=None if response.served_ms is None else round(response.served_ms),
+                work_ms=round(response.work_ms),
+                **request_fields(request, response.decisions),
             )
 
     async def send(
-        self, http: web.BaseRequest, request: Request, answer: Response
+        self, http_request: web.BaseRequest, request: Request, response: Response
     ) -> web.StreamResponse:
-        """Give the answer to the caller, whole or visibly broken off."""
+        """Send the response to the caller, complete or visibly truncated."""
         self.metrics.count("ingress.completed")
-        response: web.StreamResponse
-        if answer.stream is None:
-            response = web.Response(status=answer.status, body=answer.body or None)
-            self.add_headers(response, answer)
-            if request.method == "HEAD" and answer.length is not None:
-                response.headers["Content-Length"] = str(answer.length)
-            return response
-        response = web.StreamResponse(status=answer.status)
-        self.add_headers(response, answer)
-        if answer.length is not None:
-            response.content_length = answer.length
+        http_response: web.StreamResponse
+        if response.stream is None:
+            http_response = web.Response(status=response.status, body=response.body or None)
+            self.add_headers(http_response, response)
+            if request.method == "HEAD" and response.length is not None:
+                http_response.headers["Content-Length"] = str(response.length)
+            return http_response
+        http_response = web.StreamResponse(status=response.status)
+        self.add_headers(http_response, response)
+        if response.length is not None:
+            http_response.content_length = response.length
         else:
-            response.enable_chunked_encoding()
+            http_response.enable_chunked_encoding()
         remaining = max(0.0, request.deadline - self.clock.monotonic())
         try:
-            # A caller that reads slowly, or not at all, holds what is behind it until the deadline.
+            # A caller that reads slowly, or not at all, holds resources only until the deadline.
             async with asyncio.timeout(remaining):
-                await response.prepare(http)
-                async for data in answer.stream:
-                    await response.write(data)
-                answer.cancel = None
-                await response.write_eof()
+                await http_response.prepare(http_request)
+                async for data in response.stream:
+                    await http_response.write(data)
+                response.cancel = None
+                await http_response.write_eof()
         except MarjoramtideError as error:
-            self.break_off(http, error)
+            self.abort_connection(http_request, error)
         except TimeoutError:
-            self.break_off(
-                http,
+            self.abort_connection(
+                http_request,
                 UnknownOutcomeError(
-                    ErrorCode.DEADLINE, "the deadline passed amid the answer", step="ingress.send"
+                    ErrorCode.DEADLINE,
+                    "the deadline passed before the response was sent completely",
+                    step="ingress.send",
                 ),
             )
         finally:
-            await answer.close()
-        return response
+            await response.close()
+        return http_response
 
-    def break_off(self, http: web.BaseRequest, error: MarjoramtideError) -> None:
-        """Break the connection: the head is out, nothing else can tell that this is not all."""
-        log.warning("ingress.broken_off", **log_fields(error, http.remote))
+    def abort_connection(self, http_request: web.BaseRequest, error: MarjoramtideError) -> None:
+        """Abort the connection: after the head nothing else marks a response as incomplete."""
+        log.warning("ingress.broken_off", **error_fields(error, http_request.remote))
         self.metrics.count("ingress.broken_off")
-        if http.transport is not None:
-            http.transport.abort()
+        if http_request.transport is not None:
+            http_request.transport.abort()
 
-    def add_headers(self, response: web.StreamResponse, answer: Response) -> None:
-        for name, value in self.protocol.response_headers(answer, self.node):
-            response.headers.add(name, value)
+    def add_headers(self, http_response: web.StreamResponse, response: Response) -> None:
+        for name, value in self.protocol.response_headers(response, self.node):
+            http_response.headers.add(name, value)
         if self.is_draining:
-            # Kept open, it would be closed at the end of the stop, perhaps amid the caller's next
-            # booking, which would then be unknown to its caller.
-            response.force_close()
+            # A connection kept open would be closed at the end of the shutdown, possibly during the
+            # caller's next request, whose outcome would then be unknown.
+            http_response.force_close()
 
     async def start_draining(self) -> None:
-        """Take no new connections, and end each kept one with its next answer.
+        """Accept no new connections, and close each open one after its next response.
 
-        What comes on kept connections meanwhile is passed on to other nodes: callers can't know yet
-        that this one stops, and need not be refused for it.
+        Requests on open connections are still dispatched to other nodes: callers can't know yet
+        that this node is stopping, and need not be refused for it.
         """
         self.is_draining = True
         if self.site is not None:
             await self.site.stop()
 
     async def wait_drained(self) -> None:
-        """Wait until no request is in progress and callers have been sent every byte.
+        """Wait until no request is in progress and all responses have been written to the sockets.
 
-        What a handler has given stands in the connection's buffer until the caller takes it. A
-        process that exits before cuts the answer of a slow reader off amid its body.
+        What a handler writes stays in the connection's buffer until the caller reads it. If the
+        process exited earlier, the response to a slow reader would be truncated.
         """
         await self.idle.wait()
         assert self.server is not None
         while self.server.has_unsent:
-            await asyncio.sleep(UNSENT_CHECK_S)
+            await asyncio.sleep(UNSENT_POLL_S)
 
     async def close(self) -> None:
         """Stop listening and close callers' connections."""
@@ -348,8 +357,8 @@
             await self.runner.cleanup()
 
 
-def request_fields(request: Request, tries: Iterable[Decision]) -> dict[str, Any]:
-    """Return what the log tells of a request and of its tries."""
+def request_fields(request: Request, decisions: Iterable[Decision]) -> dict[str, Any]:
+    """Return the log fields of a request and its attempts."""
     return {
         "service": request.service,
         "path": request.target[:100],
@@ -363,6 +372,6 @@
                 "ms": each.elapsed_ms,
                 **each.believed,
             }
-            for each in tries
+            for each in decisions
         ],
     }
--- a/src/marjoramtide/ingress/_known_statements.py
+++ b/src/marjoramtide/ingress/_known_statements.py
@@ -1,4 +1,4 @@
-"""What backend servers beside other nodes have said that they take."""
+"""The last known statements of other nodes' backend servers."""
 
 import attrs
 
@@ -7,8 +7,8 @@
 
 
 @attrs.frozen(slots=True)
-class HeardStatement:
-    """A statement, by which run of a node it was told, and in which of its reports."""
+class KnownStatement:
+    """A statement, with the node and the sequence number of the report that it came in."""
 
     statement: ServerStatement
     node: str
@@ -17,34 +17,40 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class KnownStatements:
-    """The last statement of each server that asks for something, by its node's peer address.
-
-    Failure: the node beside a server is started anew and has forgotten what the server said; the
-    server gets its full share again from all nodes. These know it from the answers that they have
-    passed on, and tell it with each request, so that the new node goes by it before the first one
-    begins. A statement is forgotten when the node that told it tells that it has ended, or when a
-    node that was told it answers without one: it knows better, or another start is beside it.
+    """The last statement of each server that limits its load, by its node's peer address.
+
+    Failure: the node beside a server restarts and has lost the server's statement, so all nodes
+    send the server its full share again. They know the statement from earlier responses and send it
+    along with each request, so that the restarted node applies it before the first request begins.
+    A statement is removed when the node that reported it reports that it has ended, or when a
+    restarted node that was sent it responds without one: then that node has newer knowledge, or
+    another instance runs beside it.
     """
 
-    heard: dict[str, HeardStatement] = attrs.Factory(dict)
+    known: dict[str, KnownStatement] = attrs.Factory(dict)
 
     def __len__(self) -> int:
-        return len(self.heard)
-
-    def of(self, address: str) -> ServerStatement | None:
-        """Return what is known of the server beside the node with this peer address."""
-        held = self.heard.get(address)
-        return None if held is None else held.statement
-
-    def note(self, member: Member, report: LoadReport, sent: ServerStatement | None) -> None:
-        """Take in a node's report; ``sent`` is what the node had been told with the request."""
-        held = self.heard.get(member.peer_address)
-        is_same_run = held is not None and held.node == member.node
-        if is_same_run and held is not None and report.sequence <= held.sequence:
+        return len(self.known)
+
+    def get(self, address: str) -> ServerStatement | None:
+        """Return the statement of the server whose node has this peer address."""
+        entry = self.known.get(address)
+        return None if entry is None else entry.statement
+
+    def update(
+        self, member: Member, report: LoadReport, sent_statement: ServerStatement | None
+    ) -> None:
+        """Update the statements from a node's report.
+
+        ``sent_statement`` is the statement that the node had been sent with the request.
+        """
+        entry = self.known.get(member.peer_address)
+        is_same_run = entry is not None and entry.node == member.node
+        if is_same_run and entry is not None and report.sequence <= entry.sequence:
             return
         if report.statement is not None:
-            self.heard[member.peer_address] = HeardStatement(
+            self.known[member.peer_address] = KnownStatement(
                 report.statement, member.node, report.sequence
             )
-        elif held is not None and (is_same_run or sent is held.statement):
-            del self.heard[member.peer_address]
+        elif entry is not None and (is_same_run or sent_statement is entry.statement):
+            del self.known[member.peer_address]
--- a/src/marjoramtide/ingress/_peer_crash_detector.py
+++ b/src/marjoramtide/ingress/_peer_crash_detector.py
@@ -1,4 +1,4 @@
-"""Requests that were lost with the node that was to serve them."""
+"""Detection of nodes that crashed with requests they were sent."""
 
 import asyncio
 from collections.abc import Callable, Sequence
@@ -15,27 +15,28 @@
 
 log = structlog.get_logger()
 
-# For how long the failure of a request may be held back until it is known whether the other node
-# has ended, in seconds. A connection is refused within a round trip, 2 ms between data centres; one
-# that hangs is to a host without power, and the request is tried elsewhere so much later.
-LOOK_TIMEOUT_S = 0.02
-# When a node is looked at again that neither answers nor refuses, in seconds after the look before.
-# A process that takes long to end goes on taking connections. Shorter in all than a host is without
-# power: one that is back refuses connections until its node is up, and nothing ended by a request.
-LOOKS_AGAIN_S = (0.05, 0.1, 0.2)
+# How long a failed request may be delayed until it is known whether its node crashed. A connection
+# is refused within a round trip, which is 2 ms between data centres. One that hangs is to a host
+# without power, and the retry at another node is delayed by this much.
+PROBE_TIMEOUT_S = 0.02
+# Pauses before further probes of a node that neither accepted nor refused the first one: a process
+# that takes long to exit goes on accepting connections. In total they must be shorter than the
+# power loss of a host: after it, the host refuses connections until its node is up, although no
+# request crashed that node.
+PROBE_PAUSES_S = (0.05, 0.1, 0.2)
 
 Fingerprint = Callable[[Request, RequestBody], int]
 Report = Callable[[Member, Sequence[Run]], None]
 
 
 class PeerCrashDetector:
-    """Finds out whether a node has ended, and reports what is known to have run there.
+    """Finds out whether a node has crashed, and reports the requests known to have run there.
 
-    Failure: a request ends the node that serves it. That node tells nobody what it served, so the
-    request is sent to the next one, and callers send it again: 34 ends in 12 s among six nodes.
-    Those that had sent it there know, and the witness of what the node ran for its own callers. A
-    node whose address refuses connections has ended, and its host has not; one that leaves as
-    planned, or can't be reached, is put down to nobody.
+    Failure: a request crashes the node that serves it. That node can't tell anyone what it ran, so
+    the request is sent to the next node, and callers retry it: 34 crashes in 12 s among six nodes.
+    The nodes that had sent the request know of it, and so does the witness of what the node ran for
+    its own callers. If a node's address refuses connections, the node has crashed but its host has
+    not. For a node that leaves as planned, or that can't be reached, no request is blamed.
     """
 
     def __init__(
@@ -46,61 +47,61 @@
         fingerprint: Fingerprint,
         report: Report,
     ) -> None:
-        """``report`` is told of a node that has ended, and of what was lost with it."""
+        """Initialize the detector; ``report`` is called with a crashed node and its lost runs."""
         self.peers = peers
         self.clock = clock
         self.metrics = metrics
         self.fingerprint = fingerprint
         self.report = report
         self.lost: dict[str, list[Run]] = {}
-        self.looking: dict[str, asyncio.Task[None]] = {}
+        self.probes: dict[str, asyncio.Task[None]] = {}
         self.later: set[asyncio.Task[None]] = set()
 
     async def report_lost_request(
         self, member: Member, request: Request, body: RequestBody, started: float
     ) -> None:
-        """Take a request whose connection broke; return once it is known whether its node ended.
+        """Report a request whose connection broke; return once it is known if its node crashed.
 
-        The news of an end is then on its way before the request is sent to another node. Where the
-        node neither answers nor refuses, this returns before.
+        The crash is thus reported before the request is sent to another node. If the node neither
+        accepts nor refuses connections, this returns without knowing.
         """
         fingerprint = self.fingerprint(request, body)
         run = Run(fingerprint, request.request_id, request.label, started)
         self.report_lost_runs(member, [run])
-        task = self.looking.get(member.node)
+        task = self.probes.get(member.node)
         if task is not None:
             await asyncio.shield(task)
 
     def report_lost_runs(self, member: Member, runs: Sequence[Run]) -> None:
-        """Take what ran at a node whose connection broke, and look whether that node has ended."""
+        """Report the runs at a node whose connection broke, and check whether it has crashed."""
         if member.state in (MemberState.LEAVING, MemberState.DEAD):
             return
         self.lost.setdefault(member.node, []).extend(runs)
-        if member.node not in self.looking:
-            self.looking[member.node] = asyncio.create_task(self.look(member))
+        if member.node not in self.probes:
+            self.probes[member.node] = asyncio.create_task(self.probe(member))
 
-    async def look(self, member: Member) -> None:
-        """Look at a node once, and again later where that tells nothing."""
-        sign = await self.peers.look(member.peer_address, LOOK_TIMEOUT_S)
-        del self.looking[member.node]
+    async def probe(self, member: Member) -> None:
+        """Probe a node once, and again later if the result is unknown."""
+        sign = await self.peers.look(member.peer_address, PROBE_TIMEOUT_S)
+        del self.probes[member.node]
         runs = self.lost.pop(member.node)
         if sign is PeerSign.UNKNOWN:
-            task = asyncio.create_task(self.look_again(member, runs))
+            task = asyncio.create_task(self.probe_again(member, runs))
             self.later.add(task)
             task.add_done_callback(self.later.discard)
-        self.conclude(member, runs, sign)
+        self.report_if_crashed(member, runs, sign)
 
-    async def look_again(self, member: Member, runs: Sequence[Run]) -> None:
-        """Look at a node until it answers or refuses, for some tenths of a second."""
-        for pause_s in LOOKS_AGAIN_S:
+    async def probe_again(self, member: Member, runs: Sequence[Run]) -> None:
+        """Probe a node until it accepts or refuses, for a few tenths of a second."""
+        for pause_s in PROBE_PAUSES_S:
             await self.clock.sleep(pause_s)
             sign = await self.peers.look(member.peer_address, pause_s)
             if sign is not PeerSign.UNKNOWN:
-                self.conclude(member, runs, sign)
+                self.report_if_crashed(member, runs, sign)
                 return
 
-    def conclude(self, member: Member, runs: Sequence[Run], sign: PeerSign) -> None:
-        """Report what was lost with a node, where that has ended."""
+    def report_if_crashed(self, member: Member, runs: Sequence[Run], sign: PeerSign) -> None:
+        """Report the runs lost with a node if it has crashed."""
         if sign is not PeerSign.GONE:
             return
         self.metrics.count("ingress.node_ends")
