--- a/src/marjoramtide/ingress/_read_body.py
+++ b/src/marjoramtide/ingress/_read_body.py
@@ -1,4 +1,4 @@
-"""Reading the body that a caller sends."""
+"""Reading of request bodies from callers."""
 
 from collections.abc import AsyncIterator
 
@@ -12,76 +12,76 @@
 
 
 def too_large(limit: int) -> MarjoramtideError:
-    """Return the error for a body above the route's limit."""
+    """Return the error for a body that exceeds the route's limit."""
     return MarjoramtideError(ErrorCode.BODY_TOO_LARGE, f"the body is over {limit} bytes", step=STEP)
 
 
-async def read_some(http: web.BaseRequest) -> bytes:
-    """Return what has arrived of the body, at least one byte unless it is at its end.
+async def read_available(http_request: web.BaseRequest) -> bytes:
+    """Return the part of the body that has arrived, at least one byte unless the body ends.
 
-    Raises ``bad-request`` where its chunks break the protocol, ``truncated`` where the caller has
-    left: what was read is then not the whole body and must not be used as such.
+    Raises ``bad-request`` if the chunked encoding is invalid, and ``truncated`` if the caller
+    disconnected: what was read is then incomplete and must not be used as the whole body.
     """
     try:
-        return await http.content.readany()
+        return await http_request.content.readany()
     except (HttpProcessingError, web.RequestPayloadError) as error:
         raise MarjoramtideError(
-            ErrorCode.BAD_REQUEST, "the body breaks the protocol", step=STEP
+            ErrorCode.BAD_REQUEST, "the body is not valid HTTP", step=STEP
         ) from error
     except OSError as error:
         raise MarjoramtideError(
-            ErrorCode.TRUNCATED, "the caller left amid the body", step=STEP
+            ErrorCode.TRUNCATED, "the caller disconnected before the end of the body", step=STEP
         ) from error
 
 
-async def read_body(http: web.BaseRequest, limit: int) -> RequestBody:
-    """Read a small body whole; leave a large one unread until it is admitted.
+async def read_body(http_request: web.BaseRequest, limit: int) -> RequestBody:
+    """Read a small body completely; leave a large one unread until the request is admitted.
 
-    Raises ``body-too-large`` at once where the length is declared above ``limit``; where it is
-    not declared, the stream raises it.
+    Raises ``body-too-large`` at once if the declared length exceeds ``limit``. If no length is
+    declared, the stream raises it.
     """
-    if not http.can_read_body:
+    if not http_request.can_read_body:
         return inline_body()
-    length = http.content_length
+    length = http_request.content_length
     if length is not None and length > limit:
         raise too_large(limit)
     first = bytearray()
     if length is None or length <= MAX_INLINE_BYTES:
-        await invite(http)
-        while len(first) <= MAX_INLINE_BYTES and not http.content.at_eof():
-            first += await read_some(http)
+        await send_continue(http_request)
+        while len(first) <= MAX_INLINE_BYTES and not http_request.content.at_eof():
+            first += await read_available(http_request)
         if len(first) > limit:
             raise too_large(limit)
-        if http.content.at_eof() and len(first) <= MAX_INLINE_BYTES:
+        if http_request.content.at_eof() and len(first) <= MAX_INLINE_BYTES:
             return inline_body(bytes(first))
     body = RequestBody(length=length)
-    body.stream = rest(http, bytes(first), limit, body)
+    body.stream = remaining_body(http_request, bytes(first), limit, body)
     return body
 
 
-async def invite(http: web.BaseRequest) -> None:
-    """Tell a caller that waits for it to send the body (RFC 9110, section 10.1.1)."""
-    expects = http.headers.get("Expect", "").lower() == "100-continue"
-    if expects and http.version == HttpVersion11:
-        await http._payload_writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
+async def send_continue(http_request: web.BaseRequest) -> None:
+    """Send ``100 Continue`` to a caller that expects it (RFC 9110, section 10.1.1)."""
+    expects_continue = http_request.headers.get("Expect", "").lower() == "100-continue"
+    if expects_continue and http_request.version == HttpVersion11:
+        await http_request._payload_writer.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
 
-async def rest(
-    http: web.BaseRequest, first: bytes, limit: int, body: RequestBody
+async def remaining_body(
+    http_request: web.BaseRequest, first: bytes, limit: int, body: RequestBody
 ) -> AsyncIterator[bytes]:
-    """Yield what was read and then the rest, as far as the limit allows.
+    """Yield the part that was read and then the rest, up to the limit.
 
-    The backend server has begun to read by now, so a body that ends badly leaves the outcome
-    unknown; ``body.error`` keeps the caller's fault apart from the backend server's.
+    The backend server has begun to read by now, so a body that fails leaves the outcome unknown;
+    ``body.error`` marks the failure as the caller's and not the backend server's.
     """
     size = len(first)
     try:
         if first:
             yield first
         else:
-            await invite(http)
-        while not http.content.at_eof():
-            data = await read_some(http)
+            await send_continue(http_request)
+        while not http_request.content.at_eof():
+            data = await read_available(http_request)
             size += len(data)
             if size > limit:
                 raise too_large(limit)
--- a/src/marjoramtide/ingress/_refusal.py
+++ b/src/marjoramtide/ingress/_refusal.py
@@ -1,4 +1,4 @@
-"""How an error is told to a caller."""
+"""HTTP responses to requests that failed."""
 
 import math
 
@@ -7,8 +7,9 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.exchange import Outcome, UnknownOutcomeError
 
-# The HTTP status and the RFC 9209 error type of each code; 503 and proxy_internal_error otherwise.
-STATUSES = {
+# The HTTP status and the RFC 9209 error type by code, for requests that certainly did not run. The
+# default is 503 and proxy_internal_error.
+NOT_RUN_STATUSES = {
     ErrorCode.BAD_REQUEST: (400, "http_request_error"),
     ErrorCode.UNKNOWN_SERVICE: (404, "destination_not_found"),
     ErrorCode.DEPTH_EXCEEDED: (508, "proxy_loop_detected"),
@@ -31,6 +32,7 @@
     ErrorCode.STORE_UNAVAILABLE: (503, "proxy_internal_error"),
     ErrorCode.STALE_SETTINGS: (503, "proxy_internal_error"),
 }
+# The same for requests with an unknown outcome. The default is 502 and connection_terminated.
 UNKNOWN_STATUSES = {
     ErrorCode.BAD_REQUEST: (400, "http_request_error"),
     ErrorCode.BODY_TOO_LARGE: (413, "http_request_error"),
@@ -42,19 +44,19 @@
 
 
 def refusal(error: MarjoramtideError, node: str) -> web.Response:
-    """Return the one final answer for a request that was given up.
+    """Return the final response to a request that failed with ``error``.
 
-    It is sent at once, never held back to the deadline; ``Retry-After`` (whole seconds, RFC 9110)
-    and ``Retry-After-Ms`` tell the caller when to come back.
+    It is sent at once and never delayed until the deadline. ``Retry-After`` (whole seconds, RFC
+    9110) and ``Retry-After-Ms`` tell the caller when to retry.
     """
-    unknown = isinstance(error, UnknownOutcomeError)
-    if unknown:
-        status, kind = UNKNOWN_STATUSES.get(error.code, (502, "connection_terminated"))
+    is_unknown = isinstance(error, UnknownOutcomeError)
+    if is_unknown:
+        status, error_type = UNKNOWN_STATUSES.get(error.code, (502, "connection_terminated"))
     else:
-        status, kind = STATUSES.get(error.code, (503, "proxy_internal_error"))
+        status, error_type = NOT_RUN_STATUSES.get(error.code, (503, "proxy_internal_error"))
     headers = {
-        "Proxy-Status": f'marjoramtide; error={kind}; details="{error.code}"',
-        "Request-Outcome": Outcome.UNKNOWN if unknown else Outcome.NOT_RUN,
+        "Proxy-Status": f'marjoramtide; error={error_type}; details="{error.code}"',
+        "Request-Outcome": Outcome.UNKNOWN if is_unknown else Outcome.NOT_RUN,
         "Marjoramtide-Node": node,
         "Server": "marjoramtide",
     }
--- a/src/marjoramtide/ingress/_request_quota.py
+++ b/src/marjoramtide/ingress/_request_quota.py
@@ -1,4 +1,4 @@
-"""The interface to the quotas of workspaces."""
+"""The interface to workspaces' request quotas."""
 
 from abc import ABC, abstractmethod
 
@@ -6,27 +6,27 @@
 
 
 class QuotaLease(ABC):
-    """A token of a workspace's quota that a request has taken."""
+    """A token that a request has taken from its workspace's quota."""
 
     @abstractmethod
     def refund(self) -> None:
-        """Give the token back: the request did not run."""
+        """Return the token to the quota, since the request did not run."""
 
 
 class RequestQuota(ABC):
-    """Admits the requests of a workspace at the rate that all nodes together keep to."""
+    """Admits the requests of a workspace at a rate that all nodes enforce together."""
 
     @abstractmethod
     async def admit(self, request: Request) -> QuotaLease | None:
-        """Return the token that a request has taken, ``None`` where it needs none.
+        """Take a token for a request and return it, or ``None`` if the request needs none.
 
-        Raises ``NotRunError``: ``workspace-limited`` where the quota is used up, with the time at
-        which there may be a token, and ``quota-unknown`` where that can't be known.
+        Raises ``NotRunError``: ``workspace-limited`` if the quota is used up, with the delay until
+        a token may be available, and ``quota-unknown`` if that can't be determined.
         """
 
 
 class NoQuota(RequestQuota):
-    """For a node where no workspace is limited."""
+    """Quota of a node without limited workspaces."""
 
     async def admit(self, request: Request) -> QuotaLease | None:
         return None
--- a/src/marjoramtide/ingress/_service_state.py
+++ b/src/marjoramtide/ingress/_service_state.py
@@ -1,4 +1,4 @@
-"""What an ingress node keeps for one service."""
+"""The state that an ingress node keeps for one service."""
 
 import random
 from collections import deque
@@ -12,16 +12,16 @@
 from marjoramtide.settings import RouteSettings
 
 HEDGE_PAUSE_S = 1.0
-KEPT_DECISIONS = 50
+MAX_DECISIONS = 50
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class ServiceState:
-    """The selector and the budgets of one service, made from one revision of its settings.
+    """The selector and the retry budgets of one service, made from one revision of its settings.
 
-    ``decisions`` are the last ones, for operators who ask why requests went where they went.
-
-    ``budgets`` are those of routine (``False``) and urgent (``True``) requests.
+    ``budgets`` are those of routine (``False``) and urgent (``True``) requests. ``overloaded_at``
+    is when a node last rejected a request as overloaded, in seconds of the monotonic clock.
+    ``decisions`` are the latest ones, for operators who ask why requests went where they did.
     """
 
     settings: RouteSettings
@@ -29,20 +29,20 @@
     selector: Selector
     budgets: dict[bool, ClassBudgets]
     members: list[Member] = attrs.Factory(list)
-    refused_at: float = float("-inf")
-    decisions: deque[Decision] = attrs.Factory(lambda: deque(maxlen=KEPT_DECISIONS))
+    overloaded_at: float = float("-inf")
+    decisions: deque[Decision] = attrs.Factory(lambda: deque(maxlen=MAX_DECISIONS))
 
     def may_hedge(self, now: float) -> bool:
-        """Tell whether second tries beside a slow first one make sense at this moment.
+        """Return whether hedging makes sense at the moment.
 
-        Failure: more comes than the servers can do, every answer is slow, and each hedge takes a
-        slot for which somebody else is refused. A refusal for want of room shows that there is none
-        to spare.
+        Failure: with more load than the servers can take, every response is slow, and each hedge
+        occupies a slot for which another request is rejected. A rejection as overloaded shows that
+        no slots are free.
         """
-        return now - self.refused_at > HEDGE_PAUSE_S
+        return now - self.overloaded_at > HEDGE_PAUSE_S
 
     def refresh(self, directory: Directory, now: float) -> None:
-        """Take over the members where they have changed."""
+        """Update the selector and the budgets if the members have changed."""
         members = directory.members_of(self.settings.service)
         if members is not self.members:
             self.members = members
@@ -55,7 +55,7 @@
 def make_service_state(
     settings: RouteSettings, self_member: Member, rng: random.Random
 ) -> ServiceState:
-    """Return the state of a service that nothing is known of yet."""
+    """Return the initial state of a service."""
     return ServiceState(
         settings,
         rng,
--- a/src/marjoramtide/ingress/_start_up.py
+++ b/src/marjoramtide/ingress/_start_up.py
@@ -1,4 +1,4 @@
-"""The first moments of a node, or after a stop, in which it is about to know what it must."""
+"""The grace period after a node has started or was frozen, in which requests wait for its state."""
 
 import asyncio
 from collections.abc import Callable
@@ -7,62 +7,62 @@
 
 from marjoramtide.clock import Clock, FreezeDetector
 
-# For how long after a node takes callers its requests may wait for settings and members, in
-# seconds. Measured after a loss of all of ten nodes: settings were known 70 to 150 ms after the
-# port was open, the others of a service 250 to 400 ms after it. What is not known by then is not
-# about to be.
+# How long requests may wait for settings and members after a node begins to accept callers. After a
+# failure of all of ten nodes, settings were known 70 to 150 ms after the port was open, and the
+# other members of a service after 250 to 400 ms. What is unknown by then will not be known soon.
 STARTUP_GRACE_S = 0.5
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class StartupGrace:
-    """Lets requests wait for the news that a node which has just started is about to hear.
+    """Lets requests wait for the settings and members that a newly started node will soon know.
 
-    Failure: all nodes lose power and start again amid their traffic. For some tenths of a second
-    each of them holds no settings and knows no others, and refuses what comes; callers come back
-    once, together, and are refused again for want of room. Waiting costs them those tenths. A node
-    that has been up for longer refuses at once: it knows that nobody is there.
+    Failure: all nodes lose power and restart under traffic. For a few tenths of a second each of
+    them has no settings and knows no other nodes, and refuses all requests; the callers retry
+    once, all together, and are refused again as overloaded. Waiting costs them only those tenths. A
+    node that has been up for longer refuses at once, since it knows that no other node is there.
 
-    The same holds after a ``freeze``. Failure: a host stops all its processes for a second, or a
-    busy machine all nodes, and none of them can know which settings are in force until it has asked
-    again: all that waited in their sockets was refused by the whole fleet in one moment.
+    The same holds after a ``freeze``. Failure: a host freezes all its processes for a second, or an
+    overloaded machine all nodes. None of them can know which settings are in force until it has
+    asked again, and the whole fleet refused all requests queued in its sockets at one moment.
 
-    ``is_informed`` tells whether the node has heard which requests are held back. Failure: it ended
-    by one of these, starts again knowing only itself, and runs the next one that waits at its port.
+    ``is_quarantine_known`` returns whether the node has learned which requests are quarantined.
+    Failure: one of them crashes the node, which restarts knowing only itself and runs the next one
+    that waits at its port.
     """
 
     clock: Clock
     freeze: FreezeDetector | None = None
     ends_at: float = float("-inf")
     is_quarantine_known: Callable[[], bool] = lambda: True
-    news: asyncio.Event = attrs.Factory(asyncio.Event)
+    updated: asyncio.Event = attrs.Factory(asyncio.Event)
 
     def __attrs_post_init__(self) -> None:
         if self.freeze is not None:
             self.freeze.on_thaw(self.begin)
 
     def begin(self) -> None:
-        """Note that the node takes callers from now on, or again."""
+        """Start the grace period: the node accepts callers from now on, or again."""
         self.ends_at = self.clock.monotonic() + STARTUP_GRACE_S
 
     def notify(self) -> None:
-        """Look again at what requests wait for."""
-        self.news.set()
-        self.news.clear()
+        """Let waiting requests check their conditions again."""
+        self.updated.set()
+        self.updated.clear()
 
-    def left_s(self) -> float:
-        """Return how many seconds are left of these moments."""
+    def remaining_s(self) -> float:
+        """Return the seconds that are left of the grace period."""
         now = self.clock.monotonic()
         if self.freeze is not None:
-            # Whoever looks first after a stop finds it.
+            # The first check after a freeze detects it, and that may be this one.
             self.freeze.was_frozen(now)
         return self.ends_at - now
 
     async def wait_until(self, is_known: Callable[[], bool]) -> None:
-        """Return once ``is_known`` or the first moments are over, whichever is sooner."""
-        while self.left_s() > 0 and not is_known():
+        """Return once ``is_known`` returns true or the grace period is over."""
+        while self.remaining_s() > 0 and not is_known():
             try:
-                async with asyncio.timeout(self.left_s()):
-                    await self.news.wait()
+                async with asyncio.timeout(self.remaining_s()):
+                    await self.updated.wait()
             except TimeoutError:
                 return
