--- a/src/marjoramtide/exchange/_runs.py
+++ b/src/marjoramtide/exchange/_runs.py
@@ -1,28 +1,28 @@
-"""What a backend server runs, as far as the calls that it makes are concerned."""
+"""The interface for looking up the running requests that made nested calls."""
 
 from abc import ABC, abstractmethod
 
 from marjoramtide.exchange._request import Request
 
 
-class Runs(ABC):
-    """Finds running requests by identities that only whoever runs them is told."""
+class RunRegistry(ABC):
+    """Finds running requests by run ids that only the backend server running them knows."""
 
     @abstractmethod
     def find(self, run: str) -> Request | None:
-        """Return the request that runs under an identity."""
+        """Return the request that is running with this id."""
 
     @abstractmethod
     def may_have_run(self, run: str) -> bool:
-        """Tell whether a run may have been there that isn't known, or has just ended."""
+        """Return whether an unknown run may have had this id, or one that just ended."""
 
     @abstractmethod
-    def note_call_refused(self, run: str) -> None:
-        """Note that a call of a run was refused for want of room."""
+    def record_refused_call(self, run: str) -> None:
+        """Record that a nested call of a run was refused for lack of capacity."""
 
 
-class NoRuns(Runs):
-    """For a node whose backend server makes no calls."""
+class EmptyRunRegistry(RunRegistry):
+    """Registry of a node whose backend server makes no nested calls."""
 
     def find(self, run: str) -> Request | None:
         return None
@@ -30,5 +30,5 @@
     def may_have_run(self, run: str) -> bool:
         return False
 
-    def note_call_refused(self, run: str) -> None:
+    def record_refused_call(self, run: str) -> None:
         return None
