--- a/src/marjoramtide/witness/_run_witness.py
+++ b/src/marjoramtide/witness/_run_witness.py
@@ -5,7 +5,7 @@
 from marjoramtide.ingress import PeerCrashDetector
 from marjoramtide.membership import Directory
 from marjoramtide.peers import RunListener, ToldRun
-from marjoramtide.serving import Run
+from marjoramtide.serving import InFlightRequest
 
 
 class RunWitness(RunListener):
@@ -24,5 +24,5 @@
         member = self.directory.find(node)
         if member is not None:
             self.ends.report_lost_runs(
-                member, [Run(run.fingerprint, "", "", run.heard_at) for run in runs]
+                member, [InFlightRequest(run.fingerprint, "", "", run.heard_at) for run in runs]
             )
