--- a/src/marjoramtide/membership/_member_state.py
+++ b/src/marjoramtide/membership/_member_state.py
@@ -4,7 +4,7 @@
 
 
 class MemberState(StrEnum):
-    """What a member says of itself, or what others say of it (``suspect``, ``dead``)."""
+    """A state declared by the member itself, or by others (``suspect``, ``dead``)."""
 
     STARTING = "starting"
     READY = "ready"
@@ -13,6 +13,6 @@
     SUSPECT = "suspect"
     DEAD = "dead"
 
-    def takes_work(self) -> bool:
-        """Tell whether new requests may be sent to a member in this state."""
+    def accepts_requests(self) -> bool:
+        """Return whether new requests may be sent to a member in this state."""
         return self in (MemberState.READY, MemberState.SUSPECT)
--- a/src/marjoramtide/membership/_packet_sender.py
+++ b/src/marjoramtide/membership/_packet_sender.py
@@ -1,19 +1,19 @@
-"""Outgoing datagrams."""
+"""Encoding and queueing of outgoing datagrams."""
 
 from typing import Any
 
 from marjoramtide.membership._gossip_counters import GossipCounters
 from marjoramtide.membership._member_entry import MemberEntry
 from marjoramtide.membership._member_view import MemberView
-from marjoramtide.membership._packet import Kind, Packet
+from marjoramtide.membership._packet import Packet, PacketKind
 from marjoramtide.membership._packet_codec import PacketCodec
 
 
 class PacketSender:
-    """Numbers, fills in and encodes datagrams; they wait in ``outbox`` as (address, bytes).
+    """Encodes datagrams and queues them in ``outbox`` as (address, bytes).
 
-    Each datagram carries the sender's own status, so whoever hears a member directly knows its
-    newest state without waiting for gossip.
+    Each datagram carries a sequence number and the sender's own status, so that a receiver knows
+    the sender's current state without waiting for gossip.
     """
 
     def __init__(
@@ -27,8 +27,8 @@
         self.sequence = 0
         self.wall = 0.0
 
-    def send(self, kind: Kind, address: str, destination: int, **body: Any) -> int:
-        """Queue a datagram and return its size; ``body`` holds the other fields of ``Packet``."""
+    def send(self, kind: PacketKind, address: str, destination: int, **body: Any) -> int:
+        """Queue a datagram; return its size. ``body`` holds the remaining fields of ``Packet``."""
         self.sequence += 1
         packet = Packet(
             kind=kind,
