--- a/bench/control_links.py
+++ b/bench/control_links.py
@@ -63,7 +63,7 @@
         begin = time.process_time()
         while len(clients) < size:
             client = PeerClient(KEY, clock)
-            await client.link(f"{host}:{port}", ROUTINE)
+            await client.get_link(f"{host}:{port}", ROUTINE)
             clients.append(client)
         opening += time.process_time() - begin
         await asyncio.sleep(1.0)
@@ -95,7 +95,7 @@
 async def measure_questions(client: PeerClient, server: PeerServer, address: str) -> None:
     """Ask one after the other over one connection; both ends count."""
     channel = PeerControlChannel(client, server)
-    channel.answer("settings.pull", answer)
+    channel.register_handler("settings.pull", answer)
     begin = time.process_time()
     for _ in range(QUESTIONS):
         await channel.ask(address, "settings.pull", {"have": 7})
--- a/bench/evacuation/_evacuation_network.py
+++ b/bench/evacuation/_evacuation_network.py
@@ -10,7 +10,7 @@
 from bench.memory_store import MemoryStore
 from bench.model._model_directory import ModelDirectory
 from bench.model._virtual_loop import LoopClock
-from marjoramtide.evacuation import EvacuationService, make_evacuations
+from marjoramtide.evacuation import EvacuationService, make_evacuation_service
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.policy import EvacuationSnapshot
 
@@ -47,7 +47,7 @@
             for reader in readers:
                 self.send(number, fields, int(reader.node))
 
-        return make_evacuations(
+        return make_evacuation_service(
             MemoryStore(),
             "evacuations/",
             directory,
@@ -79,7 +79,9 @@
         """Have the store tell some nodes of an evacuation."""
         told = EvacuationSnapshot(7, frozenset((name,)))
         for number in watchers:
-            self.loop.call_later(self.rng.uniform(*STORE_S), self.nodes[number].take_stored, told)
+            self.loop.call_later(
+                self.rng.uniform(*STORE_S), self.nodes[number].handle_snapshot, told
+            )
 
     def unaware(self, name: str) -> list[int]:
         """Return the nodes that don't know that a data centre is evacuated."""
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -29,9 +29,9 @@
 from marjoramtide.claims._claim_record import ClaimRecord, decode_record
 from marjoramtide.claims._claim_state import ClaimState
 from marjoramtide.errors import MarjoramtideError
-from marjoramtide.evacuation import EvacuationRecord, StoreNews, is_store_news
-from marjoramtide.evacuation._evacuation_store import record_of
-from marjoramtide.evacuation._store_news import unpack_store_news
+from marjoramtide.evacuation import EvacuationRecord, StoreBulletin, is_store_bulletin
+from marjoramtide.evacuation._evacuation_store import read_record
+from marjoramtide.evacuation._store_news import unpack_store_bulletin
 from marjoramtide.exchange import LoadReport, ServerStatement
 from marjoramtide.membership import Member, decode_announcement
 from marjoramtide.membership._bulletin import BULLETIN_MAGIC, BulletinCodec
@@ -49,8 +49,13 @@
     unpack_statement,
 )
 from marjoramtide.peers._handshake import open_as_client, open_as_server
-from marjoramtide.peers._messages import CreditMessage, ReplyMessage, RequestMessage, RunsMessage
-from marjoramtide.peers._run_session import read_runs
+from marjoramtide.peers._messages import (
+    CreditMessage,
+    InFlightMessage,
+    ReplyMessage,
+    RequestMessage,
+)
+from marjoramtide.peers._run_session import validate_in_flight_message
 from marjoramtide.platform._backends import (
     STATEMENTS,
     read_cold,
@@ -61,10 +66,14 @@
 from marjoramtide.platform._heartbeat import read_departure, read_registration
 from marjoramtide.platform._store_protocol import PlatformStore
 from marjoramtide.policy import EvacuationSnapshot, ServerCrash, SuspectReport
-from marjoramtide.quarantine import is_quarantine_news, pack_news, unpack_news
-from marjoramtide.quota import is_quota_message
-from marjoramtide.quota._messages import QuotaAsk, QuotaGrant
-from marjoramtide.quota._messages import unpack as unpack_quota
+from marjoramtide.quarantine import (
+    is_quarantine_bulletin,
+    pack_suspect_reports,
+    unpack_suspect_reports,
+)
+from marjoramtide.quota import is_quota_bulletin
+from marjoramtide.quota._messages import TokenGrant, TokenRequest
+from marjoramtide.quota._messages import unpack_quota_message as unpack_quota
 from marjoramtide.settings import decode_envelope, parse_tree
 from marjoramtide.settings.sync._peer_settings import decode_answer
 from marjoramtide.store import Answer, Meaning, StoredObject
@@ -272,13 +281,13 @@
     """Read a bulletin that a node with the key has signed, whatever is in it."""
     codec = BulletinCodec(KEY)
     _, fields = codec.decode(BULLETIN_MAGIC + codec.authenticator.seal(data))
-    if is_quarantine_news(fields):
-        unpack_news(fields)
-    elif is_store_news(fields):
-        unpack_store_news(fields)
+    if is_quarantine_bulletin(fields):
+        unpack_suspect_reports(fields)
+    elif is_store_bulletin(fields):
+        unpack_store_bulletin(fields)
     elif is_claim_news(fields):
         unpack_claim(fields)
-    elif is_quota_message(fields):
+    elif is_quota_bulletin(fields):
         unpack_quota(fields)
     else:
         unpack_report(fields)
@@ -379,9 +388,9 @@
         try_all("envelopes", inputs(rng("envelopes"), count, envelope), decode_envelope, end),
     ]
     suspicion = SuspectReport(7, (ServerCrash(1, 0.5, 0.1),), (2,), 1.0)
-    (fields,) = pack_news([suspicion])
+    (fields,) = pack_suspect_reports([suspicion])
     news = cbor2.dumps([5, *fields])
-    evacuated = StoreNews(1, EvacuationSnapshot(7, frozenset(("a",)), (("b", 3.0),)))
+    evacuated = StoreBulletin(1, EvacuationSnapshot(7, frozenset(("a",)), (("b", 3.0),)))
     record = ClaimRecord("a", "n", "d", ClaimState.HELD, 5.0)
     claim = record.encode()
     foreign: dict[str, tuple[Callable[[bytes], Any], bytes]] = {
@@ -397,13 +406,16 @@
         "reports": (read_news, cbor2.dumps([5, *report_fields(STATING_REPORT)])),
         "news": (read_news, news),
         "store news": (read_news, cbor2.dumps([5, *evacuated.pack()])),
-        "quotas": (read_news, cbor2.dumps([5, *QuotaAsk(7, "acme", 3, 1).pack()])),
-        "tokens": (read_news, cbor2.dumps([5, *QuotaGrant(7, 3, 50).pack()])),
+        "quotas": (read_news, cbor2.dumps([5, *TokenRequest(7, "acme", 3, 1).pack()])),
+        "tokens": (read_news, cbor2.dumps([5, *TokenGrant(7, 3, 50).pack()])),
         "proofs": (read_proof, encode(ReplyMessage(7, PROOF, "", ""))),
         "claim news": (read_news, cbor2.dumps([5, *pack_claim("claims/1/s/2", record)])),
-        "evacuated": (lambda data: record_of("a", data), EvacuationRecord("me", 1.5).encode()),
+        "evacuated": (lambda data: read_record("a", data), EvacuationRecord("me", 1.5).encode()),
         "epochs": (read_epoch, b"3"),
-        "runs": (lambda data: read_runs(decode(data)), encode(RunsMessage("n", [[1, 2]], [3]))),
+        "runs": (
+            lambda data: validate_in_flight_message(decode(data)),
+            encode(InFlightMessage("n", [[1, 2]], [3])),
+        ),
     }
     tallies += [
         try_all(name, inputs(rng(name), count, sound), read, end)
--- a/bench/hop/slopes.py
+++ b/bench/hop/slopes.py
@@ -105,7 +105,7 @@
     async def add(count: int) -> None:
         while len(clients) < count:
             clients.append(PeerClient(KEY, SystemClock()))
-            await clients[-1].link(node.peers, "routine")
+            await clients[-1].get_link(node.peers, "routine")
 
     rows = await climb("peers", pid_of(node), add)
     await asyncio.gather(*(client.close() for client in clients))
--- a/bench/quarantine/_news_network.py
+++ b/bench/quarantine/_news_network.py
@@ -10,7 +10,7 @@
 from bench.model._model_directory import ModelDirectory
 from bench.model._virtual_loop import LoopClock
 from marjoramtide.membership import Member, MemberState
-from marjoramtide.quarantine import QuarantineService, make_quarantine
+from marjoramtide.quarantine import QuarantineService, make_quarantine_service
 from marjoramtide.telemetry import Metrics
 
 SERVICE = "mapdesk"
@@ -47,7 +47,7 @@
             for reader in readers:
                 self.send(number, fields, reader)
 
-        return make_quarantine(
+        return make_quarantine_service(
             KEY,
             directory,
             publish,
@@ -71,7 +71,7 @@
         self.loop.call_later(self.rng.uniform(*DELAY_S), self.deliver, sender, fields, target)
 
     def deliver(self, sender: int, fields: list[Any], target: int) -> None:
-        self.nodes[target].take(self.members[sender], fields)
+        self.nodes[target].handle_bulletin(self.members[sender], fields)
 
     def holders(self, fingerprint: int) -> int:
         """Return how many nodes hold a request back."""
--- a/bench/quota/_play.py
+++ b/bench/quota/_play.py
@@ -136,7 +136,7 @@
         await faults[self.plan.fault](network)
 
     def owner(self, network: QuotaNetwork) -> int:
-        return int(network.nodes[0].owners.of("w0")[0].node.partition("~")[0])
+        return int(network.nodes[0].owners.owners_of("w0")[0].node.partition("~")[0])
 
     async def owner_ends(self, network: QuotaNetwork) -> None:
         network.end(self.owner(network))
--- a/bench/quota/_quota_network.py
+++ b/bench/quota/_quota_network.py
@@ -109,7 +109,7 @@
         if target in self.frozen:
             self.frozen[target].append((sender, fields))
             return
-        self.nodes[target].take(self.members[sender], fields)
+        self.nodes[target].handle_bulletin(self.members[sender], fields)
 
     async def admit(self, node: int, workspace: WorkspaceSettings) -> bool:
         if node in self.down or node in self.frozen:
@@ -176,7 +176,7 @@
 
     def thaw(self, number: int) -> None:
         for sender, fields in self.frozen.pop(number):
-            self.nodes[number].take(self.members[sender], fields)
+            self.nodes[number].handle_bulletin(self.members[sender], fields)
 
     def cut(self, numbers: Iterable[int]) -> None:
         """Cut some nodes off from the others; both sides notice after seconds."""
--- a/bench/settings_cost.py
+++ b/bench/settings_cost.py
@@ -124,7 +124,7 @@
         found: dict[str, Any] = cbor2.loads(answer)
         return found
 
-    def answer(self, subject: str, handler: Any) -> None:
+    def register_handler(self, subject: str, handler: Any) -> None:
         self.fleet.handlers[self.node][subject] = handler
 
 
--- a/bench/witness.py
+++ b/bench/witness.py
@@ -14,11 +14,11 @@
 from bench.model._model_directory import ModelDirectory
 from marjoramtide.clock import FreezeDetector, SystemClock
 from marjoramtide.membership import Member, MemberState
-from marjoramtide.peers import PeerClient, PeerServer, RunListener, ToldRun
+from marjoramtide.peers import InFlightListener, PeerClient, PeerServer, ReportedRequest
 from marjoramtide.peers._codec import encode
-from marjoramtide.peers._messages import RunsMessage
+from marjoramtide.peers._messages import InFlightMessage
 from marjoramtide.telemetry import Metrics
-from marjoramtide.witness import RunTeller
+from marjoramtide.witness import WitnessReporter
 
 KEY = "a key for witnesses on loopback only"
 HOST = "127.0.0.1"
@@ -27,10 +27,10 @@
 AT_ONCE = 4
 
 
-class NobodyLost(RunListener):
+class NobodyLost(InFlightListener):
     """Is never told of a lost node here."""
 
-    def lost(self, node: str, runs: Sequence[ToldRun]) -> None:
+    def on_reporter_lost(self, node: str, runs: Sequence[ReportedRequest]) -> None:
         raise AssertionError(node)
 
 
@@ -42,14 +42,14 @@
     """Return the processor time of one run, both ends together, in microseconds."""
     clock = SystemClock()
     server = PeerServer(KEY, clock, FreezeDetector(clock))
-    server.run_listener = NobodyLost()
+    server.in_flight_listener = NobodyLost()
     await server.start(HOST, 0)
     assert server.server is not None
     address = "{}:{}".format(*next(iter(server.server.sockets)).getsockname())
     directory = ModelDirectory(make_member("teller", NOWHERE), lambda node: None)
     directory.take(make_member("witness", address))
     client = PeerClient(KEY, clock)
-    teller = RunTeller(directory, client, lambda _: False, clock, random.Random(1), Metrics())
+    teller = WitnessReporter(directory, client, lambda _: False, clock, random.Random(1), Metrics())
     telling = asyncio.create_task(teller.run())
     while teller.link is None:
         await asyncio.sleep(0.01)
@@ -72,7 +72,7 @@
     parser = argparse.ArgumentParser(prog="python -m bench.witness", description=__doc__)
     parser.add_argument("--runs", type=int, default=20000)
     runs = parser.parse_args().runs
-    size = len(encode(RunsMessage("", [[runs, (1 << 64) - 1]], [runs])))
+    size = len(encode(InFlightMessage("", [[runs, (1 << 64) - 1]], [runs])))
     print(f"{asyncio.run(measure(runs)):.0f} us a run, both ends; {size} bytes a message")
 
 
--- a/features/edge/peer_attacks.py
+++ b/features/edge/peer_attacks.py
@@ -15,9 +15,9 @@
     CancelMessage,
     ContinueMessage,
     CreditMessage,
+    InFlightMessage,
     RequestChunk,
     RequestMessage,
-    RunsMessage,
 )
 from standins.mesh._mesh_node import KEY
 
@@ -181,9 +181,9 @@
     "too few fields": frames(cbor2.dumps([0, 1])),
     "a frame of 3 MB": frames(cbor2.dumps(b"a" * 3_000_000)),
     "a request number used twice": frames(request(), request()),
-    "runs that are none": frames(encode(RunsMessage("n", ["x"], [])), lane="runs"),
-    "a run without a fingerprint": frames(encode(RunsMessage("n", [[1]], [])), lane="runs"),
-    "a ticket that is no number": frames(encode(RunsMessage("n", [], ["1"])), lane="runs"),
+    "runs that are none": frames(encode(InFlightMessage("n", ["x"], [])), lane="runs"),
+    "a run without a fingerprint": frames(encode(InFlightMessage("n", [[1]], [])), lane="runs"),
+    "a ticket that is no number": frames(encode(InFlightMessage("n", [], ["1"])), lane="runs"),
     "a request among runs": frames(request(), lane="runs"),
     "a target that leads elsewhere": frames(request(target="@127.0.0.1:9/")),
     "a target with a line break": frames(request(target="/ HTTP/1.1\r\nX: y\r\n\r\n")),
--- a/features/settings_fakes.py
+++ b/features/settings_fakes.py
@@ -232,7 +232,7 @@
         await self.node.running.wait()
         return answer
 
-    def answer(self, subject: str, handler: Any) -> None:
+    def register_handler(self, subject: str, handler: Any) -> None:
         self.node.handlers[subject] = handler
 
 
--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -18,7 +18,7 @@
 
 from features.settings_fakes import Fleet, Node, NodeStore
 from marjoramtide.clock import SystemClock
-from marjoramtide.evacuation import EvacuationService, make_evacuations
+from marjoramtide.evacuation import EvacuationService, make_evacuation_service
 from marjoramtide.membership import MemberState
 from marjoramtide.operators import NodeHandle, make_operators_app
 
@@ -99,7 +99,7 @@
             drain=drain,
             held=lambda: list(self.held.values()),
             release=lambda fingerprint: self.held.pop(fingerprint),
-            evacuated=evacuations.shown,
+            evacuated=evacuations.list_in_force,
             evacuate=evacuations.evacuate,
             take_back=evacuations.release,
             workspaces=list,
@@ -107,7 +107,7 @@
 
     def evacuations(self, node: Node) -> EvacuationService:
         """Return the evacuations of a node, which it alone knows of."""
-        return make_evacuations(
+        return make_evacuation_service(
             NodeStore(node),
             "evacuations/",
             node.service.maker.directory,
--- a/features/steps/evacuation_policy_steps.py
+++ b/features/steps/evacuation_policy_steps.py
@@ -8,7 +8,7 @@
 
 from bench.evacuation import SpreadPlan, spread
 from marjoramtide.checked import MalformedError
-from marjoramtide.evacuation._store_news import unpack_store_news
+from marjoramtide.evacuation._store_news import unpack_store_bulletin
 from marjoramtide.policy import EvacuationSnapshot, EvacuationState
 from marjoramtide.store._versions import version_of
 
@@ -88,7 +88,7 @@
 @then("that news is refused as malformed")
 def then_refused(context: Any) -> None:
     try:
-        unpack_store_news(context.news)
+        unpack_store_bulletin(context.news)
     except MalformedError:
         return
     raise AssertionError(f"{context.news} was read")
--- a/features/steps/peer_links_steps.py
+++ b/features/steps/peer_links_steps.py
@@ -136,7 +136,7 @@
 @when("the peer is told to be dead")
 def when_dropped(context: Any) -> None:
     async def work() -> None:
-        context.dropping = asyncio.create_task(context.client.drop(context.peer))
+        context.dropping = asyncio.create_task(context.client.abort_links(context.peer))
         await asyncio.wait(context.waiting, timeout=END_S)
 
     context.runner.run(work())
--- a/features/steps/platform_crashes_steps.py
+++ b/features/steps/platform_crashes_steps.py
@@ -9,7 +9,7 @@
 from features.platform_harness import CallResult, Seat
 from features.steps.platform_node_steps import run, seat
 from marjoramtide.policy import ServerCrash, SuspectReport
-from marjoramtide.quarantine import pack_news
+from marjoramtide.quarantine import pack_suspect_reports
 
 use_step_matcher("parse")
 
@@ -92,7 +92,9 @@
 def none_holds(context: Any) -> None:
     async def wait() -> None:
         fleet = context.fleet
-        await fleet.wait_for(lambda: not any(each.node.quarantine.shown() for each in fleet.seats))
+        await fleet.wait_for(
+            lambda: not any(each.node.quarantine.list_held() for each in fleet.seats)
+        )
 
     run(context, wait())
 
@@ -180,8 +182,8 @@
         node = seat(context, 1).node
         execution, *_ = node.serving.in_progress.values()
         ends = (ServerCrash(1, 2.0, 0.1), ServerCrash(2, 1.0, 0.1))
-        (fields,) = pack_news([SuspectReport(execution.fingerprint, ends)])
-        node.quarantine.take(node.membership.self_member, fields)
+        (fields,) = pack_suspect_reports([SuspectReport(execution.fingerprint, ends)])
+        node.quarantine.handle_bulletin(node.membership.self_member, fields)
 
     run(context, tell())
 
--- a/features/steps/platform_quota_steps.py
+++ b/features/steps/platform_quota_steps.py
@@ -146,7 +146,7 @@
 
 async def restart_owner(fleet: PlatformFleet, workspace: str) -> None:
     await asyncio.sleep(1.0)
-    owner = fleet.seats[0].node.quotas.owners.of(workspace)[0].peer_address
+    owner = fleet.seats[0].node.quotas.owners.owners_of(workspace)[0].peer_address
     numbers = [number for number, seat in enumerate(fleet.seats) if seat.settings.peers == owner]
     await fleet.restart_node(numbers[0])
 
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -22,7 +22,7 @@
     ServerCrash,
     SuspectReport,
 )
-from marjoramtide.quarantine import is_quarantine_news, pack_news
+from marjoramtide.quarantine import is_quarantine_bulletin, pack_suspect_reports
 
 use_step_matcher("parse")
 
@@ -267,9 +267,9 @@
 
 @then("it is informed within {seconds:g} s")
 def informed(context: Any, seconds: float) -> None:
-    assert not context.network.nodes[9].spreader.is_informed
+    assert not context.network.nodes[9].disseminator.is_synced
     run(context, asyncio.sleep(seconds))
-    assert context.network.nodes[9].spreader.is_informed
+    assert context.network.nodes[9].disseminator.is_synced
 
 
 @then("within {seconds:g} s only its {count:d} queries and their answers were sent")
@@ -304,7 +304,7 @@
     async def tell() -> None:
         network = context.network
         for node in network.nodes[:count]:
-            node.node_ended(network.members[count], make_runs(network, 5))
+            node.node_crashed(network.members[count], make_runs(network, 5))
             await asyncio.sleep(0.5)
 
     run(context, tell())
@@ -375,7 +375,7 @@
 @given("a crash report as a bulletin")
 def given_report(context: Any) -> None:
     report = SuspectReport(REQUEST, (ServerCrash(1, 0.5), ServerCrash(2)), (1,), 1.0)
-    (context.fields,) = pack_news([report])
+    (context.fields,) = pack_suspect_reports([report])
 
 
 @then("a node that knows only load reports finds none in it")
@@ -385,15 +385,15 @@
 
 @then("a load report is not taken for a crash report")
 def not_crash_report(context: Any) -> None:
-    assert is_quarantine_news(context.fields)
-    assert not is_quarantine_news(report_fields(LoadReport(1, 2)))
+    assert is_quarantine_bulletin(context.fields)
+    assert not is_quarantine_bulletin(report_fields(LoadReport(1, 2)))
 
 
 @when("one of them is sent the report {news}")
 def sent_report(context: Any, news: str) -> None:
     network = context.network
     context.fields = [["quarantine", json.loads(news)]]
-    network.nodes[0].take(network.members[1], context.fields)
+    network.nodes[0].handle_bulletin(network.members[1], context.fields)
 
 
 @then("it counts one malformed report and has no suspects")
--- a/features/steps/unused_links_steps.py
+++ b/features/steps/unused_links_steps.py
@@ -36,7 +36,7 @@
             await asyncio.sleep(body["slow"] * slow_s)
             return body
 
-        self.channel.answer(SUBJECT, answer)
+        self.channel.register_handler(SUBJECT, answer)
         host, _, port = self.address.rpartition(":")
         await self.server.start(host, int(port))
 
--- a/features/steps/witness_steps.py
+++ b/features/steps/witness_steps.py
@@ -23,7 +23,7 @@
 from marjoramtide.membership import MemberState
 from marjoramtide.peers import PeerClient
 from marjoramtide.telemetry import Metrics
-from marjoramtide.witness import RunTeller, RunWitness
+from marjoramtide.witness import CrashWitness, WitnessReporter
 
 use_step_matcher("parse")
 
@@ -38,7 +38,7 @@
     """Start to tell, and wait until a witness is there where there can be one."""
     own = context.peer_nodes[0]
     client = PeerClient(KEY, SystemClock())
-    context.teller = RunTeller(
+    context.teller = WitnessReporter(
         own.directory, client, lambda fingerprint: False, SystemClock(), random.Random(1), Metrics()
     )
     context.telling = asyncio.create_task(context.teller.run())
@@ -58,7 +58,7 @@
             await open_peer_node(context, f"other-{number}", data_centre)
         meet(context)
         for peer_node in context.peer_nodes:
-            peer_node.server.run_listener = RunWitness(
+            peer_node.server.in_flight_listener = CrashWitness(
                 peer_node.directory, peer_node.crash_detector
             )
         await start_teller(context)
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -21,7 +21,7 @@
 from marjoramtide.daemon._planned_stop import stop_as_planned
 from marjoramtide.daemon._supervision import keep_running
 from marjoramtide.errors import ErrorCode, MarjoramtideError
-from marjoramtide.evacuation import make_evacuations
+from marjoramtide.evacuation import make_evacuation_service
 from marjoramtide.ingress import (
     Authenticator,
     Dispatcher,
@@ -38,7 +38,7 @@
     PeerControlChannel,
     PeerServer,
 )
-from marjoramtide.quarantine import make_quarantine
+from marjoramtide.quarantine import make_quarantine_service
 from marjoramtide.quota import make_quota_service
 from marjoramtide.serving import (
     HttpTransport,
@@ -55,7 +55,7 @@
     make_metrics_app,
     summarise_logs,
 )
-from marjoramtide.witness import RunTeller, RunWitness
+from marjoramtide.witness import CrashWitness, WitnessReporter
 
 log = structlog.get_logger()
 
@@ -105,7 +105,7 @@
         )
         self.view = self.settings_service.view
         follower = self.settings_service.follower
-        self.evacuations = follower.side_news = make_evacuations(
+        self.evacuations = follower.side_news = make_evacuation_service(
             self.store,
             interface.evacuations,
             self.membership,
@@ -117,13 +117,13 @@
             self.evacuations_changed,
         )
         self.claim_gate = IdempotencyKeyDispatcher(self.claims, self.view, self.clock)
-        self.quarantine = make_quarantine(
+        self.quarantine = make_quarantine_service(
             settings.key, self.membership, self.membership.publish, self.clock, rng, self.metrics
         )
-        self.run_teller = RunTeller(
+        self.run_teller = WitnessReporter(
             self.membership,
             self.peer_client,
-            self.quarantine.vouches_for,
+            self.quarantine.is_known_safe,
             self.clock,
             rng,
             self.metrics,
@@ -155,15 +155,15 @@
         )
         self.quarantine.held_listener = self.serving.reject_quarantined
         self.start_up = StartupGrace(self.clock, self.freeze, is_quarantine_known=self.is_informed)
-        self.quarantine.spreader.informed_listener = self.start_up.notify
+        self.quarantine.disseminator.synced_listener = self.start_up.notify
         self.peer_ends = PeerCrashDetector(
             self.peer_client,
             self.clock,
             self.metrics,
             self.quarantine.fingerprint,
-            self.quarantine.node_ended,
+            self.quarantine.node_crashed,
         )
-        self.peer_server.run_listener = RunWitness(self.membership, self.peer_ends)
+        self.peer_server.in_flight_listener = CrashWitness(self.membership, self.peer_ends)
         self.dispatcher = Dispatcher(
             self.membership,
             self.view,
@@ -294,7 +294,7 @@
 
     def is_informed(self) -> bool:
         """Tell whether this node has heard what is held back, or nobody is there to tell it."""
-        return self.quarantine.spreader.is_informed or self.membership.is_alone
+        return self.quarantine.disseminator.is_synced or self.membership.is_alone
 
     def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
         """Run a task of the node for as long as the node runs."""
@@ -375,7 +375,7 @@
             log.error("daemon.superseded", code=ErrorCode.PEER_REFUSED, step="daemon.membership")
             self.stop_asked.set()
         elif member.state is MemberState.DEAD and not own:
-            self.spawn(self.peer_client.drop(member.peer_address))
+            self.spawn(self.peer_client.abort_links(member.peer_address))
 
     def reload(self, settings: NodeSettings, interface: Interface) -> None:
         """Go on by a changed settings file, as far as that is possible without a new start.
--- a/src/marjoramtide/daemon/_node_news.py
+++ b/src/marjoramtide/daemon/_node_news.py
@@ -9,14 +9,14 @@
 from marjoramtide.checked import MalformedError
 from marjoramtide.claims import ClaimRecord, Claims, is_claim_news, pack_claim, unpack_claim
 from marjoramtide.errors import ErrorCode
-from marjoramtide.evacuation import EvacuationService, is_store_news
+from marjoramtide.evacuation import EvacuationService, is_store_bulletin
 from marjoramtide.exchange import LoadReport
 from marjoramtide.ingress import Dispatcher
 from marjoramtide.membership import Member, MembershipService, MemberState
 from marjoramtide.peers import report_fields, unpack_report
 from marjoramtide.policy import BulletinRoutes
-from marjoramtide.quarantine import QuarantineService, is_quarantine_news
-from marjoramtide.quota import QuotaService, is_quota_message
+from marjoramtide.quarantine import QuarantineService, is_quarantine_bulletin
+from marjoramtide.quota import QuotaService, is_quota_bulletin
 
 log = structlog.get_logger()
 
@@ -61,12 +61,12 @@
 
     def take(self, member: Member, fields: list[Any]) -> None:
         """Take in the news of another node; of a kind that isn't known it is passed over."""
-        if is_quarantine_news(fields):
-            self.quarantine.take(member, fields)
-        elif is_store_news(fields):
+        if is_quarantine_bulletin(fields):
+            self.quarantine.handle_bulletin(member, fields)
+        elif is_store_bulletin(fields):
             self.evacuations.take(fields, member.node)
-        elif is_quota_message(fields):
-            self.quotas.take(member, fields)
+        elif is_quota_bulletin(fields):
+            self.quotas.handle_bulletin(member, fields)
         elif is_claim_news(fields):
             self.take_claim(member, fields)
         elif (report := unpack_report(fields)) is not None:
--- a/src/marjoramtide/daemon/_operators.py
+++ b/src/marjoramtide/daemon/_operators.py
@@ -24,9 +24,9 @@
         explain=node.dispatcher.explain,
         trace=lambda trace_id: [attrs.asdict(span) for span in node.tracer.spans_of(trace_id)],
         drain=node.drain,
-        held=node.quarantine.shown,
+        held=node.quarantine.list_held,
         release=node.quarantine.release,
-        evacuated=node.evacuations.shown,
+        evacuated=node.evacuations.list_in_force,
         evacuate=node.evacuations.evacuate,
         take_back=node.evacuations.release,
         workspaces=lambda: shown_workspaces(node),
@@ -45,7 +45,7 @@
             "burst": each.request_burst,
             "short": each.name in short,
         }
-        | node.quotas.shown(each.name)
+        | node.quotas.usage(each.name)
         for each in node.view.workspaces
     ]
 
@@ -62,7 +62,7 @@
         "callers_requests": node.ingress.in_progress,
         "load": attrs.asdict(report),
         "stated": attrs.asdict(node.server.statements.statement),
-        "held_requests": len(node.quarantine.shown()),
+        "held_requests": len(node.quarantine.list_held()),
         "freezes": node.freeze.count,
         "totals": dict(node.metrics.totals),
         "log_lines_lost": log_output.lost,
--- a/src/marjoramtide/daemon/_planned_stop.py
+++ b/src/marjoramtide/daemon/_planned_stop.py
@@ -50,7 +50,7 @@
             node.ingress.is_stopping = True
             await node.ingress.wait_drained()
             await node.serving.idle.wait()
-            await node.peer_server.drained()
+            await node.peer_server.wait_drained()
             await node.claim_gate.drain()
     except TimeoutError:
         log.warning("daemon.stop_cut", code=ErrorCode.DEADLINE, after_s=node.stop_grace_s)
--- a/src/marjoramtide/evacuation/__init__.py
+++ b/src/marjoramtide/evacuation/__init__.py
@@ -1,13 +1,13 @@
 """Evacuated data centres, and the store's epoch: read by some nodes, told to all."""
 
 from marjoramtide.evacuation._evacuation_record import EvacuationRecord
-from marjoramtide.evacuation._evacuation_service import EvacuationService, make_evacuations
-from marjoramtide.evacuation._store_news import StoreNews, is_store_news
+from marjoramtide.evacuation._evacuation_service import EvacuationService, make_evacuation_service
+from marjoramtide.evacuation._store_news import StoreBulletin, is_store_bulletin
 
 __all__ = [
     "EvacuationRecord",
     "EvacuationService",
-    "StoreNews",
-    "is_store_news",
-    "make_evacuations",
+    "StoreBulletin",
+    "is_store_bulletin",
+    "make_evacuation_service",
 ]
--- a/src/marjoramtide/evacuation/_evacuation_service.py
+++ b/src/marjoramtide/evacuation/_evacuation_service.py
@@ -12,9 +12,9 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.evacuation._evacuation_record import EvacuationRecord
-from marjoramtide.evacuation._evacuation_store import EvacuationStore, record_of
+from marjoramtide.evacuation._evacuation_store import EvacuationStore, read_record
 from marjoramtide.evacuation._evacuation_watch import EvacuationWatch
-from marjoramtide.evacuation._store_news import StoreNews, unpack_store_news
+from marjoramtide.evacuation._store_news import StoreBulletin, unpack_store_bulletin
 from marjoramtide.membership import Directory, Member
 from marjoramtide.policy import EvacuationSnapshot, EvacuationState
 from marjoramtide.settings.sync import SideNews
@@ -62,7 +62,7 @@
 
     # What the store says
 
-    def take_stored(self, told: EvacuationSnapshot) -> None:
+    def handle_snapshot(self, told: EvacuationSnapshot) -> None:
         """Take in what was read in the store, and tell the others where it is news."""
         if self._take(told, "store"):
             self.tell()
@@ -87,12 +87,12 @@
         self.timers.append(loop.call_later(TOLD_AGAIN_S, self._publish))
 
     def told(self) -> list[Any]:
-        news = StoreNews(self.store.epoch, self.policy.snapshot(self.clock.monotonic()))
+        news = StoreBulletin(self.store.epoch, self.policy.snapshot(self.clock.monotonic()))
         return news.pack()
 
     def take(self, fields: list[Any], source: str) -> None:
         try:
-            news = unpack_store_news(fields)
+            news = unpack_store_bulletin(fields)
         except MalformedError as error:
             log.warning(
                 "evacuation.malformed",
@@ -174,11 +174,11 @@
         """Put what was just written into force; the nodes that watch the store tell it as well."""
         assert self.watch is not None
         try:
-            self.take_stored(await self.watch.read())
+            self.handle_snapshot(await self.watch.read())
         except MarjoramtideError as error:
             log.info("evacuation.read", code=error.code, reason=error.message)
 
-    async def shown(self) -> list[dict[str, Any]]:
+    async def list_in_force(self) -> list[dict[str, Any]]:
         """Return what is in force, by whom and since when, as plain values.
 
         Where the store doesn't answer, by whom and since when is left open.
@@ -189,7 +189,7 @@
             log.info("evacuation.read", code=error.code, reason=error.message)
         records = self.watch.records if self.watch is not None else {}
         return [
-            {"data_centre": name} | attrs.asdict(record_of(name, records.get(name) or b"{}"))
+            {"data_centre": name} | attrs.asdict(read_record(name, records.get(name) or b"{}"))
             for name in sorted(self.in_force)
         ]
 
@@ -208,7 +208,7 @@
             timer.cancel()
 
 
-def make_evacuations(
+def make_evacuation_service(
     store: ObjectStore,
     prefix: str,
     directory: Directory,
@@ -231,7 +231,7 @@
             service.evacuations,
             is_watcher,
             is_ours,
-            service.take_stored,
+            service.handle_snapshot,
             lambda: frozenset(service.policy.held_until),
             clock,
             rng,
--- a/src/marjoramtide/evacuation/_evacuation_store.py
+++ b/src/marjoramtide/evacuation/_evacuation_store.py
@@ -89,7 +89,7 @@
         return frozenset(filter(is_name, names))
 
 
-def record_of(name: str, value: bytes) -> EvacuationRecord:
+def read_record(name: str, value: bytes) -> EvacuationRecord:
     """Return who evacuated a data centre; empty where the object doesn't tell."""
     try:
         return decode_record(value)
--- a/src/marjoramtide/evacuation/_store_news.py
+++ b/src/marjoramtide/evacuation/_store_news.py
@@ -16,7 +16,7 @@
 
 
 @attrs.frozen(slots=True)
-class StoreNews:
+class StoreBulletin:
     """The newest epoch of the store, and the evacuated data centres at a version of it."""
 
     epoch: int
@@ -33,15 +33,15 @@
         return [[SUBJECT, self.epoch, told.version, sorted(told.names), kept]]
 
 
-def is_store_news(fields: list[Any]) -> bool:
+def is_store_bulletin(fields: list[Any]) -> bool:
     """Tell whether a bulletin is such news."""
     news = fields[0] if len(fields) == 1 else None
     return isinstance(news, list) and news[:1] == [SUBJECT]
 
 
-def unpack_store_news(fields: list[Any]) -> StoreNews:
+def unpack_store_bulletin(fields: list[Any]) -> StoreBulletin:
     """Read news; raises ``MalformedError``. What a later version has added is passed over."""
-    if not is_store_news(fields) or len(fields[0]) < 1 + FIELDS:
+    if not is_store_bulletin(fields) or len(fields[0]) < 1 + FIELDS:
         raise MalformedError("no news of the store")
     epoch, version, names, kept = fields[0][1 : 1 + FIELDS]
     if not (is_number(epoch, MOST_EPOCH) and is_number(version)):
@@ -51,7 +51,7 @@
     if max(len(names), len(kept)) > MOST_NAMES or not all(map(is_name, names)):
         raise MalformedError("no names of data centres")
     held_s = tuple(map(unpack_kept, kept))
-    return StoreNews(epoch, EvacuationSnapshot(version, frozenset(names), held_s))
+    return StoreBulletin(epoch, EvacuationSnapshot(version, frozenset(names), held_s))
 
 
 def unpack_kept(wire: Any) -> tuple[str, float]:
--- a/src/marjoramtide/ingress/_peer_crash_detector.py
+++ b/src/marjoramtide/ingress/_peer_crash_detector.py
@@ -9,7 +9,7 @@
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import Request, RequestBody
 from marjoramtide.membership import Member, MemberState
-from marjoramtide.peers import PeerClient, PeerSign
+from marjoramtide.peers import PeerClient, PeerProbeResult
 from marjoramtide.serving import InFlightRequest
 from marjoramtide.telemetry import Metrics
 
@@ -82,10 +82,10 @@
 
     async def probe(self, member: Member) -> None:
         """Probe a node once, and again later if the result is unknown."""
-        sign = await self.peers.look(member.peer_address, PROBE_TIMEOUT_S)
+        sign = await self.peers.probe(member.peer_address, PROBE_TIMEOUT_S)
         del self.probes[member.node]
         runs = self.lost.pop(member.node)
-        if sign is PeerSign.UNKNOWN:
+        if sign is PeerProbeResult.UNKNOWN:
             task = asyncio.create_task(self.probe_again(member, runs))
             self.later.add(task)
             task.add_done_callback(self.later.discard)
@@ -95,16 +95,16 @@
         """Probe a node until it accepts or refuses, for a few tenths of a second."""
         for pause_s in PROBE_PAUSES_S:
             await self.clock.sleep(pause_s)
-            sign = await self.peers.look(member.peer_address, pause_s)
-            if sign is not PeerSign.UNKNOWN:
+            sign = await self.peers.probe(member.peer_address, pause_s)
+            if sign is not PeerProbeResult.UNKNOWN:
                 self.report_if_crashed(member, runs, sign)
                 return
 
     def report_if_crashed(
-        self, member: Member, runs: Sequence[InFlightRequest], sign: PeerSign
+        self, member: Member, runs: Sequence[InFlightRequest], sign: PeerProbeResult
     ) -> None:
         """Report the runs lost with a node if it has crashed."""
-        if sign is not PeerSign.GONE:
+        if sign is not PeerProbeResult.REFUSED:
             return
         self.metrics.count("ingress.node_ends")
         log.warning(
--- a/src/marjoramtide/peers/__init__.py
+++ b/src/marjoramtide/peers/__init__.py
@@ -4,21 +4,21 @@
 from marjoramtide.peers._codec import report_fields, unpack_report
 from marjoramtide.peers._control_channel import ControlChannel
 from marjoramtide.peers._peer_control import PeerControlChannel
-from marjoramtide.peers._peer_sign import PeerSign
-from marjoramtide.peers._run_link import RunLink
-from marjoramtide.peers._run_listener import RunListener
+from marjoramtide.peers._peer_sign import PeerProbeResult
+from marjoramtide.peers._run_link import InFlightLink
+from marjoramtide.peers._run_listener import InFlightListener
 from marjoramtide.peers._server import PeerServer
-from marjoramtide.peers._told_run import ToldRun
+from marjoramtide.peers._told_run import ReportedRequest
 
 __all__ = [
     "ControlChannel",
+    "InFlightLink",
+    "InFlightListener",
     "PeerClient",
     "PeerControlChannel",
+    "PeerProbeResult",
     "PeerServer",
-    "PeerSign",
-    "RunLink",
-    "RunListener",
-    "ToldRun",
+    "ReportedRequest",
     "report_fields",
     "unpack_report",
 ]
--- a/src/marjoramtide/peers/_client.py
+++ b/src/marjoramtide/peers/_client.py
@@ -25,8 +25,8 @@
     PING_TIMEOUT_S,
 )
 from marjoramtide.peers._link import Link
-from marjoramtide.peers._peer_sign import PeerSign
-from marjoramtide.peers._run_link import RunLink
+from marjoramtide.peers._peer_sign import PeerProbeResult
+from marjoramtide.peers._run_link import InFlightLink
 from marjoramtide.sockets import notice_silence
 
 CONNECT_TIMEOUT_S = 0.5
@@ -50,7 +50,7 @@
 
     async def request(self, address: str, request: Request, body: RequestBody) -> Response:
         """Have the node at ``address`` serve a request; raises as ``RequestHandler.handle``."""
-        link = await self.link(address, URGENT if request.urgent else ROUTINE)
+        link = await self.get_link(address, URGENT if request.urgent else ROUTINE)
         remaining_ms = (request.deadline - self.clock.monotonic()) * 1000
         if remaining_ms <= 0:
             raise NotRunError(
@@ -68,7 +68,7 @@
         try:
             async with asyncio.timeout(timeout):
                 link = self.any_open(address) if small else None
-                link = link or await self.link(address, CONTROL)
+                link = link or await self.get_link(address, CONTROL)
                 return await link.ask(subject, body)
         except TimeoutError as error:
             raise MarjoramtideError(
@@ -84,7 +84,7 @@
         found = (self.links.get((address, lane)) for lane in (CONTROL, ROUTINE, URGENT))
         return next((link for link in found if link is not None and not link.closed), None)
 
-    async def link(self, address: str, lane: str) -> Link:
+    async def get_link(self, address: str, lane: str) -> Link:
         """Return the open connection, or open one; callers that come meanwhile share it."""
         name = (address, lane)
         link = self.links.get(name)
@@ -116,12 +116,12 @@
         """Open a connection for requests, or for questions."""
         return Link(await self.open_socket(address, lane), address, lane)
 
-    async def open_runs(self, address: str, node: str) -> RunLink:
+    async def open_runs(self, address: str, node: str) -> InFlightLink:
         """Open a connection by which this node, ``node``, tells what it runs.
 
         Raises ``NotRunError`` where there can't be one.
         """
-        return RunLink(await self.open_socket(address, RUNS), node)
+        return InFlightLink(await self.open_socket(address, RUNS), node)
 
     async def open_socket(self, address: str, lane: str) -> ClientConnection:
         """Connect and prove the key; nothing of a request is sent before."""
@@ -152,7 +152,7 @@
             raise NotRunError(error.code, error.message, step=error.step, peer=address) from error
         return socket
 
-    async def look(self, address: str, timeout_s: float) -> PeerSign:
+    async def probe(self, address: str, timeout_s: float) -> PeerProbeResult:
         """Find out by a new connection whether a node lives.
 
         A kept one tells nothing: that it has broken may not have been read yet. Where the node
@@ -163,12 +163,12 @@
         task.add_done_callback(lambda done: self.looked((address, ROUTINE), done))
         await asyncio.wait([task], timeout=timeout_s)
         if not task.done() or task.cancelled():
-            return PeerSign.UNKNOWN
+            return PeerProbeResult.UNKNOWN
         error = task.exception()
         if error is None:
-            return PeerSign.LIVES
+            return PeerProbeResult.ALIVE
         is_refused = isinstance(error.__cause__, ConnectionRefusedError)
-        return PeerSign.GONE if is_refused else PeerSign.UNKNOWN
+        return PeerProbeResult.REFUSED if is_refused else PeerProbeResult.UNKNOWN
 
     def looked(self, name: tuple[str, str], task: "asyncio.Task[Link]") -> None:
         """Keep the connection of a look, or close it where one is kept already."""
@@ -183,7 +183,7 @@
             self.closing.add(closing)
             closing.add_done_callback(self.closing.discard)
 
-    async def drop(self, address: str) -> None:
+    async def abort_links(self, address: str) -> None:
         """Close the connections to a peer that is known to be dead.
 
         Requests on them end as unknown at once, in place of waiting for their deadlines on a
--- a/src/marjoramtide/peers/_codec.py
+++ b/src/marjoramtide/peers/_codec.py
@@ -22,7 +22,7 @@
     messages.CreditMessage,
     messages.QuestionMessage,
     messages.ReplyMessage,
-    messages.RunsMessage,
+    messages.InFlightMessage,
 ]
 TYPE_NUMBERS = {cls: number for number, cls in enumerate(MESSAGE_TYPES)}
 NUMBERS = range(len(MESSAGE_TYPES))
--- a/src/marjoramtide/peers/_control_channel.py
+++ b/src/marjoramtide/peers/_control_channel.py
@@ -30,7 +30,7 @@
         """
 
     @abstractmethod
-    def answer(
+    def register_handler(
         self, subject: str, handler: Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
     ) -> None:
         """Register the coroutine that answers questions on ``subject``."""
--- a/src/marjoramtide/peers/_messages.py
+++ b/src/marjoramtide/peers/_messages.py
@@ -108,7 +108,7 @@
 
 
 @attrs.frozen(slots=True)
-class RunsMessage:
+class InFlightMessage:
     """What the sender begins to run for its own callers, and which of these runs are over.
 
     ``node`` is the sender, empty after the first message of a connection. ``begun`` holds a ticket
--- a/src/marjoramtide/peers/_peer_control.py
+++ b/src/marjoramtide/peers/_peer_control.py
@@ -26,5 +26,5 @@
     ) -> dict[str, Any]:
         return await self.client.ask(address, subject, body, timeout, small)
 
-    def answer(self, subject: str, handler: QuestionHandler) -> None:
+    def register_handler(self, subject: str, handler: QuestionHandler) -> None:
         self.server.questions[subject] = handler
--- a/src/marjoramtide/peers/_peer_sign.py
+++ b/src/marjoramtide/peers/_peer_sign.py
@@ -3,9 +3,9 @@
 from enum import Enum
 
 
-class PeerSign(Enum):
+class PeerProbeResult(Enum):
     """Whether a node lives, as far as one attempt to connect shows."""
 
-    LIVES = "lives"
-    GONE = "gone"
+    ALIVE = "alive"
+    REFUSED = "refused"
     UNKNOWN = "unknown"
--- a/src/marjoramtide/peers/_run_link.py
+++ b/src/marjoramtide/peers/_run_link.py
@@ -7,7 +7,7 @@
 from websockets.exceptions import ConnectionClosed
 
 from marjoramtide.peers._codec import encode
-from marjoramtide.peers._messages import RunsMessage
+from marjoramtide.peers._messages import InFlightMessage
 
 # Bytes that may wait to be sent. A witness that takes nothing must not hold up requests.
 MAX_UNSENT_BYTES = 16 * 1024
@@ -15,7 +15,7 @@
 CLOSE_S = 0.2
 
 
-class RunLink:
+class InFlightLink:
     """Tells one witness what this node runs; ``node`` is this node, told with the first message."""
 
     def __init__(self, socket: ClientConnection, node: str) -> None:
@@ -34,7 +34,7 @@
         Once this returns the process may end, and the witness gets them all the same. Where the
         connection has broken nothing is raised: ``wait_closed`` returns.
         """
-        message = RunsMessage(self.node, [[*item] for item in begun.items()], list(ended))
+        message = InFlightMessage(self.node, [[*item] for item in begun.items()], list(ended))
         self.node = ""
         try:
             await self.socket.send(encode(message))
--- a/src/marjoramtide/peers/_run_listener.py
+++ b/src/marjoramtide/peers/_run_listener.py
@@ -3,12 +3,12 @@
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
 
-from marjoramtide.peers._told_run import ToldRun
+from marjoramtide.peers._told_run import ReportedRequest
 
 
-class RunListener(ABC):
+class InFlightListener(ABC):
     """Takes in what became of the connections by which nodes tell of their runs."""
 
     @abstractmethod
-    def lost(self, node: str, runs: Sequence[ToldRun]) -> None:
+    def on_reporter_lost(self, node: str, runs: Sequence[ReportedRequest]) -> None:
         """Note that such a connection broke, and what its node was running then."""
--- a/src/marjoramtide/peers/_run_session.py
+++ b/src/marjoramtide/peers/_run_session.py
@@ -8,9 +8,9 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.peers._codec import decode
-from marjoramtide.peers._messages import RunsMessage
-from marjoramtide.peers._run_listener import RunListener
-from marjoramtide.peers._told_run import ToldRun
+from marjoramtide.peers._messages import InFlightMessage
+from marjoramtide.peers._run_listener import InFlightListener
+from marjoramtide.peers._told_run import ReportedRequest
 
 log = structlog.get_logger()
 
@@ -27,14 +27,14 @@
     """
 
     def __init__(
-        self, socket: ServerConnection, peer: str, listener: RunListener, clock: Clock
+        self, socket: ServerConnection, peer: str, listener: InFlightListener, clock: Clock
     ) -> None:
         self.socket = socket
         self.peer = peer
         self.listener = listener
         self.clock = clock
         self.node = ""
-        self.runs: dict[int, ToldRun] = {}
+        self.runs: dict[int, ReportedRequest] = {}
 
     async def run(self) -> None:
         """Read what the node tells until the connection ends."""
@@ -43,7 +43,7 @@
                 self.take(decode(frame))  # type: ignore[arg-type]
         except ConnectionClosedError:
             if self.runs:
-                self.listener.lost(self.node, list(self.runs.values()))
+                self.listener.on_reporter_lost(self.node, list(self.runs.values()))
         except ConnectionClosed:
             pass
         except MarjoramtideError as error:
@@ -58,19 +58,19 @@
 
     def take(self, message: object) -> None:
         """Take in one message; raises ``bad-frame`` for anything but runs."""
-        message = read_runs(message)
+        message = validate_in_flight_message(message)
         self.node = self.node or message.node
         for ticket in message.ended:
             self.runs.pop(ticket, None)
         now = self.clock.monotonic()
         for ticket, fingerprint in message.begun:
             if len(self.runs) < MAX_RUNS:
-                self.runs[ticket] = ToldRun(fingerprint, now)
+                self.runs[ticket] = ReportedRequest(fingerprint, now)
 
 
-def read_runs(message: object) -> RunsMessage:
+def validate_in_flight_message(message: object) -> InFlightMessage:
     """Return a message of tickets and fingerprints; raises ``bad-frame`` for anything else."""
-    if isinstance(message, RunsMessage):
+    if isinstance(message, InFlightMessage):
         is_sound = all(map(is_number, message.ended)) and all(
             isinstance(run, list) and len(run) == 2 and all(map(is_number, run))
             for run in message.begun
--- a/src/marjoramtide/peers/_server.py
+++ b/src/marjoramtide/peers/_server.py
@@ -19,7 +19,7 @@
     PING_TIMEOUT_S,
 )
 from marjoramtide.peers._peer_connection import PeerConnection
-from marjoramtide.peers._run_listener import RunListener
+from marjoramtide.peers._run_listener import InFlightListener
 from marjoramtide.peers._run_session import RunSession
 from marjoramtide.peers._session import QuestionHandler, Session
 from marjoramtide.sockets import notice_silence
@@ -37,7 +37,7 @@
     def __init__(self, key: str, clock: Clock, freeze: FreezeDetector) -> None:
         self.key = key
         self.handler: RequestHandler | None = None
-        self.run_listener: RunListener | None = None
+        self.in_flight_listener: InFlightListener | None = None
         self.clock = clock
         self.freeze = freeze
         self.questions: dict[str, QuestionHandler] = {}
@@ -79,8 +79,8 @@
             )
             return
         if lane == RUNS:
-            assert self.run_listener is not None
-            await RunSession(socket, peer, self.run_listener, self.clock).run()
+            assert self.in_flight_listener is not None
+            await RunSession(socket, peer, self.in_flight_listener, self.clock).run()
             return
         assert self.handler is not None
         session = Session(socket, peer, self.handler, self.questions, self.clock, self.freeze)
@@ -101,7 +101,7 @@
         )
         await socket.close(1008, "refused")
 
-    async def drained(self) -> None:
+    async def wait_drained(self) -> None:
         """Wait until no request of a peer is in progress, its answer's last byte included."""
         for session in list(self.sessions):
             await session.idle.wait()
--- a/src/marjoramtide/peers/_told_run.py
+++ b/src/marjoramtide/peers/_told_run.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen(slots=True)
-class ToldRun:
+class ReportedRequest:
     """A request that another node runs for one of its own callers.
 
     ``fingerprint`` tells whether it is the same as another one; ``heard_at`` is in seconds of this
--- a/src/marjoramtide/quarantine/__init__.py
+++ b/src/marjoramtide/quarantine/__init__.py
@@ -1,12 +1,16 @@
 """Requests that end backend servers: who was running, what all nodes know of it, who must wait."""
 
-from marjoramtide.quarantine._news_codec import is_quarantine_news, pack_news, unpack_news
-from marjoramtide.quarantine._quarantine_service import QuarantineService, make_quarantine
+from marjoramtide.quarantine._news_codec import (
+    is_quarantine_bulletin,
+    pack_suspect_reports,
+    unpack_suspect_reports,
+)
+from marjoramtide.quarantine._quarantine_service import QuarantineService, make_quarantine_service
 
 __all__ = [
     "QuarantineService",
-    "is_quarantine_news",
-    "make_quarantine",
-    "pack_news",
-    "unpack_news",
+    "is_quarantine_bulletin",
+    "make_quarantine_service",
+    "pack_suspect_reports",
+    "unpack_suspect_reports",
 ]
--- a/src/marjoramtide/quarantine/_news_codec.py
+++ b/src/marjoramtide/quarantine/_news_codec.py
@@ -19,7 +19,7 @@
 LONGEST_MS = 7 * 86_400_000
 
 
-def pack_news(suspicions: Iterable[SuspectReport]) -> Iterator[list[Any]]:
+def pack_suspect_reports(suspicions: Iterable[SuspectReport]) -> Iterator[list[Any]]:
     """Yield the fields of as many bulletins as the suspicions need.
 
     All of it is one field: a node that does not know such news takes a bulletin for a report of
@@ -57,13 +57,13 @@
     return [[SUBJECT]]
 
 
-def is_quarantine_news(fields: list[Any]) -> bool:
+def is_quarantine_bulletin(fields: list[Any]) -> bool:
     """Tell whether a bulletin is such news."""
     news = fields[0] if len(fields) == 1 else None
     return isinstance(news, list) and news[:1] == [SUBJECT]
 
 
-def unpack_news(fields: list[Any]) -> list[SuspectReport]:
+def unpack_suspect_reports(fields: list[Any]) -> list[SuspectReport]:
     """Return the suspicions in a bulletin; raises ``MalformedError`` where one of them is none."""
     return [unpack_suspicion(each) for each in fields[0][1:]]
 
--- a/src/marjoramtide/quarantine/_news_spreader.py
+++ b/src/marjoramtide/quarantine/_news_spreader.py
@@ -10,7 +10,7 @@
 from marjoramtide.membership import Directory, Member
 from marjoramtide.policy import Quarantine, Suspect, SuspectReport
 from marjoramtide.quarantine._gathered_news import GatheredNews
-from marjoramtide.quarantine._news_codec import pack_news, pack_question
+from marjoramtide.quarantine._news_codec import pack_question, pack_suspect_reports
 
 # Between two rounds of what is told again, in seconds, while there is something to tell.
 ROUND_S = 0.25
@@ -49,7 +49,7 @@
 Publish = Callable[[list[Any], Iterable[Member]], None]
 
 
-class NewsSpreader:
+class ReportDisseminator:
     """Sends what the quarantine holds to the other nodes beside servers of the same service.
 
     Only they hand requests to such servers. ``publish`` sends one small piece of news, which may
@@ -78,8 +78,8 @@
         self.news = asyncio.Event()
         self.has_met = False
         self.has_asked = False
-        self.is_informed = False
-        self.informed_listener: Callable[[], None] = lambda: None
+        self.is_synced = False
+        self.synced_listener: Callable[[], None] = lambda: None
 
     def tell_at_once(self, suspects: Sequence[Suspect]) -> None:
         """Tell all, and again in the next rounds."""
@@ -124,18 +124,18 @@
         loop = asyncio.get_running_loop()
         if not self.has_met:
             self.has_met = True
-            loop.call_later(ANSWER_S, self.note_informed)
+            loop.call_later(ANSWER_S, self.note_synced)
         if not self.has_asked and member.service == own.service:
             self.has_asked = True
             self._ask()
             for delay_s in QUESTIONS_AT_S[1:]:
                 loop.call_later(delay_s, self._ask)
 
-    def note_informed(self) -> None:
+    def note_synced(self) -> None:
         """Note that others have told, or would have, what is held back."""
-        if not self.is_informed:
-            self.is_informed = True
-            self.informed_listener()
+        if not self.is_synced:
+            self.is_synced = True
+            self.synced_listener()
 
     def answer(self, asking: Member) -> None:
         """Tell one node what is held back, or that nothing is."""
@@ -154,7 +154,7 @@
 
     async def run(self) -> None:
         """Play a round now and then while there is something to tell, until cancelled."""
-        asyncio.get_running_loop().call_later(MEETING_S, self.note_informed)
+        asyncio.get_running_loop().call_later(MEETING_S, self.note_synced)
         while True:
             await self.news.wait()
             await self.clock.sleep(ROUND_S)
@@ -195,7 +195,7 @@
         self._publish((suspect.to_report(now) for suspect in suspects), readers)
 
     def _publish(self, suspicions: Iterable[SuspectReport], readers: Sequence[Member]) -> None:
-        for fields in pack_news(suspicions):
+        for fields in pack_suspect_reports(suspicions):
             self.publish(fields, readers)
 
     def mates(self) -> list[Member]:
--- a/src/marjoramtide/quarantine/_quarantine_service.py
+++ b/src/marjoramtide/quarantine/_quarantine_service.py
@@ -21,8 +21,8 @@
     Suspect,
     SuspectReport,
 )
-from marjoramtide.quarantine._news_codec import unpack_news
-from marjoramtide.quarantine._news_spreader import NewsSpreader, Publish
+from marjoramtide.quarantine._news_codec import unpack_suspect_reports
+from marjoramtide.quarantine._news_spreader import Publish, ReportDisseminator
 from marjoramtide.serving import InFlightRequest, RequestGuard
 from marjoramtide.settings import RouteSettings
 from marjoramtide.telemetry import Metrics
@@ -47,14 +47,14 @@
         self,
         policy: Quarantine,
         fingerprinter: Fingerprinter,
-        spreader: NewsSpreader,
+        disseminator: ReportDisseminator,
         clock: Clock,
         rng: random.Random,
         metrics: Metrics,
     ) -> None:
         self.policy = policy
         self.fingerprinter = fingerprinter
-        self.spreader = spreader
+        self.disseminator = disseminator
         self.clock = clock
         self.rng = rng
         self.metrics = metrics
@@ -69,7 +69,7 @@
 
     async def run(self) -> None:
         """Tell again what others may have missed, until cancelled."""
-        await self.spreader.run()
+        await self.disseminator.run()
 
     # The guard of the own backend server
 
@@ -93,9 +93,9 @@
             self._refuse(request, suspect, judgement.wait_s)
         self.metrics.count("quarantine.trials")
         log.warning("quarantine.trial", step=STEP, **describe(suspect))
-        self.spreader.tell_at_once([suspect])
+        self.disseminator.tell_at_once([suspect])
 
-    def vouches_for(self, fingerprint: int) -> bool:
+    def is_known_safe(self, fingerprint: int) -> bool:
         """Tell whether the backend server has completed a request lately, and nothing blames it."""
         return fingerprint in self.completed_here and self.policy.find(fingerprint) is None
 
@@ -115,7 +115,7 @@
         different = {run.fingerprint: run for run in suspects}.values()
         excuse = self.completed_here.excuse
         blamed = [run for run in different if not excuse(run.fingerprint, self.end)]
-        self.spreader.tell_at_once([self._blame(run, self.end, now) for run in blamed])
+        self.disseminator.tell_at_once([self._blame(run, self.end, now) for run in blamed])
 
     def server_replaced(self) -> None:
         """Draw the number of the next end, which is of another start."""
@@ -138,7 +138,7 @@
 
     # What nodes find out and tell each other
 
-    def node_ended(self, member: Member, suspects: Sequence[InFlightRequest]) -> None:
+    def node_crashed(self, member: Member, suspects: Sequence[InFlightRequest]) -> None:
         """Suspect what was lost with a node that has ended; those of its service are told.
 
         Its runs are known to the nodes that had sent them there, and to its witness. Each tells its
@@ -147,16 +147,16 @@
         now = self.clock.monotonic()
         service, end = member.service, member_key(member.node)
         different = {run.fingerprint: run for run in suspects}.values()
-        if service == self.spreader.directory.self_member.service:
+        if service == self.disseminator.directory.self_member.service:
             self._count_servers()
             for run in different:
                 self._blame(run, end, now)
-        self.spreader.tell_beside(service, [blamed_for(run, end, now) for run in different])
+        self.disseminator.tell_beside(service, [blamed_for(run, end, now) for run in different])
 
-    def take(self, member: Member, fields: list[Any]) -> None:
+    def handle_bulletin(self, member: Member, fields: list[Any]) -> None:
         """Take in the news of another node."""
         try:
-            heard = unpack_news(fields)
+            heard = unpack_suspect_reports(fields)
         except MalformedError as error:
             self.metrics.count("quarantine.malformed")
             log.warning(
@@ -168,20 +168,20 @@
             )
             return
         if not heard:
-            self.spreader.answer(member)
+            self.disseminator.answer(member)
             return
         now = self.clock.monotonic()
         self._count_servers()
         for suspicion in heard:
             self._take(suspicion, now)
-        self.spreader.note_informed()
+        self.disseminator.note_synced()
 
     def member_changed(self, member: Member) -> None:
         """Take note of a member that this node has just met."""
-        self.spreader.member_met(member)
+        self.disseminator.member_met(member)
 
     def _count_servers(self) -> None:
-        self.policy.server_count = 1 + len(self.spreader.mates())
+        self.policy.server_count = 1 + len(self.disseminator.mates())
 
     def _take(self, heard: SuspectReport, now: float, label: str = "") -> Suspect:
         was_guilty = self._is_guilty(heard.fingerprint)
@@ -190,7 +190,7 @@
         is_restricted = self.policy.is_restricted(suspect)
         if is_new and is_restricted:
             self.held_listener(heard.fingerprint)
-            self.spreader.keep_telling()
+            self.disseminator.keep_telling()
         if is_restricted and not was_guilty:
             self.metrics.count("quarantine.verdicts")
             wait_s = round(self.policy.wait_s(suspect, now), 1)
@@ -211,9 +211,9 @@
             return False
         if was_guilty:
             self._note_release(suspect, by)
-            self.spreader.tell_at_once([suspect])
+            self.disseminator.tell_at_once([suspect])
         else:
-            self.spreader.tell_soon(fingerprint)
+            self.disseminator.tell_soon(fingerprint)
         return True
 
     def _note_release(self, suspect: Suspect, by: str) -> None:
@@ -222,7 +222,7 @@
 
     # What operators see and do
 
-    def shown(self) -> list[dict[str, Any]]:
+    def list_held(self) -> list[dict[str, Any]]:
         """Return what is held back, as plain values."""
         now = self.clock.monotonic()
         return [
@@ -258,7 +258,7 @@
     }
 
 
-def make_quarantine(
+def make_quarantine_service(
     key: str,
     directory: Directory,
     publish: Publish,
@@ -268,5 +268,5 @@
 ) -> QuarantineService:
     """Return the quarantine of a node whose fleet has this key; nothing is suspected yet."""
     policy = Quarantine()
-    spreader = NewsSpreader(policy, directory, publish, clock, rng)
-    return QuarantineService(policy, Fingerprinter(key), spreader, clock, rng, metrics)
+    disseminator = ReportDisseminator(policy, directory, publish, clock, rng)
+    return QuarantineService(policy, Fingerprinter(key), disseminator, clock, rng, metrics)
--- a/src/marjoramtide/quota/__init__.py
+++ b/src/marjoramtide/quota/__init__.py
@@ -1,6 +1,10 @@
 """One rate limit for each workspace over all nodes: leased tokens, and who owns them."""
 
-from marjoramtide.quota._messages import is_quota_message
+from marjoramtide.quota._messages import is_quota_bulletin
 from marjoramtide.quota._quota_service import QuotaService, make_quota_service
 
-__all__ = ["QuotaService", "is_quota_message", "make_quota_service"]
+__all__ = [
+    "QuotaService",
+    "is_quota_bulletin",
+    "make_quota_service",
+]
--- a/src/marjoramtide/quota/_messages.py
+++ b/src/marjoramtide/quota/_messages.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(slots=True)
-class QuotaAsk:
+class TokenRequest:
     """A question for tokens of a workspace; ``number`` tells its answer from others.
 
     ``returned`` tokens were leased before and not used. A ``loan`` is asked for by the owner of
@@ -34,7 +34,7 @@
 
 
 @attrs.frozen(slots=True)
-class QuotaGrant:
+class TokenGrant:
     """The answer: how many tokens, and where there are none, when there may be one."""
 
     number: int
@@ -45,7 +45,7 @@
         return [[SUBJECT, GRANT, self.number, self.granted, self.wait_ms]]
 
 
-def is_quota_message(fields: list[Any]) -> bool:
+def is_quota_bulletin(fields: list[Any]) -> bool:
     """Tell whether a bulletin is about quotas.
 
     All of it is one field: a node that doesn't know such messages passes them over.
@@ -54,7 +54,7 @@
     return isinstance(message, list) and message[:1] == [SUBJECT]
 
 
-def unpack(fields: list[Any]) -> QuotaAsk | QuotaGrant:
+def unpack_quota_message(fields: list[Any]) -> TokenRequest | TokenGrant:
     """Return the message in a bulletin; raises ``MalformedError`` where it is none.
 
     What a later version has added at the end is passed over.
@@ -64,12 +64,12 @@
             _check(number, MOST_NUMBER)
             _check(wanted, MOST_TOKENS)
             _check(returned, MOST_TOKENS)
-            return QuotaAsk(number, workspace, wanted, returned, loan)
+            return TokenRequest(number, workspace, wanted, returned, loan)
         case [1, int(number), int(granted), int(wait_ms), *_]:
             _check(number, MOST_NUMBER)
             _check(granted, MOST_TOKENS)
             _check(wait_ms, LONGEST_WAIT_MS)
-            return QuotaGrant(number, granted, wait_ms)
+            return TokenGrant(number, granted, wait_ms)
     raise MalformedError("no question or answer about a quota")
 
 
--- a/src/marjoramtide/quota/_owned_pools.py
+++ b/src/marjoramtide/quota/_owned_pools.py
@@ -8,7 +8,7 @@
 from marjoramtide.clock import Clock
 from marjoramtide.membership import Directory
 from marjoramtide.policy.quota import QuotaPool, make_quota_pool
-from marjoramtide.quota._messages import QuotaAsk, QuotaGrant
+from marjoramtide.quota._messages import TokenGrant, TokenRequest
 from marjoramtide.quota._owners import Owners
 from marjoramtide.quota._questions import Questions
 from marjoramtide.settings import SettingsView
@@ -35,30 +35,30 @@
     pools: dict[str, QuotaPool] = attrs.Factory(dict)
     borrowing: dict[str, "asyncio.Task[None]"] = attrs.Factory(dict)
 
-    async def grant(self, ask: QuotaAsk) -> QuotaGrant:
+    async def grant(self, ask: TokenRequest) -> TokenGrant:
         """Lease tokens to a node of this data centre, with some of the others' where need be."""
         now = self.clock.monotonic()
         pool = self.find(ask.workspace, now)
         if pool is None:
-            return QuotaGrant(ask.number, 0, UNKNOWN_MS)
+            return TokenGrant(ask.number, 0, UNKNOWN_MS)
         pool.give_back(ask.returned, now)
         if not ask.wanted:
-            return QuotaGrant(ask.number, 0)
+            return TokenGrant(ask.number, 0)
         granted = pool.lease(ask.wanted, now)
         if not granted and pool.can_borrow(now):
             await self._wait_for_loan(ask.workspace, pool)
             granted = pool.lease(ask.wanted, self.clock.monotonic())
         if granted:
-            return QuotaGrant(ask.number, granted)
+            return TokenGrant(ask.number, granted)
         rate = self.view.workspaces.by_name[ask.workspace].requests_per_s
         retry_after_s = pool.retry_after_s(rate, self.clock.monotonic())
-        return QuotaGrant(ask.number, 0, round(retry_after_s * 1000))
+        return TokenGrant(ask.number, 0, round(retry_after_s * 1000))
 
-    def lend(self, ask: QuotaAsk) -> QuotaGrant:
+    def lend(self, ask: TokenRequest) -> TokenGrant:
         """Lend tokens to the owner in another data centre."""
         now = self.clock.monotonic()
         pool = self.find(ask.workspace, now)
-        return QuotaGrant(ask.number, 0 if pool is None else pool.lend(ask.wanted, now))
+        return TokenGrant(ask.number, 0 if pool is None else pool.lend(ask.wanted, now))
 
     def find(self, name: str, now: float) -> QuotaPool | None:
         """Return this node's part of a workspace's quota, ``None`` where it isn't limited."""
@@ -85,7 +85,7 @@
     async def _borrow(self, name: str, pool: QuotaPool) -> None:
         """Ask the owners in other data centres, all at once, each for its part."""
         own = self.directory.self_member
-        others = [each for each in self.owners.of(name) if each.node != own.node]
+        others = [each for each in self.owners.owners_of(name) if each.node != own.node]
         asked_at = self.clock.monotonic()
         wanted = pool.loan_size(asked_at)
         part = math.ceil(wanted / max(1, len(others)))
@@ -100,7 +100,7 @@
         """Give up the pools that another node owns by now."""
         own = self.directory.self_member.node
         for name in list(self.pools):
-            if self.owners.of(name)[0].node != own:
+            if self.owners.owners_of(name)[0].node != own:
                 del self.pools[name]
 
     def keep(self, limited: set[str]) -> None:
--- a/src/marjoramtide/quota/_owners.py
+++ b/src/marjoramtide/quota/_owners.py
@@ -71,7 +71,7 @@
             self.settled_at = now
         return True
 
-    def of(self, workspace: str) -> list[Member]:
+    def owners_of(self, workspace: str) -> list[Member]:
         """Return the owners, that of the own data centre first."""
         if self._is_meeting(self.clock.monotonic()):
             return [self.directory.self_member]
--- a/src/marjoramtide/quota/_questions.py
+++ b/src/marjoramtide/quota/_questions.py
@@ -9,7 +9,7 @@
 import attrs
 
 from marjoramtide.membership import Member
-from marjoramtide.quota._messages import QuotaAsk, QuotaGrant
+from marjoramtide.quota._messages import TokenGrant, TokenRequest
 
 Publish = Callable[[list[Any], Iterable[Member]], None]
 # An answer takes a few milliseconds where both ends are idle. One that a loan is waited for takes
@@ -28,18 +28,18 @@
     publish: Publish
     rng: random.Random
     numbers: "itertools.count[int]" = attrs.field(init=False)
-    waiting: dict[int, asyncio.Future[QuotaGrant]] = attrs.Factory(dict)
+    waiting: dict[int, asyncio.Future[TokenGrant]] = attrs.Factory(dict)
 
     def __attrs_post_init__(self) -> None:
         self.numbers = itertools.count(self.rng.getrandbits(48))
 
     async def ask(
         self, member: Member, workspace: str, wanted: int, returned: int = 0, *, loan: bool = False
-    ) -> QuotaGrant | None:
+    ) -> TokenGrant | None:
         """Return a member's answer, ``None`` where none came."""
         number = next(self.numbers)
         waiter = self.waiting[number] = asyncio.get_running_loop().create_future()
-        self.publish(QuotaAsk(number, workspace, wanted, returned, loan).pack(), [member])
+        self.publish(TokenRequest(number, workspace, wanted, returned, loan).pack(), [member])
         try:
             return await asyncio.wait_for(waiter, LOAN_TIMEOUT_S if loan else ANSWER_TIMEOUT_S)
         except TimeoutError:
@@ -47,7 +47,7 @@
         finally:
             self.waiting.pop(number, None)
 
-    def answered(self, grant: QuotaGrant) -> None:
+    def answered(self, grant: TokenGrant) -> None:
         """Hand an answer to whoever waits for it; a late one is passed over, its tokens lost."""
         waiter = self.waiting.get(grant.number)
         if waiter is not None and not waiter.done():
--- a/src/marjoramtide/quota/_quota_service.py
+++ b/src/marjoramtide/quota/_quota_service.py
@@ -15,7 +15,7 @@
 from marjoramtide.ingress import QuotaLease, RequestQuota
 from marjoramtide.membership import Directory, Member
 from marjoramtide.policy.quota import QuotaAccount
-from marjoramtide.quota._messages import QuotaAsk, QuotaGrant, unpack
+from marjoramtide.quota._messages import TokenGrant, TokenRequest, unpack_quota_message
 from marjoramtide.quota._owned_pools import OwnedPools
 from marjoramtide.quota._owners import Owners
 from marjoramtide.quota._questions import Publish, Questions
@@ -146,7 +146,7 @@
         # One turn of the loop, so that requests that arrive together ask together.
         await asyncio.sleep(0)
         name = workspace.name
-        for owner in self.owners.of(name):
+        for owner in self.owners.owners_of(name):
             asked_at = self.clock.monotonic()
             if self.silence.is_silent(owner.peer_address, asked_at):
                 continue
@@ -170,9 +170,9 @@
 
     async def _ask(
         self, owner: Member, workspace: str, wanted: int, returned: int
-    ) -> QuotaGrant | None:
+    ) -> TokenGrant | None:
         if owner.node == self.directory.self_member.node:
-            return await self.pools.grant(QuotaAsk(0, workspace, wanted, returned))
+            return await self.pools.grant(TokenRequest(0, workspace, wanted, returned))
         self.metrics.count("quota.asked")
         return await self.questions.ask(owner, workspace, wanted, returned)
 
@@ -181,21 +181,21 @@
         returned = account.take_returned()
         if not returned:
             return
-        owner = self.owners.of(name)[0]
+        owner = self.owners.owners_of(name)[0]
         pool = None
         if owner.node == self.directory.self_member.node:
             pool = self.pools.find(name, self.clock.monotonic())
         if pool is not None:
             pool.give_back(returned, self.clock.monotonic())
         else:
-            self.publish(QuotaAsk(0, name, 0, returned).pack(), [owner])
+            self.publish(TokenRequest(0, name, 0, returned).pack(), [owner])
 
     # What other nodes send
 
-    def take(self, member: Member, fields: list[Any]) -> None:
+    def handle_bulletin(self, member: Member, fields: list[Any]) -> None:
         """Take in a message of another node."""
         try:
-            message = unpack(fields)
+            message = unpack_quota_message(fields)
         except MalformedError as error:
             log.warning(
                 "quota.malformed",
@@ -205,14 +205,14 @@
                 reason=str(error),
             )
             return
-        if isinstance(message, QuotaGrant):
+        if isinstance(message, TokenGrant):
             self.questions.answered(message)
             return
         task = asyncio.create_task(self._answer(member, message))
         self.answering.add(task)
         task.add_done_callback(self.answering.discard)
 
-    async def _answer(self, member: Member, ask: QuotaAsk) -> None:
+    async def _answer(self, member: Member, ask: TokenRequest) -> None:
         grant = self.pools.lend(ask) if ask.loan else await self.pools.grant(ask)
         if ask.wanted:
             self.publish(grant.pack(), [member])
@@ -230,7 +230,7 @@
         for name in self.accounts.keys() - self.view.workspaces.by_name.keys():
             del self.accounts[name]
 
-    def shown(self, name: str) -> dict[str, Any]:
+    def usage(self, name: str) -> dict[str, Any]:
         """Return how much a workspace asks for at this node, and what became of it."""
         account = self.accounts.get(name, QuotaAccount())
         return {
--- a/src/marjoramtide/settings/sync/_service.py
+++ b/src/marjoramtide/settings/sync/_service.py
@@ -160,8 +160,8 @@
     maker = ChangeMaker(view, adopter, trees, peers, directory, clock)
     prover = Prover(view, follower, clock, rng)
     service = SettingsService(view, follower, prover, maker, None if freeze else detector)
-    control_channel.answer(PULL, service.answer_pull)
-    control_channel.answer(PREPARE, service.answer_prepare)
+    control_channel.register_handler(PULL, service.answer_pull)
+    control_channel.register_handler(PREPARE, service.answer_prepare)
     directory.on_change(follower.member_changed)
     directory.on_change(maker.member_changed)
     return service
--- a/src/marjoramtide/witness/_run_teller.py
+++ b/src/marjoramtide/witness/_run_teller.py
@@ -9,7 +9,7 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import MarjoramtideError
 from marjoramtide.membership import Directory, Member, MemberState
-from marjoramtide.peers import PeerClient, RunLink
+from marjoramtide.peers import InFlightLink, PeerClient
 from marjoramtide.serving import InFlightReporter
 from marjoramtide.telemetry import Metrics
 
@@ -23,7 +23,7 @@
 LONGEST_PAUSE_S = 5.0
 
 
-class RunTeller(InFlightReporter):
+class WitnessReporter(InFlightReporter):
     """Has one other node, the witness, know what this one runs for its own callers.
 
     Runs that were sent here by another node are known to that one. Of the others only those are
@@ -50,7 +50,7 @@
         self.metrics = metrics
         self.open: dict[int, int] = {}
         self.ended: list[int] = []
-        self.link: RunLink | None = None
+        self.link: InFlightLink | None = None
         self.last = ""
         self.timer: asyncio.TimerHandle | None = None
 
--- a/src/marjoramtide/witness/_run_witness.py
+++ b/src/marjoramtide/witness/_run_witness.py
@@ -4,11 +4,11 @@
 
 from marjoramtide.ingress import PeerCrashDetector
 from marjoramtide.membership import Directory
-from marjoramtide.peers import RunListener, ToldRun
+from marjoramtide.peers import InFlightListener, ReportedRequest
 from marjoramtide.serving import InFlightRequest
 
 
-class RunWitness(RunListener):
+class CrashWitness(InFlightListener):
     """Speaks for nodes that have ended, with what they had told it.
 
     Failure: a request ends the node that takes it from its caller and runs it at its own server.
@@ -20,7 +20,7 @@
         self.directory = directory
         self.ends = ends
 
-    def lost(self, node: str, runs: Sequence[ToldRun]) -> None:
+    def on_reporter_lost(self, node: str, runs: Sequence[ReportedRequest]) -> None:
         member = self.directory.find(node)
         if member is not None:
             self.ends.report_lost_runs(
