--- a/bench/witness.py
+++ b/bench/witness.py
@@ -30,7 +30,7 @@
 class NobodyLost(InFlightListener):
     """Is never told of a lost node here."""
 
-    def on_reporter_lost(self, node: str, runs: Sequence[ReportedRequest]) -> None:
+    def on_reporter_lost(self, node: str, requests: Sequence[ReportedRequest]) -> None:
         raise AssertionError(node)
 
 
--- a/features/edge/bad_frames.feature
+++ b/features/edge/bad_frames.feature
@@ -1,9 +1,9 @@
-Feature: Foreign and broken frames reach no backend server
+Feature: Unauthenticated and malformed frames reach no backend server
 
-  Scenario: A peer port takes nothing from strangers, and no nonsense from nodes
-    # Something that is no node, or a node gone wrong, speaks to the peer port. The connection is
-    # closed, the node writes one line with the code, and no backend server sees a request. Callers
-    # whose requests pass through the same node meanwhile notice nothing.
+  Scenario: A peer port rejects unauthenticated clients and malformed frames
+    # A process that is not a node, or a faulty node, connects to the peer port. The connection is
+    # closed, the node writes one log line with the error code, and no backend server gets a
+    # request. Requests of callers that pass through the same node meanwhile are not affected.
     Given a mesh of 2 mapdesk nodes
     And traffic: 40 lookups a second of mapdesk for 12 s
     When the peer port of mapdesk-1 is attacked amid the traffic
@@ -46,14 +46,15 @@
     Then all lookups completed
 
   Scenario: Frames for requests that are not there are dropped
-    # A chunk, a credit and a cancel arrive for requests that ended long ago, as they may after any
-    # cancel. They match nothing; the next request on the same connection is served.
+    # A chunk, a credit and a cancel arrive for requests that have ended, as they may after any
+    # cancel. They match no request, and the next request on the same connection is served.
     Given a mesh of 1 mapdesk nodes
-    Then stray frames to mapdesk-1 leave the next request on their connection alone
+    Then stray frames to mapdesk-1 do not affect the next request on their connection
 
   Scenario: A gossip port takes no foreign datagrams
-    # Garbage, and datagrams of another fleet with another key, reach the gossip port in hundreds.
-    # The node drops them with a line for each code, not for each datagram, and serves on.
+    # Hundreds of garbage datagrams, and ones of another fleet with another key, reach the gossip
+    # port. The node drops them, logs a line per error code rather than per datagram, and continues
+    # to serve.
     Given a mesh of 2 mapdesk nodes
     When 400 foreign datagrams reach the gossip port of mapdesk-1
     Then mapdesk-1 has written at most 5 lines of datagram-dropped, each with a code
--- a/features/edge/peer_attacks.py
+++ b/features/edge/peer_attacks.py
@@ -1,4 +1,4 @@
-"""What a stranger, or a node gone wrong, may do to a peer port."""
+"""Attacks on a peer port by unauthenticated clients and faulty nodes."""
 
 import asyncio
 import secrets
@@ -10,7 +10,7 @@
 from websockets.exceptions import ConnectionClosed
 
 from marjoramtide.peers._codec import encode
-from marjoramtide.peers._handshake import open_as_client, proof
+from marjoramtide.peers._handshake import make_proof, open_as_client
 from marjoramtide.peers._messages import (
     CancelMessage,
     ContinueMessage,
@@ -26,80 +26,80 @@
 
 
 def request(number: int = 1, **changes: Any) -> bytes:
-    """Return the frame of a request."""
+    """Return the frame of a request, with some fields changed."""
     values: dict[str, Any] = {
         "id": number,
         "service": "mapdesk",
         "method": "POST",
-        # Runs for longer than the frames that follow need, and is no first try, which a node whose
-        # server stalls for a moment turns away at once: a frame that breaks the rules of a request
-        # in progress must meet one.
+        # Runs longer than the frames that follow need, so that a frame that violates the protocol
+        # of a request in progress meets one. It is a retry, since a node whose server stalls
+        # briefly rejects first attempts at once.
         "target": "/attack?ms=1000",
         "headers": [("Host", "mapdesk")],
         "urgent": False,
         "idempotent": False,
         "remaining_ms": 4000.0,
         "depth": 1,
-        "key": "",
+        "idempotency_key": "",
         "trace": "",
         "attempt": 2,
         "body": b"",
-        "more": False,
+        "has_body_chunks": False,
         "length": -1,
     }
     return encode(RequestMessage(**{**values, **changes}))
 
 
 async def open_socket(address: str) -> ClientConnection:
-    """Open a connection that has proved nothing yet."""
+    """Open a connection without a handshake."""
     return await connect(f"ws://{address}/", compression=None, max_size=None, proxy=None)
 
 
 async def open_peer(address: str, lane: str = "routine") -> ClientConnection:
-    """Open a connection as a node does."""
+    """Open an authenticated connection, as a node does."""
     socket = await open_socket(address)
     await open_as_client(socket, KEY, lane, address)
     return socket
 
 
-async def closed(socket: ClientConnection) -> None:
-    """Wait until the other end closes; raises ``TimeoutError`` with what it sent instead."""
-    came = []
+async def wait_closed(socket: ClientConnection) -> None:
+    """Wait until the peer closes; raises ``TimeoutError`` with what was received instead."""
+    received = []
     try:
         async with asyncio.timeout(CLOSE_TIMEOUT_S):
             while True:
-                came.append(await socket.recv())
+                received.append(await socket.recv())
     except ConnectionClosed:
         return
     except TimeoutError as error:
-        raise TimeoutError(f"the connection stayed open; it brought {came}") from error
+        raise TimeoutError(f"the connection stayed open; received: {received}") from error
 
 
 def frames(*wanted: bytes, lane: str = "routine") -> Attack:
-    """Return the attack that sends these frames after a sound handshake."""
+    """Return the attack that sends these frames after a valid handshake."""
 
     async def attack(address: str) -> None:
         socket = await open_peer(address, lane)
         for frame in wanted:
             await socket.send(frame)
-        await closed(socket)
+        await wait_closed(socket)
 
     return attack
 
 
 def first_frame(frame: bytes | str) -> Attack:
-    """Return the attack that sends this in place of a handshake."""
+    """Return the attack that sends this instead of a handshake."""
 
     async def attack(address: str) -> None:
         socket = await open_socket(address)
         await socket.send(frame)
-        await closed(socket)
+        await wait_closed(socket)
 
     return attack
 
 
-def bytes_only(data: bytes) -> Attack:
-    """Return the attack that does not even speak WebSocket."""
+def raw_bytes(data: bytes) -> Attack:
+    """Return the attack that sends these bytes over plain TCP."""
 
     async def attack(address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -113,57 +113,61 @@
     return attack
 
 
-async def silent(address: str) -> None:
-    await closed(await open_socket(address))
+async def no_handshake(address: str) -> None:
+    await wait_closed(await open_socket(address))
 
 
 async def wrong_key(address: str) -> None:
-    """Answer the server's nonce with a proof made from another key."""
+    """Answer the server's challenge with a proof made from another key."""
     socket = await open_socket(address)
-    mine = secrets.token_bytes(16)
-    await socket.send(cbor2.dumps([mine, "routine"]))
-    theirs, _ = cbor2.loads(await socket.recv())
-    await socket.send(cbor2.dumps([proof("another key of 16+", "client", mine, theirs, "routine")]))
-    await closed(socket)
+    client_nonce = secrets.token_bytes(16)
+    await socket.send(cbor2.dumps([client_nonce, "routine"]))
+    server_nonce, _ = cbor2.loads(await socket.recv())
+    await socket.send(
+        cbor2.dumps(
+            [make_proof("another key of 16+", "client", client_nonce, server_nonce, "routine")]
+        )
+    )
+    await wait_closed(socket)
 
 
 async def replay(address: str) -> None:
-    """Send a node's recorded half of a handshake a second time, with a request behind it."""
-    mine = secrets.token_bytes(16)
+    """Replay the client's recorded half of a handshake, with a request behind it."""
+    client_nonce = secrets.token_bytes(16)
     first = await open_socket(address)
-    await first.send(cbor2.dumps([mine, "routine"]))
-    theirs, _ = cbor2.loads(await first.recv())
-    recorded = cbor2.dumps([proof(KEY, "client", mine, theirs, "routine")])
+    await first.send(cbor2.dumps([client_nonce, "routine"]))
+    server_nonce, _ = cbor2.loads(await first.recv())
+    recorded = cbor2.dumps([make_proof(KEY, "client", client_nonce, server_nonce, "routine")])
     await first.send(recorded)
     await first.recv()
     second = await open_socket(address)
-    await second.send(cbor2.dumps([mine, "routine"]))
+    await second.send(cbor2.dumps([client_nonce, "routine"]))
     await second.recv()
     await second.send(recorded)
     await second.send(request())
-    await closed(second)
+    await wait_closed(second)
     await first.close()
 
 
-async def invited(address: str, *wanted: bytes) -> None:
-    """Begin a request with a body, wait until it is asked for, then send these frames."""
+async def send_body_frames(address: str, *wanted: bytes) -> None:
+    """Start a request, wait until its body is requested, then send these frames."""
     socket = await open_peer(address)
-    await socket.send(request(more=True))
+    await socket.send(request(has_body_chunks=True))
     frame = await socket.recv()
     assert frame == encode(ContinueMessage(1)), frame
     for frame in wanted:
         await socket.send(frame)
-    await closed(socket)
+    await wait_closed(socket)
 
 
-def invited_with(*wanted: bytes) -> Attack:
-    return lambda address: invited(address, *wanted)
+def body_frames(*wanted: bytes) -> Attack:
+    return lambda address: send_body_frames(address, *wanted)
 
 
 ATTACKS: dict[str, Attack] = {
-    "bytes that are no HTTP": bytes_only(secrets.token_bytes(64) + b"\r\n\r\n"),
-    "plain HTTP": bytes_only(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
-    "no handshake": silent,
+    "bytes that are no HTTP": raw_bytes(secrets.token_bytes(64) + b"\r\n\r\n"),
+    "plain HTTP": raw_bytes(b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"),
+    "no handshake": no_handshake,
     "a handshake of text": first_frame("hello"),
     "a handshake of garbage": first_frame(b"\xff\x00garbage"),
     "a nonce that is text": first_frame(cbor2.dumps(["a" * 16, "routine"])),
@@ -192,15 +196,15 @@
     "a header with a line break": frames(request(headers=[("X", "a\r\nY: b")])),
     "a method with a space": frames(request(method="GET /other")),
     "a chunk nobody asked for": frames(request(), encode(RequestChunk(1, b"a", False))),
-    "an answer to nothing asked": frames(request(more=True), encode(ContinueMessage(1))),
-    "an empty chunk": invited_with(encode(RequestChunk(1, b"", False))),
-    "a credit of a gigabyte": invited_with(encode(CreditMessage(1, 1 << 30))),
-    "a negative credit": invited_with(encode(CreditMessage(1, -5))),
+    "an answer to nothing asked": frames(request(has_body_chunks=True), encode(ContinueMessage(1))),
+    "an empty chunk": body_frames(encode(RequestChunk(1, b"", False))),
+    "a credit of a gigabyte": body_frames(encode(CreditMessage(1, 1 << 30))),
+    "a negative credit": body_frames(encode(CreditMessage(1, -5))),
 }
 
 
 async def unknown_ids(address: str) -> Any:
-    """Send frames for requests that are not there, then a request; return its answer's frame."""
+    """Send frames for unknown requests, then a request; return its decoded response frame."""
     socket = await open_peer(address)
     for stray in (RequestChunk(77, b"a" * 1000, False), CreditMessage(78, 5), CancelMessage(79)):
         await socket.send(encode(stray))
--- a/features/steps/edge_frames_steps.py
+++ b/features/steps/edge_frames_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send foreign frames and datagrams to real nodes."""
+"""Steps that send malformed frames and datagrams to real nodes."""
 
 import asyncio
 import os
@@ -16,7 +16,7 @@
 
 
 async def attack_all(node: Any, rows: list[Any]) -> list[str]:
-    """Play each attack and return what was not as its row says."""
+    """Run each attack and return the ones whose log line differs from their row."""
     wrong = []
     for row in rows:
         seen = len(lines(node, "peers.refused", "peers.bad_frame", "peers.failed"))
@@ -40,7 +40,7 @@
     assert not wrong, "\n".join([*wrong, context.mesh.output()])
 
 
-@then("stray frames to {name} leave the next request on their connection alone")
+@then("stray frames to {name} do not affect the next request on their connection")
 def stray_frames(context: Any, name: str) -> None:
     frame = context.runner.run(unknown_ids(find(context, name).peers))
     assert frame[:3] == [3, 2, 200], frame[:3]
--- a/features/steps/peer_bodies_steps.py
+++ b/features/steps/peer_bodies_steps.py
@@ -1,4 +1,4 @@
-"""Steps on bodies of requests that are sent to another node."""
+"""Steps on request bodies that are sent to another node."""
 
 import asyncio
 from typing import Any
@@ -28,14 +28,14 @@
 
 
 class RefusingHandler(RequestHandler):
-    """Has no room."""
+    """Rejects every request as overloaded."""
 
     async def handle(self, request: Request, body: RequestBody) -> Response:
         raise NotRunError(ErrorCode.OVERLOADED, "no room", step="test")
 
 
 class EchoHandler(RequestHandler):
-    """Answers with the body."""
+    """Returns the request body."""
 
     async def handle(self, request: Request, body: RequestBody) -> Response:
         held = await body.buffered()
@@ -44,17 +44,17 @@
 
 
 class CountingSession(Session):
-    """Counts the bytes of bodies that arrive."""
+    """Counts the body bytes that are received."""
 
     body_bytes = 0
 
-    def take(self, message: Any) -> None:
+    def handle_message(self, message: Any) -> None:
         match message:
             case RequestMessage():
                 self.body_bytes += len(message.body)
             case RequestChunk():
                 self.body_bytes += len(message.data)
-        super().take(message)
+        super().handle_message(message)
 
 
 def serve_peer(context: Any, handler: RequestHandler) -> None:
@@ -77,12 +77,12 @@
     context.runner.run(start())
 
 
-@given("a node that refuses every request")
+@given("a node that rejects every request")
 def given_refusing(context: Any) -> None:
     serve_peer(context, RefusingHandler())
 
 
-@given("a node that answers with what it was sent")
+@given("a node that echoes request bodies")
 def given_echo(context: Any) -> None:
     serve_peer(context, EchoHandler())
 
@@ -104,7 +104,7 @@
     context.runner.run(send())
 
 
-@then("all of them were refused as not run")
+@then("all of them were rejected as not run")
 def then_refused(context: Any) -> None:
     assert all(isinstance(each, NotRunError) for each in context.results), context.results
 
@@ -114,6 +114,6 @@
     assert sum(each.body_bytes for each in context.sessions) == size
 
 
-@then("each of them was answered with its own body")
+@then("each of them got its own body back")
 def then_own(context: Any) -> None:
     assert [each.body for each in context.results] == context.bodies
--- a/features/steps/peer_links_steps.py
+++ b/features/steps/peer_links_steps.py
@@ -1,4 +1,4 @@
-"""Steps on both ends of a connection between nodes, without processes."""
+"""Steps on both sides of a connection between nodes, without processes."""
 
 import asyncio
 from collections.abc import AsyncIterator
@@ -26,13 +26,13 @@
 
 use_step_matcher("parse")
 
-END_S = 1.0  # below every deadline and timeout that could end a wait instead
+END_S = 1.0  # below every deadline and timeout that could also end a wait
 STUCK_END_S = 8.0  # far below the deadlines of requests
 KEY = "k" * 32
 
 
 class SilentHandler(RequestHandler):
-    """Begins every request and never answers."""
+    """Accepts every request and never responds."""
 
     async def handle(self, request: Request, body: RequestBody) -> Response:
         await asyncio.get_running_loop().create_future()
@@ -40,7 +40,10 @@
 
 
 async def arrived_together(frames: list[bytes]) -> AsyncIterator[bytes]:
-    """Yield what stood in a socket, without a turn of the loop in between; then stay open."""
+    """Yield frames that are in the socket already, without an event loop iteration between them.
+
+    The connection stays open afterwards.
+    """
     for frame in frames:
         yield frame
     await asyncio.Event().wait()
@@ -64,7 +67,7 @@
     async def work() -> None:
         reading = asyncio.create_task(context.session.run())
         context.cleanup.callback(reading.cancel)
-        while not context.session.served:
+        while not context.session.requests:
             await asyncio.sleep(0)
         try:
             async with asyncio.timeout(END_S):
@@ -77,7 +80,7 @@
 
 @then("none of them is held as in progress there")
 def then_none_held(context: Any) -> None:
-    assert not context.session.served and context.session.idle.is_set(), context.session.served
+    assert not context.session.requests and context.session.idle.is_set(), context.session.requests
 
 
 async def accept_and_stop_reading(socket: ServerConnection) -> None:
@@ -94,7 +97,7 @@
 
 
 async def fill_connections(context: Any) -> None:
-    """Send requests until nothing goes out any more; those wait for their answers."""
+    """Send requests until both connections' send buffers are full; they wait for responses."""
     server = await serve(
         accept_and_stop_reading, "127.0.0.1", 0, ping_interval=None, close_timeout=0.1
     )
@@ -112,13 +115,13 @@
             await asyncio.sleep(0)
 
 
-@given("full connections of both classes to a peer that takes nothing off them any more")
+@given("full urgent and routine connections to a peer that has stopped reading")
 def given_full(context: Any) -> None:
     context.runner = context.cleanup.enter_context(asyncio.Runner())
     context.runner.run(fill_connections(context))
 
 
-@when("a request that waits there is given up")
+@when("a request that waits on them is cancelled")
 def when_given_up(context: Any) -> None:
     async def work() -> None:
         task = context.waiting[-1]
@@ -128,12 +131,12 @@
     context.runner.run(work())
 
 
-@then("whoever gave it up goes on at once")
+@then("its caller continues at once")
 def then_goes_on(context: Any) -> None:
     assert context.waiting[-1].cancelled(), context.waiting[-1]
 
 
-@when("the peer is told to be dead")
+@when("the peer is declared dead")
 def when_dropped(context: Any) -> None:
     async def work() -> None:
         context.dropping = asyncio.create_task(context.client.abort_links(context.peer))
@@ -142,7 +145,7 @@
     context.runner.run(work())
 
 
-@when("the peer goes on taking nothing")
+@when("the peer still does not read")
 def when_stuck(context: Any) -> None:
     async def work() -> None:
         await asyncio.wait(context.waiting, timeout=STUCK_END_S)
@@ -150,7 +153,7 @@
     context.runner.run(work())
 
 
-@then("all that waited there is unknown")
+@then("the outcome of all waiting requests is unknown")
 def then_all_unknown(context: Any) -> None:
     open_still = [task for task in context.waiting if not task.done()]
     assert not open_still, f"{len(open_still)} of {len(context.waiting)}"
--- a/features/steps/unused_links_steps.py
+++ b/features/steps/unused_links_steps.py
@@ -18,7 +18,7 @@
 
 
 class Pair:
-    """A node that asks and one that answers."""
+    """A node that asks questions and one that answers them."""
 
     def __init__(self) -> None:
         clock = SystemClock()
@@ -68,7 +68,7 @@
     context.cleanup.callback(lambda: context.runner.run(context.pair.stop()))
 
 
-@when("a peer asks it {count:d} times, each time after the connection has ended")
+@when("a peer asks it {count:d} times, each time after the connection was closed")
 def when_asked_again(context: Any, count: int) -> None:
     async def work() -> None:
         for number in range(count):
@@ -78,7 +78,7 @@
     context.runner.run(work())
 
 
-@when("a peer asks it once quickly answered and once not")
+@when("a peer asks it a question with a quick reply and one with a slow reply")
 def when_asked_slowly(context: Any) -> None:
     async def work() -> None:
         await context.pair.ask(0, slow=0)
@@ -87,14 +87,14 @@
     context.runner.run(work())
 
 
-@then("all {count:d} answers came and neither node holds a connection")
+@then("all {count:d} replies arrived and neither node has a connection open")
 def then_all_came(context: Any, count: int) -> None:
     pair = context.pair
     assert [answer["number"] for answer in pair.answers] == list(range(count)), pair.answers
     assert not pair.client.links and not pair.server.sessions
 
 
-@then("both answers came over one connection")
+@then("both replies arrived over one connection")
 def then_one_connection(context: Any) -> None:
     assert [answer["number"] for answer in context.pair.answers] == [0, 1]
     assert len(context.pair.links) == 1, context.pair.links
--- a/src/marjoramtide/peers/__init__.py
+++ b/src/marjoramtide/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Node to node: requests, answers and small questions, multiplexed."""
+"""Requests, responses and control questions between nodes, multiplexed over websockets."""
 
 from marjoramtide.peers._client import PeerClient
 from marjoramtide.peers._codec import report_fields, unpack_report
--- a/src/marjoramtide/peers/_byte_stream.py
+++ b/src/marjoramtide/peers/_byte_stream.py
@@ -1,4 +1,4 @@
-"""A bounded stream of bytes between the task that reads a connection and one consumer."""
+"""A bounded byte stream from the task that reads a connection to one consumer."""
 
 import asyncio
 from collections import deque
@@ -11,51 +11,57 @@
 
 
 class ByteStream:
-    """Chunks in the order of their arrival, until the last one or an error.
+    """An asynchronous iterator over received chunks, with a flow-control window.
 
-    The sender may have at most ``WINDOW_BYTES`` on the way; each chunk that the consumer takes is
-    reported through ``on_taken`` so that the sender learns of the room. A sender that ignores the
-    window gets ``bad-frame``: memory for a stream stays bounded whatever the peer does.
+    The sender may have at most ``WINDOW_BYTES`` in transit. For each chunk that the consumer has
+    read, ``on_consumed`` is called, which sends the sender a credit. A sender that exceeds the
+    window gets ``bad-frame``, so the memory of a stream is bounded whatever the peer does.
     """
 
-    def __init__(self, on_taken: Callable[[int], Awaitable[None]]) -> None:
-        self.on_taken = on_taken
+    def __init__(self, on_consumed: Callable[[int], Awaitable[None]]) -> None:
+        self.on_consumed = on_consumed
         self.chunks: deque[bytes] = deque()
-        self.size = 0
-        self.ended = False
+        self.buffered_bytes = 0
+        self.is_complete = False
         self.error: Exception | None = None
-        self.arrived = asyncio.Event()
+        self.data_arrived = asyncio.Event()
 
-    def feed(self, data: bytes, last: bool) -> None:
-        """Take a chunk off the connection; raises ``bad-frame`` where it may not come."""
-        self.size += len(data)
-        # Empty chunks cost no window, so that any number of them could pile up here.
-        if self.ended or not (data or last) or self.size > WINDOW_BYTES + CHUNK_BYTES:
+    def feed(self, data: bytes, is_last: bool) -> None:
+        """Append a received chunk; raises ``bad-frame`` if the peer was not allowed to send it."""
+        self.buffered_bytes += len(data)
+        # Empty chunks use no window, so any number of them could accumulate here.
+        if (
+            self.is_complete
+            or not (data or is_last)
+            or self.buffered_bytes > WINDOW_BYTES + CHUNK_BYTES
+        ):
             raise MarjoramtideError(
-                ErrorCode.BAD_FRAME, "the peer sent more than it may", step="peers.stream"
+                ErrorCode.BAD_FRAME,
+                "the peer sent data beyond its flow-control window or after the last chunk",
+                step="peers.stream",
             )
         self.chunks.append(data)
-        self.ended = self.ended or last
-        self.arrived.set()
+        self.is_complete = self.is_complete or is_last
+        self.data_arrived.set()
 
     def fail(self, error: Exception) -> None:
-        """End the stream with an error, unless it has ended already."""
-        if not self.ended and self.error is None:
+        """End the stream with an error, unless it is complete or has failed already."""
+        if not self.is_complete and self.error is None:
             self.error = error
-            self.arrived.set()
+            self.data_arrived.set()
 
     async def __aiter__(self) -> AsyncIterator[bytes]:
         while True:
             while self.chunks:
                 data = self.chunks.popleft()
-                self.size -= len(data)
+                self.buffered_bytes -= len(data)
                 if data:
                     yield data
-                    if not (self.ended and not self.chunks):
-                        await self.on_taken(len(data))
+                    if not (self.is_complete and not self.chunks):
+                        await self.on_consumed(len(data))
             if self.error is not None:
                 raise self.error
-            if self.ended:
+            if self.is_complete:
                 return
-            self.arrived.clear()
-            await self.arrived.wait()
+            self.data_arrived.clear()
+            await self.data_arrived.wait()
--- a/src/marjoramtide/peers/_client.py
+++ b/src/marjoramtide/peers/_client.py
@@ -1,4 +1,4 @@
-"""The connections of this node to its peers."""
+"""The connections that this node opens to its peers."""
 
 import asyncio
 from typing import Any
@@ -17,7 +17,7 @@
 )
 from marjoramtide.peers._client_connection import PeerClientConnection
 from marjoramtide.peers._handshake import HANDSHAKE_TIMEOUT_S, open_as_client
-from marjoramtide.peers._lanes import CONTROL, ROUTINE, RUNS, URGENT
+from marjoramtide.peers._lanes import CONTROL, IN_FLIGHT, ROUTINE, URGENT
 from marjoramtide.peers._limits import (
     CLOSE_TIMEOUT_S,
     MAX_FRAME_BYTES,
@@ -33,98 +33,100 @@
 
 
 class PeerClient:
-    """Sends requests and questions to peers, over one connection for each peer and lane.
+    """Sends requests and questions to peers, over one connection per peer and lane.
 
-    Urgent and routine requests travel on connections of their own: a large routine body in a
-    connection's buffers would otherwise stand before an urgent request, which would wait for it
-    whatever the serving node has reserved. Chunks bound what one request puts on a connection.
+    Urgent and routine requests have separate connections. On a shared one, an urgent request would
+    wait behind a large routine body in the connection's buffers, whatever capacity the serving node
+    has reserved for it. Bodies are sent in chunks, which bounds how much of one request is in a
+    connection's buffer.
     """
 
     def __init__(self, key: str, clock: Clock) -> None:
         self.key = key
         self.clock = clock
         self.links: dict[tuple[str, str], Link] = {}
-        self.opening: dict[tuple[str, str], asyncio.Task[Link]] = {}
-        self.looks: set[asyncio.Task[Link]] = set()
-        self.closing: set[asyncio.Task[None]] = set()
+        self.opening_tasks: dict[tuple[str, str], asyncio.Task[Link]] = {}
+        self.probe_tasks: set[asyncio.Task[Link]] = set()
+        self.closing_tasks: set[asyncio.Task[None]] = set()
 
     async def request(self, address: str, request: Request, body: RequestBody) -> Response:
-        """Have the node at ``address`` serve a request; raises as ``RequestHandler.handle``."""
+        """Send a request to the node at ``address``; raises as ``RequestHandler.handle``."""
         link = await self.get_link(address, URGENT if request.urgent else ROUTINE)
         remaining_ms = (request.deadline - self.clock.monotonic()) * 1000
         if remaining_ms <= 0:
             raise NotRunError(
-                ErrorCode.DEADLINE, "no time is left", step="peers.send", peer=address
+                ErrorCode.DEADLINE, "the deadline has passed", step="peers.send", peer=address
             )
         return await link.request(request, body, remaining_ms)
 
     async def ask(
         self, address: str, subject: str, body: dict[str, Any], timeout: float, small: bool = False
     ) -> dict[str, Any]:
-        """Ask the node at ``address`` a question, a ``small`` one by any connection that is open.
+        """Ask the node at ``address`` a question.
 
-        A handshake costs both nodes more than a hundred small questions.
+        A ``small`` one is sent over any connection that is open, since a handshake costs both nodes
+        more than a hundred small questions.
         """
         try:
             async with asyncio.timeout(timeout):
-                link = self.any_open(address) if small else None
+                link = self.find_open_link(address) if small else None
                 link = link or await self.get_link(address, CONTROL)
                 return await link.ask(subject, body)
         except TimeoutError as error:
             raise MarjoramtideError(
-                ErrorCode.PEER_LOST, f"no reply in {timeout} s", step="peers.ask", peer=address
+                ErrorCode.PEER_LOST, f"no reply within {timeout} s", step="peers.ask", peer=address
             ) from error
         except RequestFailedError as error:
             raise MarjoramtideError(
                 ErrorCode.PEER_LOST, error.message, step="peers.ask", peer=address
             ) from error
 
-    def any_open(self, address: str) -> Link | None:
-        """Return an open connection to a node, whatever it is for."""
+    def find_open_link(self, address: str) -> Link | None:
+        """Return an open connection to a node in any lane, or ``None``."""
         found = (self.links.get((address, lane)) for lane in (CONTROL, ROUTINE, URGENT))
-        return next((link for link in found if link is not None and not link.closed), None)
+        return next((link for link in found if link is not None and not link.is_closed), None)
 
     async def get_link(self, address: str, lane: str) -> Link:
-        """Return the open connection, or open one; callers that come meanwhile share it."""
-        name = (address, lane)
-        link = self.links.get(name)
-        if link is not None and not link.closed:
+        """Return the open connection, or open one; concurrent callers share the attempt."""
+        link_key = (address, lane)
+        link = self.links.get(link_key)
+        if link is not None and not link.is_closed:
             return link
-        task = self.opening.get(name)
+        task = self.opening_tasks.get(link_key)
         if task is None:
-            task = self.opening[name] = asyncio.create_task(self.open(address, lane))
-            task.add_done_callback(lambda done: self.opened(name, done))
-        # A caller that gives up must not end the connection that others wait for.
+            task = self.opening_tasks[link_key] = asyncio.create_task(self.open_link(address, lane))
+            task.add_done_callback(lambda done: self.link_opened(link_key, done))
+        # Cancelling one caller must not cancel the attempt that others wait for.
         return await asyncio.shield(task)
 
-    def opened(self, name: tuple[str, str], task: "asyncio.Task[Link]") -> None:
-        self.opening.pop(name, None)
+    def link_opened(self, link_key: tuple[str, str], task: "asyncio.Task[Link]") -> None:
+        self.opening_tasks.pop(link_key, None)
         if not task.cancelled() and task.exception() is None:
-            self.keep(name, task.result())
+            self.add_link(link_key, task.result())
 
-    def keep(self, name: tuple[str, str], link: Link) -> None:
-        """Use a connection for what is sent from now on."""
-        self.links[name] = link
-        link.reader.add_done_callback(lambda _: self.ended(name, link))
+    def add_link(self, link_key: tuple[str, str], link: Link) -> None:
+        """Use this connection for all that is sent to its peer in its lane from now on."""
+        self.links[link_key] = link
+        link.reader_task.add_done_callback(lambda _: self.link_closed(link_key, link))
 
-    def ended(self, name: tuple[str, str], link: Link) -> None:
-        """Forget a connection that has ended, unless another has taken its place."""
-        if self.links.get(name) is link:
-            del self.links[name]
+    def link_closed(self, link_key: tuple[str, str], link: Link) -> None:
+        """Remove a closed connection, unless it has been replaced already."""
+        if self.links.get(link_key) is link:
+            del self.links[link_key]
 
-    async def open(self, address: str, lane: str) -> Link:
-        """Open a connection for requests, or for questions."""
+    async def open_link(self, address: str, lane: str) -> Link:
+        """Open a connection for requests or questions."""
         return Link(await self.open_socket(address, lane), address, lane)
 
-    async def open_runs(self, address: str, node: str) -> InFlightLink:
-        """Open a connection by which this node, ``node``, tells what it runs.
+    async def open_in_flight_link(self, address: str, node: str) -> InFlightLink:
+        """Open a connection over which this node, ``node``, reports its requests in flight.
 
-        Raises ``NotRunError`` where there can't be one.
+        Raises ``NotRunError`` if it can't be opened.
         """
-        return InFlightLink(await self.open_socket(address, RUNS), node)
+        return InFlightLink(await self.open_socket(address, IN_FLIGHT), node)
 
     async def open_socket(self, address: str, lane: str) -> ClientConnection:
-        """Connect and prove the key; nothing of a request is sent before."""
+        """Connect and complete the handshake; no part of a request is sent before."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 socket = await connect(
@@ -153,14 +155,15 @@
         return socket
 
     async def probe(self, address: str, timeout_s: float) -> PeerProbeResult:
-        """Find out by a new connection whether a node lives.
+        """Open a new connection to find out whether a node is alive.
 
-        A kept one tells nothing: that it has broken may not have been read yet. Where the node
-        lives, the new one is kept for the next request if there is no other.
+        An existing connection is no evidence: it may be broken without this process having read
+        that yet. If the node is alive and there is no other connection to it, the new one is kept
+        for the next request.
         """
-        task = asyncio.create_task(self.open(address, ROUTINE))
-        self.looks.add(task)
-        task.add_done_callback(lambda done: self.looked((address, ROUTINE), done))
+        task = asyncio.create_task(self.open_link(address, ROUTINE))
+        self.probe_tasks.add(task)
+        task.add_done_callback(lambda done: self.probe_finished((address, ROUTINE), done))
         await asyncio.wait([task], timeout=timeout_s)
         if not task.done() or task.cancelled():
             return PeerProbeResult.UNKNOWN
@@ -170,34 +173,34 @@
         is_refused = isinstance(error.__cause__, ConnectionRefusedError)
         return PeerProbeResult.REFUSED if is_refused else PeerProbeResult.UNKNOWN
 
-    def looked(self, name: tuple[str, str], task: "asyncio.Task[Link]") -> None:
-        """Keep the connection of a look, or close it where one is kept already."""
-        self.looks.discard(task)
+    def probe_finished(self, link_key: tuple[str, str], task: "asyncio.Task[Link]") -> None:
+        """Keep the connection that a probe has opened, or close it if there is one already."""
+        self.probe_tasks.discard(task)
         if task.cancelled() or task.exception() is not None:
             return
-        kept = self.links.get(name)
-        if kept is None or kept.closed:
-            self.keep(name, task.result())
+        existing = self.links.get(link_key)
+        if existing is None or existing.is_closed:
+            self.add_link(link_key, task.result())
         else:
             closing = asyncio.create_task(task.result().close())
-            self.closing.add(closing)
-            closing.add_done_callback(self.closing.discard)
+            self.closing_tasks.add(closing)
+            closing.add_done_callback(self.closing_tasks.discard)
 
     async def abort_links(self, address: str) -> None:
-        """Close the connections to a peer that is known to be dead.
+        """Abort the connections to a peer that is known to be dead.
 
-        Requests on them end as unknown at once, in place of waiting for their deadlines on a
-        connection over which nothing will come. No closing handshake, which a dead peer would not
-        answer: the urgent requests would wait until the routine ones' connection is given up.
+        The outcome of requests on them becomes unknown at once, rather than at their deadlines.
+        There is no closing handshake, since a dead peer would not answer it, and urgent requests
+        would have to wait until the connection of the routine ones has timed out.
         """
-        names = [name for name in self.links if name[0] == address]
-        await asyncio.gather(*(self.links.pop(name).abort() for name in names))
+        link_keys = [link_key for link_key in self.links if link_key[0] == address]
+        await asyncio.gather(*(self.links.pop(link_key).abort() for link_key in link_keys))
 
     async def close(self) -> None:
         """Close all connections."""
-        tasks = [*self.opening.values(), *self.looks]
+        tasks = [*self.opening_tasks.values(), *self.probe_tasks]
         for task in tasks:
             task.cancel()
-        await asyncio.gather(*tasks, *self.closing, return_exceptions=True)
+        await asyncio.gather(*tasks, *self.closing_tasks, return_exceptions=True)
         await asyncio.gather(*(link.close() for link in self.links.values()))
         self.links.clear()
--- a/src/marjoramtide/peers/_client_connection.py
+++ b/src/marjoramtide/peers/_client_connection.py
@@ -1,4 +1,4 @@
-"""The client's end of a connection, below the messages."""
+"""The websocket connection class of the client side."""
 
 from websockets.asyncio.client import ClientConnection
 
@@ -6,4 +6,4 @@
 
 
 class PeerClientConnection(StallGuard, ClientConnection):
-    """The library's connection, which ends where nothing goes out any more."""
+    """A client connection that is aborted if its send buffer stalls."""
--- a/src/marjoramtide/peers/_control_channel.py
+++ b/src/marjoramtide/peers/_control_channel.py
@@ -1,4 +1,4 @@
-"""Small questions between nodes, beside the requests of callers."""
+"""The interface for control questions between nodes, apart from callers' requests."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Awaitable, Callable
@@ -6,11 +6,11 @@
 
 
 class ControlChannel(ABC):
-    """Asks another node one question and gets one answer, over an authenticated connection.
+    """Sends questions to other nodes and answers theirs, over authenticated connections.
 
-    It has a connection of its own for what may be large, so that a settings tree never delays a
-    caller's request.
-    Bodies are plain values that CBOR carries (maps, lists, strings, bytes, numbers).
+    Questions that may be large have a connection of their own, so that a settings tree never delays
+    a caller's request. Bodies are plain values that CBOR can encode (maps, lists, strings, bytes,
+    numbers).
     """
 
     @abstractmethod
@@ -23,14 +23,15 @@
         timeout: float = 2.0,
         small: bool = False,
     ) -> dict[str, Any]:
-        """Ask the node at the peer address ``IP:PORT``.
+        """Ask the node at the peer address ``IP:PORT`` and return its reply.
 
-        Where question and answer are ``small``, a connection that carries requests may be used.
-        Raises ``peer-lost`` where no answer came, ``peer-refused`` where the peer said no.
+        With ``small``, which says that question and reply are small, a connection that carries
+        requests may be used. Raises ``peer-lost`` if there is no reply, ``peer-refused`` if the
+        peer replies with an error.
         """
 
     @abstractmethod
     def register_handler(
         self, subject: str, handler: Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]
     ) -> None:
-        """Register the coroutine that answers questions on ``subject``."""
+        """Register the coroutine function that answers questions on ``subject``."""
--- a/src/marjoramtide/peers/_lanes.py
+++ b/src/marjoramtide/peers/_lanes.py
@@ -1,8 +1,8 @@
-"""The kinds of connection between two nodes."""
+"""The lanes: the kinds of connection between two nodes, by what they carry."""
 
 URGENT = "urgent"
 ROUTINE = "routine"
 CONTROL = "control"
-# For what a node runs for its own callers; one way.
-RUNS = "runs"
-LANES = (URGENT, ROUTINE, CONTROL, RUNS)
+# Reports of requests in flight, in one direction.
+IN_FLIGHT = "runs"
+LANES = (URGENT, ROUTINE, CONTROL, IN_FLIGHT)
--- a/src/marjoramtide/peers/_link.py
+++ b/src/marjoramtide/peers/_link.py
@@ -1,4 +1,4 @@
-"""One connection to one peer."""
+"""The client side of one connection to a peer."""
 
 import asyncio
 import contextlib
@@ -27,10 +27,8 @@
     unpack_report,
 )
 from marjoramtide.peers._lanes import CONTROL
-from marjoramtide.peers._limits import LINGER_S
+from marjoramtide.peers._limits import QUESTION_IDLE_TIMEOUT_S
 from marjoramtide.peers._messages import (
-    AnswerChunk,
-    AnswerMessage,
     CancelMessage,
     ContinueMessage,
     CreditMessage,
@@ -39,8 +37,10 @@
     ReplyMessage,
     RequestChunk,
     RequestMessage,
+    ResponseChunk,
+    ResponseMessage,
 )
-from marjoramtide.peers._pending import Pending
+from marjoramtide.peers._pending import PendingRequest
 
 log = structlog.get_logger()
 
@@ -48,31 +48,31 @@
 
 
 class Link:
-    """The client's end of one connection generation; its reader task owns the socket.
+    """Multiplexes requests and questions over one connection; its reader task owns the socket.
 
-    Request numbers belong to the link and are never used twice, so an answer that arrives after its
-    request was given up matches nothing and is dropped: a caller can't get another's answer.
+    Request numbers are unique within a link and never reused. A response that arrives after its
+    request was given up matches no request and is dropped, so no caller can get another's response.
     """
 
     def __init__(self, socket: ClientConnection, peer: str, lane: str) -> None:
         self.socket = socket
         self.peer = peer
         self.lane = lane
-        self.numbers = itertools.count(1)
-        self.pending: dict[int, Pending] = {}
-        self.questions: dict[int, asyncio.Future[dict[str, Any]]] = {}
-        self.closed = False
-        self.cancels: set[asyncio.Task[None]] = set()
-        self.linger: asyncio.TimerHandle | None = None
-        self.ending: asyncio.Task[None] | None = None
-        self.reader = asyncio.create_task(self.read(), name=f"peers.link {peer} {lane}")
+        self.request_numbers = itertools.count(1)
+        self.pending: dict[int, PendingRequest] = {}
+        self.pending_questions: dict[int, asyncio.Future[dict[str, Any]]] = {}
+        self.is_closed = False
+        self.cancel_tasks: set[asyncio.Task[None]] = set()
+        self.idle_timer: asyncio.TimerHandle | None = None
+        self.close_task: asyncio.Task[None] | None = None
+        self.reader_task = asyncio.create_task(self.read(), name=f"peers.link {peer} {lane}")
 
     async def request(self, request: Request, body: RequestBody, remaining_ms: float) -> Response:
-        """Send a request and wait for its answer."""
-        number = next(self.numbers)
+        """Send a request and wait for its response."""
+        number = next(self.request_numbers)
         if not request.idempotency_key:
-            # With a key the serving node must know the whole body to tell a repetition from another
-            # request under the same key.
+            # With an idempotency key the serving node needs the whole body to tell a repeated
+            # request from a different one under the same key.
             body = body.for_peer()
         message = RequestMessage(
             id=number,
@@ -84,11 +84,11 @@
             idempotent=request.idempotent,
             remaining_ms=remaining_ms,
             depth=request.depth,
-            key=request.idempotency_key,
+            idempotency_key=request.idempotency_key,
             trace=request.trace,
             attempt=request.attempt,
             body=body.inline or b"",
-            more=body.inline is None,
+            has_body_chunks=body.inline is None,
             length=-1 if body.length is None else body.length,
             request_id=request.request_id,
             rank=request.rank,
@@ -97,89 +97,92 @@
             workspace=request.workspace or None,
         )
         frame = encode(message)
-        if self.closed:
+        if self.is_closed:
             raise NotRunError(
                 ErrorCode.PEER_LOST, "the connection was closed", step="peers.send", peer=self.peer
             )
         waiter = asyncio.get_running_loop().create_future()
-        pending = self.pending[number] = Pending(waiter, body)
+        pending = self.pending[number] = PendingRequest(waiter, body)
         try:
             await self.socket.send(frame)
             return await waiter
         except ConnectionClosed as error:
-            raise self.lost() from error
+            raise self.connection_lost_error() from error
         except asyncio.CancelledError:
-            self.forget(number)
-            self.cancel(number)
+            self.discard_request(number)
+            self.start_cancel(number)
             raise
         finally:
-            if pending.stream is None:
-                self.forget(number)
+            if pending.response_stream is None:
+                self.discard_request(number)
 
     async def ask(self, subject: str, body: dict[str, Any]) -> dict[str, Any]:
         """Send a question and wait for its reply."""
-        number = next(self.numbers)
-        waiter = self.questions[number] = asyncio.get_running_loop().create_future()
+        number = next(self.request_numbers)
+        waiter = self.pending_questions[number] = asyncio.get_running_loop().create_future()
         try:
             await self.socket.send(encode(QuestionMessage(number, subject, body)))
             return await waiter
         except ConnectionClosed as error:
-            raise self.lost() from error
+            raise self.connection_lost_error() from error
         finally:
-            self.questions.pop(number, None)
+            self.pending_questions.pop(number, None)
             if self.lane == CONTROL:
-                self.rest()
+                self.restart_idle_timer()
 
-    def rest(self) -> None:
-        """Close after ``LINGER_S`` without a question.
+    def restart_idle_timer(self) -> None:
+        """Close the link after ``QUESTION_IDLE_TIMEOUT_S`` without a question.
 
-        Questions go to peers chosen at random, so that kept connections would grow to one for each
-        other node, and their pings, from both ends, with them: 8% of a core among 790. They end
-        before their first ping; a question that follows at once still finds the connection.
+        Questions go to peers chosen at random. Persistent connections would accumulate to one per
+        other node, and their pings, from both ends, would take 8% of a core among 790 nodes. Links
+        are closed before their first ping; a question soon after another still reuses the
+        connection.
         """
-        if self.linger is not None:
-            self.linger.cancel()
-        self.linger = asyncio.get_running_loop().call_later(LINGER_S, self.end_unless_asked)
-
-    def end_unless_asked(self) -> None:
-        if not (self.closed or self.questions):
-            # At once: whoever asks from here on opens another connection.
-            self.closed = True
-            self.ending = asyncio.create_task(self.socket.close())
-
-    def forget(self, number: int) -> None:
-        """Drop a request, and stop sending its body."""
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+        self.idle_timer = asyncio.get_running_loop().call_later(
+            QUESTION_IDLE_TIMEOUT_S, self.close_if_idle
+        )
+
+    def close_if_idle(self) -> None:
+        if not (self.is_closed or self.pending_questions):
+            # Marked as closed at once, so that the next question opens another connection.
+            self.is_closed = True
+            self.close_task = asyncio.create_task(self.socket.close())
+
+    def discard_request(self, number: int) -> None:
+        """Remove a request, and stop sending its body."""
         pending = self.pending.pop(number, None)
-        if pending is not None and pending.sender is not None:
-            pending.sender.cancel()
+        if pending is not None and pending.body_sender is not None:
+            pending.body_sender.cancel()
 
-    def cancel(self, number: int) -> None:
-        """Tell the peer that nobody waits for this request, without waiting for it.
+    def start_cancel(self, number: int) -> None:
+        """Start to send a cancel for this request, without waiting until it is sent.
 
-        Where the peer takes nothing off the connection, sending waits. Whoever gives a request up
-        would then wait too: its caller would be told of the deadline, or given the answer of
-        another node, only when the connection is given up.
+        Sending blocks if the peer does not read from the connection. If cancelling waited for it,
+        the caller would get its deadline error, or the response of another node, only when the
+        connection times out.
         """
-        if not self.closed:
+        if not self.is_closed:
             task = asyncio.create_task(self.send_cancel(number))
-            self.cancels.add(task)
-            task.add_done_callback(self.cancels.discard)
+            self.cancel_tasks.add(task)
+            task.add_done_callback(self.cancel_tasks.discard)
 
     async def send_cancel(self, number: int) -> None:
         with contextlib.suppress(ConnectionClosed):
             await self.socket.send(encode(CancelMessage(number)))
 
-    def lost(self) -> UnknownOutcomeError:
-        """Return the error for requests that were on this connection when it broke."""
+    def connection_lost_error(self) -> UnknownOutcomeError:
+        """Return the error for requests whose connection broke."""
         return UnknownOutcomeError(
             ErrorCode.PEER_LOST, "the connection broke", step="peers.read", peer=self.peer
         )
 
     async def read(self) -> None:
-        """Hand each frame to whoever waits for it, until the connection ends."""
+        """Dispatch received messages until the connection is closed."""
         try:
             async for frame in self.socket:
-                self.take(decode(frame))  # type: ignore[arg-type]
+                self.handle_message(decode(frame))  # type: ignore[arg-type]
         except MarjoramtideError as error:
             log.warning(
                 "peers.bad_frame",
@@ -188,51 +191,52 @@
                 peer=self.peer,
                 reason=error.message,
             )
-            # Left open, it would stay with its peer's session until one of both ends.
+            # Otherwise the connection and the peer's session would stay until one of both nodes
+            # stops.
             self.socket.transport.abort()
         except ConnectionClosed:
             pass
         finally:
-            self.closed = True
+            self.is_closed = True
             for pending in list(self.pending.values()):
-                pending.fail(self.lost())
+                pending.fail(self.connection_lost_error())
             self.pending.clear()
-            for question in self.questions.values():
+            for question in self.pending_questions.values():
                 if not question.done():
-                    question.set_exception(self.lost())
+                    question.set_exception(self.connection_lost_error())
 
-    def take(self, message: Any) -> None:
-        """Act on one message of the peer."""
+    def handle_message(self, message: Any) -> None:
+        """Handle one message of the peer."""
         if isinstance(message, ReplyMessage):
-            self.take_reply(message)
+            self.handle_reply(message)
             return
         pending = self.pending.get(message.id)
         if pending is None:
             return
         match message:
-            case AnswerMessage():
-                self.take_answer(pending, message)
-            case AnswerChunk() if pending.stream is not None:
-                pending.stream.feed(message.data, message.last)
-                if message.last:
-                    self.forget(message.id)
+            case ResponseMessage():
+                self.handle_response(pending, message)
+            case ResponseChunk() if pending.response_stream is not None:
+                pending.response_stream.feed(message.data, message.is_last)
+                if message.is_last:
+                    self.discard_request(message.id)
             case FailureMessage():
-                pending.fail(failure_error(message, self.peer))
-                self.forget(message.id)
+                pending.fail(error_from_failure(message, self.peer))
+                self.discard_request(message.id)
             case ContinueMessage() if not pending.body.is_opened:
-                pending.sender = asyncio.create_task(self.send_body(message.id, pending))
+                pending.body_sender = asyncio.create_task(self.send_body(message.id, pending))
             case CreditMessage():
-                pending.window.credit(message.size)
+                pending.window.add_credit(message.size)
             case _:
                 raise MarjoramtideError(
                     ErrorCode.BAD_FRAME,
-                    f"{type(message).__name__} is out of place",
+                    f"unexpected {type(message).__name__}",
                     step="peers.read",
                     peer=self.peer,
                 )
 
-    def take_reply(self, message: ReplyMessage) -> None:
-        waiter = self.questions.get(message.id)
+    def handle_reply(self, message: ReplyMessage) -> None:
+        waiter = self.pending_questions.get(message.id)
         if waiter is None or waiter.done():
             return
         if message.code:
@@ -244,11 +248,11 @@
         else:
             waiter.set_result(message.body)
 
-    def take_answer(self, pending: Pending, message: AnswerMessage) -> None:
-        if pending.answer.done():
+    def handle_response(self, pending: PendingRequest, message: ResponseMessage) -> None:
+        if pending.response.done():
             return
         number = message.id
-        answer = Response(
+        response = Response(
             status=message.status,
             headers=unpack_headers(message.headers),
             body=message.body,
@@ -257,71 +261,71 @@
             served_ms=message.served_ms,
             work_ms=message.work_ms,
         )
-        if message.more:
-            pending.stream = ByteStream(lambda size: self.grant(number, size))
-            answer.stream = aiter(pending.stream)
-            answer.cancel = lambda: self.abandon(number)
-        pending.answer.set_result(answer)
-
-    async def grant(self, number: int, size: int) -> None:
-        if not self.closed:
+        if message.has_body_chunks:
+            pending.response_stream = ByteStream(lambda size: self.send_credit(number, size))
+            response.stream = aiter(pending.response_stream)
+            response.cancel = lambda: self.cancel_response(number)
+        pending.response.set_result(response)
+
+    async def send_credit(self, number: int, size: int) -> None:
+        if not self.is_closed:
             with contextlib.suppress(ConnectionClosed):
                 await self.socket.send(encode(CreditMessage(number, size)))
 
-    async def abandon(self, number: int) -> None:
+    async def cancel_response(self, number: int) -> None:
         if number in self.pending:
-            self.forget(number)
-            self.cancel(number)
+            self.discard_request(number)
+            self.start_cancel(number)
 
-    async def send_body(self, number: int, pending: Pending) -> None:
-        """Send the body of an admitted request."""
+    async def send_body(self, number: int, pending: PendingRequest) -> None:
+        """Send the body of an admitted request in chunks."""
 
-        async def send(data: bytes, last: bool) -> None:
-            await self.socket.send(encode(RequestChunk(number, data, last)))
+        async def send(data: bytes, is_last: bool) -> None:
+            await self.socket.send(encode(RequestChunk(number, data, is_last)))
 
         try:
             await pending.window.send_all(pending.body.open(), send)
         except ConnectionClosed:
             pass
         except Exception as error:
-            # The caller's body broke off: the peer must not take what it has for the whole.
-            pending.sender = None
+            # The caller's body ended early: the peer must not take the received part for the whole.
+            pending.body_sender = None
             pending.fail(
                 UnknownOutcomeError(
                     ErrorCode.TRUNCATED,
-                    f"the request's body broke off: {error}",
+                    f"the request body ended early: {error}",
                     step="peers.send_body",
                     peer=self.peer,
                 )
             )
-            self.forget(number)
-            self.cancel(number)
+            self.discard_request(number)
+            self.start_cancel(number)
 
     async def abort(self) -> None:
-        """End the connection without a word to the peer and fail whatever waits on it."""
-        self.closed = True
+        """Abort the connection without a closing handshake, and fail what waits on it."""
+        self.is_closed = True
         self.socket.transport.abort()
-        await asyncio.gather(self.reader, return_exceptions=True)
+        await asyncio.gather(self.reader_task, return_exceptions=True)
 
     async def close(self) -> None:
-        """Close the connection and fail whatever waits on it."""
-        self.closed = True
-        if self.linger is not None:
-            self.linger.cancel()
-        self.reader.cancel()
-        await asyncio.gather(self.reader, return_exceptions=True)
+        """Close the connection, and fail what waits on it."""
+        self.is_closed = True
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
+        self.reader_task.cancel()
+        await asyncio.gather(self.reader_task, return_exceptions=True)
         await self.socket.close()
 
 
 def goal_ms(request: Request, remaining_ms: float) -> float:
-    """Return what remains until the goal, in milliseconds; below 0 where there is none."""
+    """Return the time left until the request's goal in ms, below 0 if it has none."""
     if request.goal > request.deadline:
         return -1.0
     return max(0.0, remaining_ms - (request.deadline - request.goal) * 1000)
 
 
-def failure_error(message: FailureMessage, peer: str) -> RequestFailedError:
-    """Return the error that a peer's failure message stands for."""
+def error_from_failure(message: FailureMessage, peer: str) -> RequestFailedError:
+    """Return the exception for a peer's failure message."""
     cls = NotRunError if message.not_run else UnknownOutcomeError
     code = ErrorCode(message.code) if message.code in KNOWN_CODES else ErrorCode.INTERNAL
     return cls(
@@ -331,5 +335,5 @@
         peer=peer,
         retry_after_ms=message.retry_after_ms if message.retry_after_ms >= 0 else None,
         report=unpack_report(message.report),
-        reached_backend=message.reached,
+        reached_backend=message.reached_backend,
     )
--- a/src/marjoramtide/peers/_messages.py
+++ b/src/marjoramtide/peers/_messages.py
@@ -1,4 +1,4 @@
-"""The messages between nodes."""
+"""The messages between nodes. They are sent as lists: the order of the fields is fixed."""
 
 from typing import Any
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen(slots=True)
 class RequestMessage:
-    """A request; ``more`` tells that its body follows in chunks once it is admitted.
+    """A request; with ``has_body_chunks`` its body follows in chunks once it is admitted.
 
-    ``goal_ms`` is what remains until the answer is worth less, below 0 where that is not known.
-    ``statement`` is what the sender has heard of the backend server beside the receiver.
-    ``workspace`` is whom the request is for, ``None`` where that isn't known.
+    ``goal_ms`` is the time left until the response loses value, below 0 if unknown. ``statement``
+    is the latest statement that the sender has of the receiver's backend server. ``workspace`` is
+    the workspace that the request belongs to, ``None`` if unknown.
     """
 
     id: int
@@ -23,11 +23,11 @@
     idempotent: bool
     remaining_ms: float
     depth: int
-    key: str
+    idempotency_key: str
     trace: str
     attempt: int
     body: bytes
-    more: bool
+    has_body_chunks: bool
     length: int
     request_id: str = ""
     rank: int = 0
@@ -38,29 +38,29 @@
 
 @attrs.frozen(slots=True)
 class ContinueMessage:
-    """The request is admitted: send its body."""
+    """The request has been admitted, and its body may be sent."""
 
     id: int
 
 
 @attrs.frozen(slots=True)
 class RequestChunk:
-    """A piece of a request's body."""
+    """A chunk of a request body."""
 
     id: int
     data: bytes
-    last: bool
+    is_last: bool
 
 
 @attrs.frozen(slots=True)
-class AnswerMessage:
-    """An answer; ``more`` tells that its body follows in chunks."""
+class ResponseMessage:
+    """A response; with ``has_body_chunks`` its body follows in chunks."""
 
     id: int
     status: int
     headers: list[tuple[str, str]]
     body: bytes
-    more: bool
+    has_body_chunks: bool
     length: int
     report: list[Any] | None
     served_ms: float
@@ -68,19 +68,20 @@
 
 
 @attrs.frozen(slots=True)
-class AnswerChunk:
-    """A piece of an answer's body."""
+class ResponseChunk:
+    """A chunk of a response body."""
 
     id: int
     data: bytes
-    last: bool
+    is_last: bool
 
 
 @attrs.frozen(slots=True)
 class FailureMessage:
-    """No answer, or no rest of one; ``not_run`` tells that the request certainly did not run.
+    """There is no response, or the rest of its body is missing.
 
-    ``reached`` tells that the backend server was sent it all the same.
+    ``not_run`` says that the request certainly did not run, ``reached_backend`` that it was sent to
+    the backend server nevertheless.
     """
 
     id: int
@@ -89,19 +90,19 @@
     text: str
     retry_after_ms: int
     report: list[Any] | None
-    reached: bool = False
+    reached_backend: bool = False
 
 
 @attrs.frozen(slots=True)
 class CancelMessage:
-    """Nobody waits for this request any more."""
+    """The sender no longer waits for this request."""
 
     id: int
 
 
 @attrs.frozen(slots=True)
 class CreditMessage:
-    """The reader of a stream has taken this many bytes and has room for as many more."""
+    """Flow control: the consumer of a stream has read this many bytes, and accepts as many more."""
 
     id: int
     size: int
@@ -109,20 +110,20 @@
 
 @attrs.frozen(slots=True)
 class InFlightMessage:
-    """What the sender begins to run for its own callers, and which of these runs are over.
+    """Requests of the sender's own callers that it starts to run, and ones that have finished.
 
-    ``node`` is the sender, empty after the first message of a connection. ``begun`` holds a ticket
-    and a fingerprint for each run, ``ended`` tickets.
+    ``node`` is the sender, empty after the first message of a connection. ``started`` holds pairs
+    of a ticket and a fingerprint, ``finished`` tickets.
     """
 
     node: str
-    begun: list[Any]
-    ended: list[Any]
+    started: list[Any]
+    finished: list[Any]
 
 
 @attrs.frozen(slots=True)
 class QuestionMessage:
-    """A question of one node to another, beside callers' requests."""
+    """A control question from one node to another."""
 
     id: int
     subject: str
@@ -131,7 +132,7 @@
 
 @attrs.frozen(slots=True)
 class ReplyMessage:
-    """The answer to a question; ``code`` is empty unless it was refused."""
+    """The reply to a question; ``code`` is empty unless it is an error."""
 
     id: int
     body: dict[str, Any]
--- a/src/marjoramtide/peers/_peer_control.py
+++ b/src/marjoramtide/peers/_peer_control.py
@@ -1,4 +1,4 @@
-"""Questions between nodes over the peers' connections."""
+"""Control questions over the connections between nodes."""
 
 from typing import Any
 
@@ -9,7 +9,7 @@
 
 
 class PeerControlChannel(ControlChannel):
-    """Asks through the client's control lane, and answers what the server takes in."""
+    """Asks through the peer client and registers handlers at the peer server."""
 
     def __init__(self, client: PeerClient, server: PeerServer) -> None:
         self.client = client
--- a/src/marjoramtide/peers/_peer_sign.py
+++ b/src/marjoramtide/peers/_peer_sign.py
@@ -1,10 +1,10 @@
-"""What a new connection to a node tells of it."""
+"""The result of a probe of a node."""
 
 from enum import Enum
 
 
 class PeerProbeResult(Enum):
-    """Whether a node lives, as far as one attempt to connect shows."""
+    """Whether a node is alive, as far as one connection attempt shows."""
 
     ALIVE = "alive"
     REFUSED = "refused"
--- a/src/marjoramtide/peers/_pending.py
+++ b/src/marjoramtide/peers/_pending.py
@@ -1,4 +1,4 @@
-"""A request sent to a peer, while its answer is awaited."""
+"""A request that waits for the response of a peer."""
 
 import asyncio
 
@@ -10,21 +10,21 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Pending:
-    """What the connection's reader needs to hand an answer to whoever waits for it."""
+class PendingRequest:
+    """What the reader task needs to pass a response to the waiting request."""
 
-    answer: "asyncio.Future[Response]"
+    response: "asyncio.Future[Response]"
     body: RequestBody
     window: SendWindow = attrs.Factory(SendWindow)
-    stream: ByteStream | None = None
-    sender: "asyncio.Task[None] | None" = None
+    response_stream: ByteStream | None = None
+    body_sender: "asyncio.Task[None] | None" = None
 
     def fail(self, error: Exception) -> None:
-        """End the wait, or the stream of an answer that has begun, with an error."""
-        if not self.answer.done():
-            self.answer.set_exception(error)
-            self.answer.exception()  # the request may still wait to be sent, and fail by that
-        if self.stream is not None:
-            self.stream.fail(error)
-        if self.sender is not None:
-            self.sender.cancel()
+        """Fail the wait for the response, or its stream if the response has begun."""
+        if not self.response.done():
+            self.response.set_exception(error)
+            self.response.exception()  # marked as retrieved: sending may fail before it is awaited
+        if self.response_stream is not None:
+            self.response_stream.fail(error)
+        if self.body_sender is not None:
+            self.body_sender.cancel()
--- a/src/marjoramtide/peers/_run_link.py
+++ b/src/marjoramtide/peers/_run_link.py
@@ -1,4 +1,4 @@
-"""The teller's end of a connection by which a node tells of its runs."""
+"""The reporting side of a connection for requests in flight."""
 
 import asyncio
 from collections.abc import Mapping, Sequence
@@ -9,52 +9,55 @@
 from marjoramtide.peers._codec import encode
 from marjoramtide.peers._messages import InFlightMessage
 
-# Bytes that may wait to be sent. A witness that takes nothing must not hold up requests.
+# Unsent bytes above which the witness counts as stuck; it must not delay requests.
 MAX_UNSENT_BYTES = 16 * 1024
-# For the answer to a close, in seconds. A planned stop must not wait for a witness that is stopped.
-CLOSE_S = 0.2
+# The timeout of the closing handshake. A planned stop must not wait for a frozen witness.
+CLOSE_TIMEOUT_S = 0.2
 
 
 class InFlightLink:
-    """Tells one witness what this node runs; ``node`` is this node, told with the first message."""
+    """Reports this node's requests in flight to one witness.
+
+    ``node`` is this node; it is sent with the first message.
+    """
 
     def __init__(self, socket: ClientConnection, node: str) -> None:
         self.socket = socket
         self.node = node
-        self.sending: set[asyncio.Task[None]] = set()
+        self.send_tasks: set[asyncio.Task[None]] = set()
 
     @property
     def is_stuck(self) -> bool:
-        """Tell whether the witness takes nothing off the connection."""
+        """Tell whether the witness has stopped reading from the connection."""
         return self.socket.transport.get_write_buffer_size() > MAX_UNSENT_BYTES
 
-    async def tell(self, begun: Mapping[int, int], ended: Sequence[int]) -> None:
-        """Send runs that begin, by their tickets with their fingerprints, and tickets that end.
+    async def report(self, started: Mapping[int, int], finished: Sequence[int]) -> None:
+        """Report started requests, as fingerprints by ticket, and the tickets of finished ones.
 
-        Once this returns the process may end, and the witness gets them all the same. Where the
-        connection has broken nothing is raised: ``wait_closed`` returns.
+        Once this returns the witness receives them even if this process crashes. Nothing is raised
+        if the connection is broken: ``wait_closed`` returns then.
         """
-        message = InFlightMessage(self.node, [[*item] for item in begun.items()], list(ended))
+        message = InFlightMessage(self.node, [[*item] for item in started.items()], list(finished))
         self.node = ""
         try:
             await self.socket.send(encode(message))
         except ConnectionClosed:
             return
 
-    def tell_later(self, ended: Sequence[int]) -> None:
-        """Send tickets that end, without waiting for it."""
-        task = asyncio.create_task(self.tell({}, ended))
-        self.sending.add(task)
-        task.add_done_callback(self.sending.discard)
+    def report_later(self, finished: Sequence[int]) -> None:
+        """Report finished requests without waiting until they are sent."""
+        task = asyncio.create_task(self.report({}, finished))
+        self.send_tasks.add(task)
+        task.add_done_callback(self.send_tasks.discard)
 
     async def wait_closed(self) -> None:
-        """Return when the connection has ended."""
+        """Wait until the connection is closed."""
         await self.socket.wait_closed()
 
     async def close(self) -> None:
-        """Close the connection as agreed, so that the witness blames nothing for it."""
+        """Close with a closing handshake, so that the witness does not report a crash."""
         try:
-            async with asyncio.timeout(CLOSE_S):
+            async with asyncio.timeout(CLOSE_TIMEOUT_S):
                 await self.socket.close()
         except TimeoutError:
             self.socket.transport.abort()
--- a/src/marjoramtide/peers/_run_listener.py
+++ b/src/marjoramtide/peers/_run_listener.py
@@ -1,4 +1,4 @@
-"""Who is told what other nodes run for their own callers."""
+"""The interface to what is notified of nodes that were lost with requests in flight."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
@@ -7,8 +7,8 @@
 
 
 class InFlightListener(ABC):
-    """Takes in what became of the connections by which nodes tell of their runs."""
+    """Notified when a connection breaks over which a node reported its requests in flight."""
 
     @abstractmethod
-    def on_reporter_lost(self, node: str, runs: Sequence[ReportedRequest]) -> None:
-        """Note that such a connection broke, and what its node was running then."""
+    def on_reporter_lost(self, node: str, requests: Sequence[ReportedRequest]) -> None:
+        """Handle the loss of such a connection; ``requests`` are those in flight at the node."""
--- a/src/marjoramtide/peers/_run_session.py
+++ b/src/marjoramtide/peers/_run_session.py
@@ -1,4 +1,4 @@
-"""The witness's end of a connection by which a node tells of its runs."""
+"""The witness's side of a connection for requests in flight."""
 
 import structlog
 from websockets.asyncio.server import ServerConnection
@@ -14,16 +14,16 @@
 
 log = structlog.get_logger()
 
-# Runs that are kept of one node: more than a backend server runs at once, its queue included.
-MAX_RUNS = 4096
+# The maximum for one node; more than a backend server runs at once, with its queue.
+MAX_REQUESTS = 4096
 
 
-class RunSession:
-    """Keeps what one node tells of its runs, and says what was left when its connection broke.
+class InFlightSession:
+    """Tracks the requests in flight at one node, and reports them if its connection breaks.
 
-    What a process has written before it is killed arrives all the same, and its connections break
-    at that moment. A connection that is closed as agreed says that its node lives, or has stopped
-    as planned.
+    What a process has written before it is killed is still received, and its connections break at
+    that moment. A connection closed with a closing handshake means that the node is alive, or has
+    stopped as planned.
     """
 
     def __init__(
@@ -34,16 +34,16 @@
         self.listener = listener
         self.clock = clock
         self.node = ""
-        self.runs: dict[int, ReportedRequest] = {}
+        self.requests: dict[int, ReportedRequest] = {}
 
     async def run(self) -> None:
-        """Read what the node tells until the connection ends."""
+        """Read reports until the connection is closed."""
         try:
             async for frame in self.socket:
-                self.take(decode(frame))  # type: ignore[arg-type]
+                self.handle_message(decode(frame))  # type: ignore[arg-type]
         except ConnectionClosedError:
-            if self.runs:
-                self.listener.on_reporter_lost(self.node, list(self.runs.values()))
+            if self.requests:
+                self.listener.on_reporter_lost(self.node, list(self.requests.values()))
         except ConnectionClosed:
             pass
         except MarjoramtideError as error:
@@ -56,25 +56,27 @@
             )
             await self.socket.close(1002, "bad frame")
 
-    def take(self, message: object) -> None:
-        """Take in one message; raises ``bad-frame`` for anything but runs."""
+    def handle_message(self, message: object) -> None:
+        """Handle one report; raises ``bad-frame`` for any other message."""
         message = validate_in_flight_message(message)
         self.node = self.node or message.node
-        for ticket in message.ended:
-            self.runs.pop(ticket, None)
+        for ticket in message.finished:
+            self.requests.pop(ticket, None)
         now = self.clock.monotonic()
-        for ticket, fingerprint in message.begun:
-            if len(self.runs) < MAX_RUNS:
-                self.runs[ticket] = ReportedRequest(fingerprint, now)
+        for ticket, fingerprint in message.started:
+            if len(self.requests) < MAX_REQUESTS:
+                self.requests[ticket] = ReportedRequest(fingerprint, now)
 
 
 def validate_in_flight_message(message: object) -> InFlightMessage:
-    """Return a message of tickets and fingerprints; raises ``bad-frame`` for anything else."""
+    """Return a well-formed report of requests in flight; raises ``bad-frame`` for anything else."""
     if isinstance(message, InFlightMessage):
-        is_sound = all(map(is_number, message.ended)) and all(
-            isinstance(run, list) and len(run) == 2 and all(map(is_number, run))
-            for run in message.begun
+        is_sound = all(map(is_number, message.finished)) and all(
+            isinstance(entry, list) and len(entry) == 2 and all(map(is_number, entry))
+            for entry in message.started
         )
         if is_sound:
             return message
-    raise MarjoramtideError(ErrorCode.BAD_FRAME, "no message of runs", step="peers.runs")
+    raise MarjoramtideError(
+        ErrorCode.BAD_FRAME, "not a report of requests in flight", step="peers.runs"
+    )
--- a/src/marjoramtide/peers/_send_window.py
+++ b/src/marjoramtide/peers/_send_window.py
@@ -1,4 +1,4 @@
-"""How much of a stream may still be sent before the reader has taken some."""
+"""Credit-based flow control for sending a stream."""
 
 import asyncio
 from collections.abc import AsyncIterator, Awaitable, Callable
@@ -8,34 +8,34 @@
 
 
 class SendWindow:
-    """Flow control for one stream, on the sending side."""
+    """The flow-control window of one stream, on the sending side."""
 
     def __init__(self) -> None:
-        self.room = WINDOW_BYTES
-        self.changed = asyncio.Event()
+        self.available_bytes = WINDOW_BYTES
+        self.credit_added = asyncio.Event()
 
-    def credit(self, size: int) -> None:
-        """Note that the reader has taken ``size`` bytes; raises ``bad-frame`` for more than sent.
+    def add_credit(self, size: int) -> None:
+        """Add ``size`` bytes of credit; raises ``bad-frame`` if it exceeds what was sent.
 
-        A credit beyond that would lift the bound on what waits here for a slow reader.
+        Excess credit would lift the bound on what is buffered here for a slow reader.
         """
-        if not 0 < size <= WINDOW_BYTES - self.room:
+        if not 0 < size <= WINDOW_BYTES - self.available_bytes:
             raise MarjoramtideError(
-                ErrorCode.BAD_FRAME, f"a credit of {size} bytes", step="peers.stream"
+                ErrorCode.BAD_FRAME, f"invalid credit of {size} bytes", step="peers.stream"
             )
-        self.room += size
-        self.changed.set()
+        self.available_bytes += size
+        self.credit_added.set()
 
     async def send_all(
         self, chunks: AsyncIterator[bytes], send: Callable[[bytes, bool], Awaitable[None]]
     ) -> None:
-        """Send every chunk within the window, then an empty last one."""
+        """Send all chunks within the window, then an empty last one."""
         async for data in chunks:
             for start in range(0, len(data), CHUNK_BYTES):
                 piece = data[start : start + CHUNK_BYTES]
-                while self.room < len(piece):
-                    self.changed.clear()
-                    await self.changed.wait()
-                self.room -= len(piece)
+                while self.available_bytes < len(piece):
+                    self.credit_added.clear()
+                    await self.credit_added.wait()
+                self.available_bytes -= len(piece)
                 await send(piece, False)
         await send(b"", True)
--- a/src/marjoramtide/peers/_server.py
+++ b/src/marjoramtide/peers/_server.py
@@ -1,4 +1,4 @@
-"""The port on which peers reach this node."""
+"""The server for connections of other nodes."""
 
 import asyncio
 import logging
@@ -11,41 +11,41 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.exchange import RequestHandler
 from marjoramtide.peers._handshake import HANDSHAKE_TIMEOUT_S, open_as_server
-from marjoramtide.peers._lanes import RUNS
+from marjoramtide.peers._lanes import IN_FLIGHT
 from marjoramtide.peers._limits import (
     CLOSE_TIMEOUT_S,
     MAX_HANDSHAKE_BYTES,
     PING_INTERVAL_S,
     PING_TIMEOUT_S,
 )
-from marjoramtide.peers._peer_connection import PeerConnection
 from marjoramtide.peers._run_listener import InFlightListener
-from marjoramtide.peers._run_session import RunSession
+from marjoramtide.peers._run_session import InFlightSession
+from marjoramtide.peers._server_connection import PeerServerConnection
 from marjoramtide.peers._session import QuestionHandler, Session
 from marjoramtide.sockets import notice_silence
 
 log = structlog.get_logger()
 
-# At its lower levels the library tells of each connection.
+# The library logs each connection at lower levels.
 library_log = logging.getLogger("marjoramtide.peers.websockets")
 library_log.setLevel(logging.ERROR)
 
 
 class PeerServer:
-    """Accepts connections of nodes that hold the fleet's key."""
+    """Accepts connections from nodes that prove knowledge of the fleet's key."""
 
-    def __init__(self, key: str, clock: Clock, freeze: FreezeDetector) -> None:
+    def __init__(self, key: str, clock: Clock, freeze_detector: FreezeDetector) -> None:
         self.key = key
         self.handler: RequestHandler | None = None
         self.in_flight_listener: InFlightListener | None = None
         self.clock = clock
-        self.freeze = freeze
+        self.freeze_detector = freeze_detector
         self.questions: dict[str, QuestionHandler] = {}
         self.sessions: set[Session] = set()
         self.server: Server | None = None
 
     async def start(self, host: str, port: int) -> None:
-        """Listen on the peers' address."""
+        """Listen on the peer address."""
         self.server = await serve(
             self.accept,
             host,
@@ -57,12 +57,12 @@
             close_timeout=CLOSE_TIMEOUT_S,
             server_header=None,
             logger=library_log,
-            create_connection=PeerConnection,
+            create_connection=PeerServerConnection,
             open_timeout=HANDSHAKE_TIMEOUT_S,
         )
 
     async def accept(self, socket: ServerConnection) -> None:
-        """Serve one connection after its handshake."""
+        """Authenticate one connection, then serve it."""
         peer = "{}:{}".format(*socket.remote_address[:2])
         notice_silence(socket.transport.get_extra_info("socket"))
         try:
@@ -72,18 +72,20 @@
             await self.refuse(socket, error)
             return
         except (TimeoutError, ConnectionClosed) as error:
-            reason = f"no handshake: {type(error).__name__}"
+            reason = f"handshake failed: {type(error).__name__}"
             await self.refuse(
                 socket,
                 MarjoramtideError(ErrorCode.BAD_KEY, reason, step="peers.handshake", peer=peer),
             )
             return
-        if lane == RUNS:
+        if lane == IN_FLIGHT:
             assert self.in_flight_listener is not None
-            await RunSession(socket, peer, self.in_flight_listener, self.clock).run()
+            await InFlightSession(socket, peer, self.in_flight_listener, self.clock).run()
             return
         assert self.handler is not None
-        session = Session(socket, peer, self.handler, self.questions, self.clock, self.freeze)
+        session = Session(
+            socket, peer, self.handler, self.questions, self.clock, self.freeze_detector
+        )
         self.sessions.add(session)
         try:
             await session.run()
@@ -91,7 +93,7 @@
             self.sessions.discard(session)
 
     async def refuse(self, socket: ServerConnection, error: MarjoramtideError) -> None:
-        """Close a connection that did not prove the key."""
+        """Close a connection that was not authenticated."""
         log.warning(
             "peers.refused",
             code=error.code,
@@ -102,7 +104,7 @@
         await socket.close(1008, "refused")
 
     async def wait_drained(self) -> None:
-        """Wait until no request of a peer is in progress, its answer's last byte included."""
+        """Wait until no peer's request is in progress, including the last byte of its response."""
         for session in list(self.sessions):
             await session.idle.wait()
 
--- a/src/marjoramtide/peers/_peer_connection.py
+++ b/src/marjoramtide/peers/_server_connection.py
@@ -1,4 +1,4 @@
-"""The server's end of a connection before anything is known of the other end."""
+"""The websocket connection class of the server side."""
 
 from typing import Any
 
@@ -13,8 +13,8 @@
 MAX_REASON_CHARACTERS = 200
 
 
-class PeerConnection(StallGuard, ServerConnection):
-    """The library's connection, which tells in our log whom it turned away, and why."""
+class PeerServerConnection(StallGuard, ServerConnection):
+    """A server connection that logs clients whose websocket handshake failed, and why."""
 
     async def handshake(self, *args: Any, **kwargs: Any) -> None:
         try:
--- a/src/marjoramtide/peers/_session.py
+++ b/src/marjoramtide/peers/_session.py
@@ -1,4 +1,4 @@
-"""The server's end of one connection."""
+"""The server side of one connection."""
 
 import asyncio
 import contextlib
@@ -33,10 +33,8 @@
     unpack_headers,
     unpack_statement,
 )
-from marjoramtide.peers._limits import MAX_OPEN_PER_SESSION
+from marjoramtide.peers._limits import MAX_CONCURRENT_PER_SESSION
 from marjoramtide.peers._messages import (
-    AnswerChunk,
-    AnswerMessage,
     CancelMessage,
     ContinueMessage,
     CreditMessage,
@@ -45,13 +43,15 @@
     ReplyMessage,
     RequestChunk,
     RequestMessage,
+    ResponseChunk,
+    ResponseMessage,
 )
 from marjoramtide.peers._send_window import SendWindow
 
 log = structlog.get_logger()
 
-# What the library closes with when it can't read a frame: protocol error, no UTF-8, too large.
-BAD_FRAME_CLOSES = frozenset((1002, 1007, 1009))
+# The library's close codes for frames it can't read: protocol error, invalid UTF-8, too large.
+BAD_FRAME_CLOSE_CODES = frozenset((1002, 1007, 1009))
 
 METHOD = re.compile(r"[A-Z-]{1,20}")
 
@@ -59,19 +59,19 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Served:
-    """A request of the peer that is being served; ``invited`` once its body was asked for."""
+class ServedRequest:
+    """A request in progress; ``body_requested`` once the peer was asked for the body."""
 
     body: ByteStream
     headers: tuple[tuple[str, str], ...]
-    invited: bool = False
+    body_requested: bool = False
     deadline: float = 0.0
     window: SendWindow = attrs.Factory(SendWindow)
     task: "asyncio.Task[None] | None" = None
 
 
 class Session:
-    """Serves what one peer sends on one connection; the connection's task owns the socket."""
+    """Serves the requests and questions of one connection; the task in ``run`` owns the socket."""
 
     def __init__(
         self,
@@ -80,27 +80,27 @@
         handler: RequestHandler,
         questions: Mapping[str, QuestionHandler],
         clock: Clock,
-        freeze: FreezeDetector,
+        freeze_detector: FreezeDetector,
     ) -> None:
         self.socket = socket
         self.peer = peer
         self.handler = handler
         self.questions = questions
         self.clock = clock
-        self.freeze = freeze
-        self.served: dict[int, Served] = {}
+        self.freeze_detector = freeze_detector
+        self.requests: dict[int, ServedRequest] = {}
         self.idle = asyncio.Event()
         self.idle.set()
         self.tasks: set[asyncio.Task[None]] = set()
 
     async def run(self) -> None:
-        """Read frames until the connection ends."""
+        """Handle frames until the connection is closed."""
         try:
             async for frame in self.socket:
-                self.take(decode(frame))  # type: ignore[arg-type]
+                self.handle_message(decode(frame))  # type: ignore[arg-type]
         except ConnectionClosed as error:
-            if error.sent is not None and error.sent.code in BAD_FRAME_CLOSES:
-                self.log_bad_frame(self.bad_frame(error.sent.reason or str(error)))
+            if error.sent is not None and error.sent.code in BAD_FRAME_CLOSE_CODES:
+                self.log_bad_frame(self.bad_frame_error(error.sent.reason or str(error)))
         except MarjoramtideError as error:
             self.log_bad_frame(error)
             await self.socket.close(1002, "bad frame")
@@ -117,99 +117,104 @@
             reason=error.message,
         )
 
-    def take(self, message: Any) -> None:
+    def handle_message(self, message: Any) -> None:
         match message:
             case RequestMessage():
-                self.take_request(message)
-            case QuestionMessage() if len(self.tasks) < MAX_OPEN_PER_SESSION:
-                self.start(self.reply(message))
+                self.start_request(message)
+            case QuestionMessage() if len(self.tasks) < MAX_CONCURRENT_PER_SESSION:
+                self.start_task(self.reply(message))
             case QuestionMessage():
-                raise self.bad_frame("too many questions are open")
+                raise self.bad_frame_error("too many open questions")
             case _:
-                served = self.served.get(message.id)
+                served = self.requests.get(message.id)
                 if served is not None:
-                    self.take_for(served, message)
+                    self.handle_request_message(served, message)
 
-    def take_for(self, served: Served, message: Any) -> None:
+    def handle_request_message(self, served: ServedRequest, message: Any) -> None:
         match message:
-            case RequestChunk() if served.invited:
-                served.body.feed(message.data, message.last)
+            case RequestChunk() if served.body_requested:
+                served.body.feed(message.data, message.is_last)
             case CreditMessage():
-                served.window.credit(message.size)
+                served.window.add_credit(message.size)
             case CancelMessage():
                 if served.task is not None:
                     served.task.cancel()
             case _:
-                raise self.bad_frame(f"{type(message).__name__} is out of place")
+                raise self.bad_frame_error(f"unexpected {type(message).__name__}")
 
-    def bad_frame(self, reason: str) -> MarjoramtideError:
+    def bad_frame_error(self, reason: str) -> MarjoramtideError:
         return MarjoramtideError(ErrorCode.BAD_FRAME, reason, step="peers.session", peer=self.peer)
 
-    def take_request(self, message: RequestMessage) -> None:
+    def start_request(self, message: RequestMessage) -> None:
         number = message.id
-        if number in self.served or len(self.served) >= MAX_OPEN_PER_SESSION:
-            raise self.bad_frame("a request number is used twice, or too many are open")
+        if number in self.requests or len(self.requests) >= MAX_CONCURRENT_PER_SESSION:
+            raise self.bad_frame_error("duplicate request number, or too many open requests")
         if not is_origin_form(message.target):
-            # It is put behind the backend server's address: "@other:80/" would lead elsewhere.
-            raise self.bad_frame("a request target that is no path")
+            # It is appended to the backend server's address: "@other:80/" would change the host.
+            raise self.bad_frame_error("the request target is not a path")
         if not METHOD.fullmatch(message.method):
-            raise self.bad_frame("a method that is none")
+            raise self.bad_frame_error("malformed method")
         if not 0 <= message.remaining_ms < math.inf:
-            raise self.bad_frame(f"a deadline in {message.remaining_ms} ms")
+            raise self.bad_frame_error(f"invalid time to the deadline: {message.remaining_ms} ms")
         headers = unpack_headers(message.headers)
-        body = ByteStream(lambda size: self.grant(number, size))
+        body = ByteStream(lambda size: self.send_credit(number, size))
         self.idle.clear()
-        served = self.served[number] = Served(body, headers)
-        served.task = self.start(self.serve(message, served))
-        # Not in the task itself: one that is cancelled before its first turn, as where a request
-        # and its cancel were read in one go after a stop of this process, runs none of its own
-        # cleanup. The request would count as in progress until the connection ends, and a planned
-        # stop would wait for it until it cuts off others. A task's end always calls this.
-        served.task.add_done_callback(lambda _: self.ended(number, served))
+        served = self.requests[number] = ServedRequest(body, headers)
+        served.task = self.start_task(self.serve_request(message, served))
+        # A callback, because a task that is cancelled before its first step runs none of its own
+        # cleanup. That happens if this process was frozen, and a request and its cancel are read
+        # together. The request would count as in progress until the connection is closed, and a
+        # planned stop would wait for it until its grace period is over.
+        served.task.add_done_callback(lambda _: self.request_ended(number, served))
 
-    def ended(self, number: int, served: Served) -> None:
-        """Forget a request whose task has ended, whichever way."""
-        # A booking goes on without its caller, but the rest of its body will not come: left
-        # waiting for it, it would hold a slot of the backend server until its deadline.
+    def request_ended(self, number: int, served: ServedRequest) -> None:
+        """Remove a request whose task has ended in any way."""
+        # A booking continues without its caller, but the rest of its body will not arrive. Waiting
+        # for it would hold a slot of the backend server until the deadline.
         served.body.fail(
             UnknownOutcomeError(
-                ErrorCode.TRUNCATED, "the body broke off", step="peers.serve", peer=self.peer
+                ErrorCode.TRUNCATED,
+                "the request body ended early",
+                step="peers.serve",
+                peer=self.peer,
             )
         )
-        self.served.pop(number, None)
-        if not self.served:
+        self.requests.pop(number, None)
+        if not self.requests:
             self.idle.set()
 
-    def start(self, work: Any) -> "asyncio.Task[None]":
+    def start_task(self, work: Any) -> "asyncio.Task[None]":
         task: asyncio.Task[None] = asyncio.create_task(work)
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
         return task
 
-    async def serve(self, message: RequestMessage, served: Served) -> None:
-        """Serve one request and send its answer, or why there is none."""
+    async def serve_request(self, message: RequestMessage, served: ServedRequest) -> None:
+        """Serve one request and send its response or failure."""
         try:
-            answer = await self.handle(message, served)
-            await self.send_answer(message.id, answer, served)
+            response = await self.call_handler(message, served)
+            await self.send_response(message.id, response, served)
         except NotRunError as error:
-            await self.fail(message.id, error, not_run=True)
+            await self.send_failure(message.id, error, not_run=True)
         except UnknownOutcomeError as error:
-            await self.fail(message.id, error, not_run=False)
+            await self.send_failure(message.id, error, not_run=False)
         except ConnectionClosed:
             pass
         except Exception as error:
             log.exception("peers.serve_failed", code=ErrorCode.INTERNAL, peer=self.peer)
             failure = UnknownOutcomeError(ErrorCode.INTERNAL, str(error), step="peers.serve")
-            await self.fail(message.id, failure, not_run=False)
+            await self.send_failure(message.id, failure, not_run=False)
 
-    async def handle(self, message: RequestMessage, served: Served) -> Response:
+    async def call_handler(self, message: RequestMessage, served: ServedRequest) -> Response:
         now = self.clock.monotonic()
-        if self.freeze.was_frozen(now):
-            # Frames that waited in the socket while this process was stopped carry deadlines that
-            # have passed in the world outside. Running them now would do work, or book a booking,
-            # that the caller was told is lost. They have not begun, so "not run" is true.
+        if self.freeze_detector.was_frozen(now):
+            # Frames that waited in the socket while this process was frozen have deadlines that
+            # have passed in real time. Running them would waste work, or make a booking that the
+            # caller was told is lost. They have not started, so "not run" is true.
             raise NotRunError(
-                ErrorCode.DEADLINE, "the node was stopped meanwhile", step="peers.serve"
+                ErrorCode.DEADLINE,
+                "the node was frozen before it read the request",
+                step="peers.serve",
             )
         served.deadline = now + message.remaining_ms / 1000
         request = Request(
@@ -221,7 +226,7 @@
             idempotent=message.idempotent,
             deadline=served.deadline,
             depth=message.depth,
-            idempotency_key=message.key,
+            idempotency_key=message.idempotency_key,
             trace=message.trace,
             attempt=message.attempt,
             request_id=message.request_id,
@@ -231,52 +236,54 @@
             statement=unpack_statement(message.statement),
             workspace=message.workspace or "",
         )
-        if not message.more:
+        if not message.has_body_chunks:
             return await self.handler.handle(request, inline_body(message.body))
         length = None if message.length < 0 else message.length
-        chunks = self.body_chunks(message.id, served)
+        chunks = self.request_chunks(message.id, served)
         return await self.handler.handle(request, stream_body(chunks, length))
 
-    async def body_chunks(self, number: int, served: Served) -> Any:
-        """Ask for the body when the backend server is ready to take it."""
-        served.invited = True
+    async def request_chunks(self, number: int, served: ServedRequest) -> Any:
+        """Yield the body; it is requested from the peer once the backend server is ready for it."""
+        served.body_requested = True
         await self.send(ContinueMessage(number))
         async for data in served.body:
             yield data
 
-    async def send_answer(self, number: int, answer: Response, served: Served) -> None:
-        message = AnswerMessage(
+    async def send_response(self, number: int, response: Response, served: ServedRequest) -> None:
+        message = ResponseMessage(
             id=number,
-            status=answer.status,
-            headers=list(answer.headers),
-            body=answer.body,
-            more=answer.stream is not None,
-            length=-1 if answer.length is None else answer.length,
-            report=pack_report(answer.report),
-            served_ms=answer.served_ms or 0.0,
-            work_ms=answer.work_ms,
+            status=response.status,
+            headers=list(response.headers),
+            body=response.body,
+            has_body_chunks=response.stream is not None,
+            length=-1 if response.length is None else response.length,
+            report=pack_report(response.report),
+            served_ms=response.served_ms or 0.0,
+            work_ms=response.work_ms,
         )
 
-        async def send(data: bytes, last: bool) -> None:
-            await self.send(AnswerChunk(number, data, last))
+        async def send(data: bytes, is_last: bool) -> None:
+            await self.send(ResponseChunk(number, data, is_last))
 
         try:
             await self.send(message)
-            if answer.stream is not None:
-                # A caller that stops reading gives no credit: without an end of its own the wait
-                # for it would hold a slot of the backend server for ever.
+            if response.stream is not None:
+                # A caller that stops reading sends no credit. Without a timeout the response would
+                # occupy a slot of the backend server forever.
                 remaining = served.deadline - self.clock.monotonic()
                 async with asyncio.timeout(max(0.0, remaining)):
-                    await served.window.send_all(answer.stream, send)
-                answer.cancel = None
+                    await served.window.send_all(response.stream, send)
+                response.cancel = None
         except TimeoutError as error:
             raise UnknownOutcomeError(
-                ErrorCode.DEADLINE, "the deadline passed amid the answer", step="peers.answer"
+                ErrorCode.DEADLINE,
+                "the deadline passed before the whole response was sent",
+                step="peers.answer",
             ) from error
         finally:
-            await answer.close()
+            await response.close()
 
-    async def fail(self, number: int, error: RequestFailedError, *, not_run: bool) -> None:
+    async def send_failure(self, number: int, error: RequestFailedError, *, not_run: bool) -> None:
         retry_after_ms = -1 if error.retry_after_ms is None else error.retry_after_ms
         report = pack_report(error.report)
         message = FailureMessage(
@@ -292,12 +299,14 @@
             await self.send(message)
 
     async def reply(self, message: QuestionMessage) -> None:
-        """Answer one question."""
+        """Answer one question, with an error if its handler raises."""
         handler = self.questions.get(message.subject)
         try:
             if handler is None:
                 raise MarjoramtideError(
-                    ErrorCode.NOT_FOUND, f"no subject {message.subject!r}", step="peers.reply"
+                    ErrorCode.NOT_FOUND,
+                    f"no handler for subject {message.subject!r}",
+                    step="peers.reply",
                 )
             reply = ReplyMessage(message.id, await handler(message.body), "", "")
         except MarjoramtideError as error:
@@ -308,7 +317,7 @@
         with contextlib.suppress(ConnectionClosed):
             await self.send(reply)
 
-    async def grant(self, number: int, size: int) -> None:
+    async def send_credit(self, number: int, size: int) -> None:
         await self.send(CreditMessage(number, size))
 
     async def send(self, message: Any) -> None:
--- a/src/marjoramtide/peers/_told_run.py
+++ b/src/marjoramtide/peers/_told_run.py
@@ -1,4 +1,4 @@
-"""A run that another node has told of."""
+"""A request in flight that another node has reported."""
 
 import attrs
 
@@ -7,9 +7,9 @@
 class ReportedRequest:
     """A request that another node runs for one of its own callers.
 
-    ``fingerprint`` tells whether it is the same as another one; ``heard_at`` is in seconds of this
-    node's monotonic clock.
+    ``fingerprint`` identifies equal requests; ``reported_at`` is a point of this node's monotonic
+    clock, in seconds.
     """
 
     fingerprint: int
-    heard_at: float
+    reported_at: float
--- a/src/marjoramtide/witness/__init__.py
+++ b/src/marjoramtide/witness/__init__.py
@@ -1,4 +1,4 @@
-"""What a node runs for its own callers is known to another node, should it end by that."""
+"""Nodes report their requests in flight to a witness, another node, in case they crash."""
 
 from marjoramtide.witness._run_teller import WitnessReporter
 from marjoramtide.witness._run_witness import CrashWitness
--- a/src/marjoramtide/witness/_run_teller.py
+++ b/src/marjoramtide/witness/_run_teller.py
@@ -1,4 +1,4 @@
-"""Telling another node what this one runs for its own callers."""
+"""Reports this node's requests in flight to another node."""
 
 import asyncio
 import random
@@ -15,81 +15,85 @@
 
 log = structlog.get_logger()
 
-# For how long the ends of runs are gathered where no other run begins, in seconds. Until the
-# witness hears of its end, a run passes for one that its node may have ended by.
-GATHER_S = 0.1
-# Between two attempts to find a witness, in seconds: the first pause and the longest.
-PAUSE_S = 0.1
-LONGEST_PAUSE_S = 5.0
+# How long finished requests are collected if no other request starts. Until the witness gets the
+# report, a finished request still counts as one that may crash its node.
+BATCH_S = 0.1
+# The first and the longest pause between attempts to connect to a witness.
+MIN_RETRY_S = 0.1
+MAX_RETRY_S = 5.0
 
 
 class WitnessReporter(InFlightReporter):
-    """Has one other node, the witness, know what this one runs for its own callers.
+    """Reports the requests of this node's own callers to one other node, its witness.
 
-    Runs that were sent here by another node are known to that one. Of the others only those are
-    told that ``is_sound`` does not vouch for, before they begin: should this process end by one of
-    them, the witness sees its connection break and speaks for it. The witness is in the own data
-    centre where one is there, and another one is chosen when its connection ends. A node that is
-    alone has none, and serves all the same.
+    Requests sent by another node are known to that node. Of the others, only those that
+    ``is_known_safe`` is false for are reported, before they start: if one of them crashes this
+    process, the witness sees the connection break and reports the crash. The witness is in the same
+    data centre if possible, and is replaced when its connection is closed. A node without other
+    nodes has no witness, and serves requests nevertheless.
     """
 
     def __init__(
         self,
         directory: Directory,
         peers: PeerClient,
-        is_sound: Callable[[int], bool],
+        is_known_safe: Callable[[int], bool],
         clock: Clock,
         rng: random.Random,
         metrics: Metrics,
     ) -> None:
         self.directory = directory
         self.peers = peers
-        self.is_sound = is_sound
+        self.is_known_safe = is_known_safe
         self.clock = clock
         self.rng = rng
         self.metrics = metrics
-        self.open: dict[int, int] = {}
-        self.ended: list[int] = []
+        self.in_flight: dict[int, int] = {}
+        self.finished: list[int] = []
         self.link: InFlightLink | None = None
-        self.last = ""
-        self.timer: asyncio.TimerHandle | None = None
+        self.last_witness = ""
+        self.report_timer: asyncio.TimerHandle | None = None
 
     async def request_started(self, ticket: int, fingerprint: int) -> None:
-        if self.is_sound(fingerprint):
+        if self.is_known_safe(fingerprint):
             return
-        self.open[ticket] = fingerprint
+        self.in_flight[ticket] = fingerprint
         if self.link is None or self.link.is_stuck:
             self.metrics.count("witness.untold")
             return
         self.metrics.count("witness.told")
-        await self.link.tell({ticket: fingerprint}, self._take_ended())
+        await self.link.report({ticket: fingerprint}, self._take_finished())
 
     def request_finished(self, ticket: int) -> None:
-        if self.open.pop(ticket, None) is None or self.link is None:
+        if self.in_flight.pop(ticket, None) is None or self.link is None:
             return
-        self.ended.append(ticket)
-        if self.timer is None:
-            self.timer = asyncio.get_running_loop().call_later(GATHER_S, self._tell_ended)
+        self.finished.append(ticket)
+        if self.report_timer is None:
+            self.report_timer = asyncio.get_running_loop().call_later(
+                BATCH_S, self._report_finished
+            )
 
     async def run(self) -> None:
-        """Keep a witness, until cancelled."""
-        pause_s = PAUSE_S
+        """Stay connected to a witness, until cancelled."""
+        retry_s = MIN_RETRY_S
         while True:
-            member = self._choose()
-            if member is not None and await self._tell_through(member):
-                pause_s = PAUSE_S
+            member = self._choose_witness()
+            if member is not None and await self._report_to(member):
+                retry_s = MIN_RETRY_S
                 continue
-            await self.clock.sleep(pause_s)
-            pause_s = min(LONGEST_PAUSE_S, pause_s * 2)
+            await self.clock.sleep(retry_s)
+            retry_s = min(MAX_RETRY_S, retry_s * 2)
 
-    async def _tell_through(self, member: Member) -> bool:
-        """Tell one witness all that runs now and from now on, until its connection ends.
+    async def _report_to(self, member: Member) -> bool:
+        """Report all requests in flight to one witness, until its connection is closed.
 
-        Returns whether there was one.
+        Returns whether the connection could be opened.
         """
-        self.last = member.node
+        self.last_witness = member.node
         try:
-            link = await self.peers.open_runs(member.peer_address, self.directory.self_member.node)
+            link = await self.peers.open_in_flight_link(
+                member.peer_address, self.directory.self_member.node
+            )
         except MarjoramtideError as error:
             log.info(
                 "witness.not_reached",
@@ -100,39 +104,41 @@
             )
             return False
         self.link = link
-        self.ended.clear()
+        self.finished.clear()
         try:
-            await link.tell(self.open, ())
+            await link.report(self.in_flight, ())
             await link.wait_closed()
         finally:
-            self._forget_link()
+            self._discard_link()
             await link.close()
         return True
 
-    def _choose(self) -> Member | None:
+    def _choose_witness(self) -> Member | None:
         own = self.directory.self_member
         others = [
             member
             for member in self.directory.members()
             if member.node != own.node and member.state is not MemberState.LEAVING
         ]
-        near = [member for member in others if member.data_centre == own.data_centre]
-        able = near or others
-        # The last one may have ended, which the others have not noticed yet.
-        able = [member for member in able if member.node != self.last] or able
-        return self.rng.choice(able) if able else None
-
-    def _tell_ended(self) -> None:
-        self.timer = None
-        if self.ended and self.link is not None and not self.link.is_stuck:
-            self.link.tell_later(self._take_ended())
-
-    def _take_ended(self) -> list[int]:
-        ended, self.ended = self.ended, []
-        return ended
-
-    def _forget_link(self) -> None:
+        local = [member for member in others if member.data_centre == own.data_centre]
+        candidates = local or others
+        # The last witness may have crashed, and the other nodes may not have detected it yet.
+        candidates = [
+            member for member in candidates if member.node != self.last_witness
+        ] or candidates
+        return self.rng.choice(candidates) if candidates else None
+
+    def _report_finished(self) -> None:
+        self.report_timer = None
+        if self.finished and self.link is not None and not self.link.is_stuck:
+            self.link.report_later(self._take_finished())
+
+    def _take_finished(self) -> list[int]:
+        finished, self.finished = self.finished, []
+        return finished
+
+    def _discard_link(self) -> None:
         self.link = None
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+        if self.report_timer is not None:
+            self.report_timer.cancel()
+            self.report_timer = None
--- a/src/marjoramtide/witness/_run_witness.py
+++ b/src/marjoramtide/witness/_run_witness.py
@@ -1,4 +1,4 @@
-"""What other nodes were running for their own callers when they ended."""
+"""Reports the requests that crashed nodes had in flight for their own callers."""
 
 from collections.abc import Sequence
 
@@ -9,20 +9,24 @@
 
 
 class CrashWitness(InFlightListener):
-    """Speaks for nodes that have ended, with what they had told it.
+    """Reports nodes that were lost, with the requests in flight that they had reported.
 
-    Failure: a request ends the node that takes it from its caller and runs it at its own server.
-    Nobody else knows what that node was doing, callers send the request again, and it ends node
-    after node: 7 to 34 of six within 12 s.
+    Failure: a request crashes the node that takes it from its caller and runs it at its own server.
+    No other node knows what ran there. Callers retry the request, and it crashes node after node: 7
+    to 34 crashes among six nodes within 12 s.
     """
 
-    def __init__(self, directory: Directory, ends: PeerCrashDetector) -> None:
+    def __init__(self, directory: Directory, crash_detector: PeerCrashDetector) -> None:
         self.directory = directory
-        self.ends = ends
+        self.crash_detector = crash_detector
 
-    def on_reporter_lost(self, node: str, runs: Sequence[ReportedRequest]) -> None:
+    def on_reporter_lost(self, node: str, requests: Sequence[ReportedRequest]) -> None:
         member = self.directory.find(node)
         if member is not None:
-            self.ends.report_lost_runs(
-                member, [InFlightRequest(run.fingerprint, "", "", run.heard_at) for run in runs]
+            self.crash_detector.report_lost_runs(
+                member,
+                [
+                    InFlightRequest(request.fingerprint, "", "", request.reported_at)
+                    for request in requests
+                ],
             )
