--- a/src/marjoramtide/quota/__init__.py
+++ b/src/marjoramtide/quota/__init__.py
@@ -1,4 +1,4 @@
-"""One rate limit for each workspace over all nodes: leased tokens, and who owns them."""
+"""A fleet-wide rate limit per workspace: owner nodes lease tokens to the other nodes."""
 
 from marjoramtide.quota._messages import is_quota_bulletin
 from marjoramtide.quota._quota_service import QuotaService, make_quota_service
--- a/src/marjoramtide/quota/_messages.py
+++ b/src/marjoramtide/quota/_messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of quotas, as the fields of a bulletin."""
+"""Requests and grants of quota tokens, as the fields of a bulletin."""
 
 from typing import Any
 
@@ -7,72 +7,80 @@
 from marjoramtide.checked import MalformedError
 
 SUBJECT = "quota"
-ASK, GRANT = 0, 1
-# Far above what any node needs at once, and any time of waiting; more is no question or answer.
-MOST_TOKENS = 1_000_000
-LONGEST_WAIT_MS = 3_600_000
-MOST_NUMBER = 1 << 62
+REQUEST, GRANT = 0, 1
+# Limits for validation, far above what any node needs.
+MAX_TOKENS = 1_000_000
+MAX_RETRY_AFTER_MS = 3_600_000
+MAX_CORRELATION_ID = 1 << 62
 
 
 @attrs.frozen(slots=True)
 class TokenRequest:
-    """A question for tokens of a workspace; ``number`` tells its answer from others.
+    """A request for tokens of a workspace; ``correlation_id`` matches its grant.
 
-    ``returned`` tokens were leased before and not used. A ``loan`` is asked for by the owner of
+    ``returned`` tokens were leased before and not used. With ``is_loan`` the sender is the owner of
     another data centre's share.
     """
 
-    number: int
+    correlation_id: int
     workspace: str
-    wanted: int
+    requested: int
     returned: int = 0
-    loan: bool = False
+    is_loan: bool = False
 
     def pack(self) -> list[Any]:
-        fields = [self.number, self.workspace, self.wanted, self.returned, self.loan]
-        return [[SUBJECT, ASK, *fields]]
+        fields = [self.correlation_id, self.workspace, self.requested, self.returned, self.is_loan]
+        return [[SUBJECT, REQUEST, *fields]]
 
 
 @attrs.frozen(slots=True)
 class TokenGrant:
-    """The answer: how many tokens, and where there are none, when there may be one."""
+    """The response to a request: the number of tokens, and if there are none, when to retry."""
 
-    number: int
+    correlation_id: int
     granted: int
-    wait_ms: int = 0
+    retry_after_ms: int = 0
 
     def pack(self) -> list[Any]:
-        return [[SUBJECT, GRANT, self.number, self.granted, self.wait_ms]]
+        return [[SUBJECT, GRANT, self.correlation_id, self.granted, self.retry_after_ms]]
 
 
 def is_quota_bulletin(fields: list[Any]) -> bool:
     """Tell whether a bulletin is about quotas.
 
-    All of it is one field: a node that doesn't know such messages passes them over.
+    The whole message is one field, so that nodes that don't know the type ignore it.
     """
     message = fields[0] if len(fields) == 1 else None
     return isinstance(message, list) and message[:1] == [SUBJECT]
 
 
 def unpack_quota_message(fields: list[Any]) -> TokenRequest | TokenGrant:
-    """Return the message in a bulletin; raises ``MalformedError`` where it is none.
+    """Return the message in a bulletin; raises ``MalformedError`` if it is malformed.
 
-    What a later version has added at the end is passed over.
+    Fields that a later version has appended are ignored.
     """
     match fields[0][1:]:
-        case [0, int(number), str(workspace), int(wanted), int(returned), bool(loan), *_]:
-            _check(number, MOST_NUMBER)
-            _check(wanted, MOST_TOKENS)
-            _check(returned, MOST_TOKENS)
-            return TokenRequest(number, workspace, wanted, returned, loan)
-        case [1, int(number), int(granted), int(wait_ms), *_]:
-            _check(number, MOST_NUMBER)
-            _check(granted, MOST_TOKENS)
-            _check(wait_ms, LONGEST_WAIT_MS)
-            return TokenGrant(number, granted, wait_ms)
-    raise MalformedError("no question or answer about a quota")
-
-
-def _check(value: int, most: int) -> None:
-    if isinstance(value, bool) or not 0 <= value <= most:
-        raise MalformedError(f"{value!r} is no number from 0 to {most}")
+        case [
+            0,
+            int(correlation_id),
+            str(workspace),
+            int(requested),
+            int(returned),
+            bool(is_loan),
+            *_,
+        ]:
+            _check(correlation_id, MAX_CORRELATION_ID)
+            _check(requested, MAX_TOKENS)
+            _check(returned, MAX_TOKENS)
+            return TokenRequest(correlation_id, workspace, requested, returned, is_loan)
+        case [1, int(correlation_id), int(granted), int(retry_after_ms), *_]:
+            _check(correlation_id, MAX_CORRELATION_ID)
+            _check(granted, MAX_TOKENS)
+            _check(retry_after_ms, MAX_RETRY_AFTER_MS)
+            return TokenGrant(correlation_id, granted, retry_after_ms)
+    raise MalformedError("neither a request nor a grant of quota tokens")
+
+
+def _check(value: int, maximum: int) -> None:
+    if isinstance(value, bool) or not 0 <= value <= maximum:
+        raise MalformedError(f"{value!r} is not an integer from 0 to {maximum}")
--- a/src/marjoramtide/quota/_owned_pools.py
+++ b/src/marjoramtide/quota/_owned_pools.py
@@ -1,4 +1,4 @@
-"""The pools of quotas that a node owns."""
+"""The quota pools that a node owns."""
 
 import asyncio
 import math
@@ -9,59 +9,61 @@
 from marjoramtide.membership import Directory
 from marjoramtide.policy.quota import QuotaPool, make_quota_pool
 from marjoramtide.quota._messages import TokenGrant, TokenRequest
-from marjoramtide.quota._owners import Owners
-from marjoramtide.quota._questions import Questions
+from marjoramtide.quota._owners import QuotaOwners
+from marjoramtide.quota._questions import TokenRequester
 from marjoramtide.settings import SettingsView
 from marjoramtide.telemetry import Metrics
 
-# When nodes ask again whose workspace, or its limit, this node has not heard of yet.
-UNKNOWN_MS = 300
+# When to retry if this node does not know the workspace, or its limit, yet.
+UNKNOWN_WORKSPACE_RETRY_AFTER_MS = 300
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class OwnedPools:
-    """Leases tokens to nodes of this data centre, and lends them to the owners in others.
+    """Leases tokens to nodes of this data centre, and lends some to owners in others.
 
-    ``borrowing`` holds the loan that is being asked for, by workspace: requests that find a pool
-    empty at the same time wait for the same one.
+    ``loan_tasks`` are the loans being requested, by workspace: requests that find a pool empty at
+    the same time wait for the same loan.
     """
 
     view: SettingsView
     directory: Directory
-    owners: Owners
-    questions: Questions
+    owners: QuotaOwners
+    requester: TokenRequester
     clock: Clock
     metrics: Metrics
     pools: dict[str, QuotaPool] = attrs.Factory(dict)
-    borrowing: dict[str, "asyncio.Task[None]"] = attrs.Factory(dict)
+    loan_tasks: dict[str, "asyncio.Task[None]"] = attrs.Factory(dict)
 
-    async def grant(self, ask: TokenRequest) -> TokenGrant:
-        """Lease tokens to a node of this data centre, with some of the others' where need be."""
+    async def grant(self, request: TokenRequest) -> TokenGrant:
+        """Lease tokens to a node of this data centre, with a loan if needed."""
         now = self.clock.monotonic()
-        pool = self.find(ask.workspace, now)
+        pool = self.find(request.workspace, now)
         if pool is None:
-            return TokenGrant(ask.number, 0, UNKNOWN_MS)
-        pool.give_back(ask.returned, now)
-        if not ask.wanted:
-            return TokenGrant(ask.number, 0)
-        granted = pool.lease(ask.wanted, now)
+            return TokenGrant(request.correlation_id, 0, UNKNOWN_WORKSPACE_RETRY_AFTER_MS)
+        pool.give_back(request.returned, now)
+        if not request.requested:
+            return TokenGrant(request.correlation_id, 0)
+        granted = pool.lease(request.requested, now)
         if not granted and pool.can_borrow(now):
-            await self._wait_for_loan(ask.workspace, pool)
-            granted = pool.lease(ask.wanted, self.clock.monotonic())
+            await self._wait_for_loan(request.workspace, pool)
+            granted = pool.lease(request.requested, self.clock.monotonic())
         if granted:
-            return TokenGrant(ask.number, granted)
-        rate = self.view.workspaces.by_name[ask.workspace].requests_per_s
+            return TokenGrant(request.correlation_id, granted)
+        rate = self.view.workspaces.by_name[request.workspace].requests_per_s
         retry_after_s = pool.retry_after_s(rate, self.clock.monotonic())
-        return TokenGrant(ask.number, 0, round(retry_after_s * 1000))
+        return TokenGrant(request.correlation_id, 0, round(retry_after_s * 1000))
 
-    def lend(self, ask: TokenRequest) -> TokenGrant:
+    def lend(self, request: TokenRequest) -> TokenGrant:
         """Lend tokens to the owner in another data centre."""
         now = self.clock.monotonic()
-        pool = self.find(ask.workspace, now)
-        return TokenGrant(ask.number, 0 if pool is None else pool.lend(ask.wanted, now))
+        pool = self.find(request.workspace, now)
+        return TokenGrant(
+            request.correlation_id, 0 if pool is None else pool.lend(request.requested, now)
+        )
 
     def find(self, name: str, now: float) -> QuotaPool | None:
-        """Return this node's part of a workspace's quota, ``None`` where it isn't limited."""
+        """Return the pool of a workspace's quota, ``None`` if the workspace is not limited."""
         workspace = self.view.workspaces.by_name.get(name)
         if workspace is None or not workspace.is_limited:
             self.pools.pop(name, None)
@@ -70,40 +72,43 @@
         rate, burst = workspace.requests_per_s * share, workspace.request_burst * share
         pool = self.pools.get(name)
         if pool is None:
-            known_s = now - self.owners.settled_at
+            known_s = now - self.owners.members_changed_at
             pool = self.pools[name] = make_quota_pool(rate, burst, known_s, now)
         pool.configure(rate, burst, now)
         return pool
 
     async def _wait_for_loan(self, name: str, pool: QuotaPool) -> None:
-        task = self.borrowing.get(name)
+        task = self.loan_tasks.get(name)
         if task is None:
-            task = self.borrowing[name] = asyncio.create_task(self._borrow(name, pool))
-            task.add_done_callback(lambda _: self.borrowing.pop(name, None))
+            task = self.loan_tasks[name] = asyncio.create_task(self._request_loan(name, pool))
+            task.add_done_callback(lambda _: self.loan_tasks.pop(name, None))
         await asyncio.shield(task)
 
-    async def _borrow(self, name: str, pool: QuotaPool) -> None:
-        """Ask the owners in other data centres, all at once, each for its part."""
+    async def _request_loan(self, name: str, pool: QuotaPool) -> None:
+        """Request an equal share of the loan from each owner in another data centre."""
         own = self.directory.self_member
-        others = [each for each in self.owners.owners_of(name) if each.node != own.node]
-        asked_at = self.clock.monotonic()
-        wanted = pool.loan_size(asked_at)
-        part = math.ceil(wanted / max(1, len(others)))
-        self.metrics.count("quota.loans_asked", len(others))
+        other_owners = [owner for owner in self.owners.owners_of(name) if owner.node != own.node]
+        requested_at = self.clock.monotonic()
+        requested = pool.loan_size(requested_at)
+        share = math.ceil(requested / max(1, len(other_owners)))
+        self.metrics.count("quota.loans_asked", len(other_owners))
         grants = await asyncio.gather(
-            *(self.questions.ask(each, name, part, loan=True) for each in others)
+            *(
+                self.requester.request_tokens(owner, name, share, is_loan=True)
+                for owner in other_owners
+            )
         )
         lent = sum(grant.granted for grant in grants if grant is not None)
-        pool.add_loan(lent, wanted, asked_at)
+        pool.add_loan(lent, requested, requested_at)
 
-    def owners_changed(self) -> None:
-        """Give up the pools that another node owns by now."""
+    def drop_disowned(self) -> None:
+        """Remove the pools that another node owns now."""
         own = self.directory.self_member.node
         for name in list(self.pools):
             if self.owners.owners_of(name)[0].node != own:
                 del self.pools[name]
 
-    def keep(self, limited: set[str]) -> None:
-        """Forget the pools of all other workspaces."""
-        for name in self.pools.keys() - limited:
+    def retain(self, limited_workspaces: set[str]) -> None:
+        """Remove the pools of all other workspaces."""
+        for name in self.pools.keys() - limited_workspaces:
             del self.pools[name]
--- a/src/marjoramtide/quota/_questions.py
+++ b/src/marjoramtide/quota/_questions.py
@@ -1,4 +1,4 @@
-"""Questions to other nodes that wait for their answers."""
+"""Requests for tokens that wait for their grants."""
 
 import asyncio
 import itertools
@@ -12,43 +12,52 @@
 from marjoramtide.quota._messages import TokenGrant, TokenRequest
 
 Publish = Callable[[list[Any], Iterable[Member]], None]
-# An answer takes a few milliseconds where both ends are idle. One that a loan is waited for takes
-# as long as that.
+# A response takes a few milliseconds if both nodes are idle. One that waits for a loan takes up to
+# the loan's timeout longer.
 LOAN_TIMEOUT_S = 0.12
-ANSWER_TIMEOUT_S = 0.3
+GRANT_TIMEOUT_S = 0.3
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Questions:
-    """Sends questions in datagrams and matches the answers to them by number.
+class TokenRequester:
+    """Sends token requests in datagrams and matches grants to them by correlation id.
 
-    Numbers begin at random, so that an answer to a node that has ended is none to its successor.
+    The ids start at a random number, so that a restarted node does not accept a grant meant for its
+    previous incarnation.
     """
 
     publish: Publish
     rng: random.Random
-    numbers: "itertools.count[int]" = attrs.field(init=False)
-    waiting: dict[int, asyncio.Future[TokenGrant]] = attrs.Factory(dict)
+    correlation_ids: "itertools.count[int]" = attrs.field(init=False)
+    pending: dict[int, asyncio.Future[TokenGrant]] = attrs.Factory(dict)
 
     def __attrs_post_init__(self) -> None:
-        self.numbers = itertools.count(self.rng.getrandbits(48))
-
-    async def ask(
-        self, member: Member, workspace: str, wanted: int, returned: int = 0, *, loan: bool = False
+        self.correlation_ids = itertools.count(self.rng.getrandbits(48))
+
+    async def request_tokens(
+        self,
+        member: Member,
+        workspace: str,
+        requested: int,
+        returned: int = 0,
+        *,
+        is_loan: bool = False,
     ) -> TokenGrant | None:
-        """Return a member's answer, ``None`` where none came."""
-        number = next(self.numbers)
-        waiter = self.waiting[number] = asyncio.get_running_loop().create_future()
-        self.publish(TokenRequest(number, workspace, wanted, returned, loan).pack(), [member])
+        """Return a member's grant, ``None`` if it does not respond in time."""
+        correlation_id = next(self.correlation_ids)
+        waiter = self.pending[correlation_id] = asyncio.get_running_loop().create_future()
+        self.publish(
+            TokenRequest(correlation_id, workspace, requested, returned, is_loan).pack(), [member]
+        )
         try:
-            return await asyncio.wait_for(waiter, LOAN_TIMEOUT_S if loan else ANSWER_TIMEOUT_S)
+            return await asyncio.wait_for(waiter, LOAN_TIMEOUT_S if is_loan else GRANT_TIMEOUT_S)
         except TimeoutError:
             return None
         finally:
-            self.waiting.pop(number, None)
+            self.pending.pop(correlation_id, None)
 
-    def answered(self, grant: TokenGrant) -> None:
-        """Hand an answer to whoever waits for it; a late one is passed over, its tokens lost."""
-        waiter = self.waiting.get(grant.number)
+    def handle_grant(self, grant: TokenGrant) -> None:
+        """Pass a grant to the waiting request; a late one is dropped, and its tokens are lost."""
+        waiter = self.pending.get(grant.correlation_id)
         if waiter is not None and not waiter.done():
             waiter.set_result(grant)
--- a/src/marjoramtide/quota/_quota_service.py
+++ b/src/marjoramtide/quota/_quota_service.py
@@ -1,4 +1,4 @@
-"""Quotas of workspaces as a running part of a node."""
+"""The service of a node that enforces the quotas of workspaces."""
 
 import asyncio
 import random
@@ -17,59 +17,59 @@
 from marjoramtide.policy.quota import QuotaAccount
 from marjoramtide.quota._messages import TokenGrant, TokenRequest, unpack_quota_message
 from marjoramtide.quota._owned_pools import OwnedPools
-from marjoramtide.quota._owners import Owners
-from marjoramtide.quota._questions import Publish, Questions
-from marjoramtide.quota._silent_owners import SilentOwners
+from marjoramtide.quota._owners import QuotaOwners
+from marjoramtide.quota._questions import Publish, TokenRequester
+from marjoramtide.quota._silent_owners import UnresponsiveOwners
 from marjoramtide.settings import SettingsView, WorkspaceSettings
 from marjoramtide.telemetry import Metrics
 
 log = structlog.get_logger()
 
 STEP = "quota.admit"
-# When callers come back where no owner answers, and at the earliest where others took the tokens.
-UNKNOWN_MS = 300
-LEAST_WAIT_MS = 50
-# Callers that are refused at one moment come back over this multiple of the time.
-SPREAD = 1.3
-# How often a request asks again where others have taken the tokens that it waited for.
-MOST_ASKS = 3
-# How long tokens that were not used wait for the next question that takes them back, in seconds.
-RETURN_AFTER_S = 0.2
+# When callers should retry if no owner responds, and the minimum if other requests took the tokens.
+NO_OWNER_RETRY_AFTER_MS = 300
+MIN_RETRY_AFTER_MS = 50
+# Retry times are spread up to this factor, so that callers rejected together don't retry together.
+RETRY_AFTER_JITTER = 1.3
+# Lease requests that one request waits for, if others take the tokens that it waited for.
+MAX_LEASE_ATTEMPTS = 3
+# How long unused tokens wait for the next lease request that can return them.
+RETURN_DELAY_S = 0.2
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class TokenLease(QuotaLease):
-    """A token that was taken from an account of this node, at a time of the monotonic clock."""
+    """A token taken from an account of this node; ``leased_at`` is of the monotonic clock."""
 
-    quotas: "QuotaService"
+    service: "QuotaService"
     workspace: str
     account: QuotaAccount
     leased_at: float
 
     def refund(self) -> None:
-        self.quotas.give_back(self.workspace, self.account, self.leased_at)
+        self.service.give_back(self.workspace, self.account, self.leased_at)
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class QuotaService(RequestQuota):
-    """Leases tokens for the requests that enter here, and answers other nodes from its pools."""
+    """Leases tokens for requests that enter at this node, and grants tokens to other nodes."""
 
     view: SettingsView
     directory: Directory
-    owners: Owners
-    questions: Questions
+    owners: QuotaOwners
+    requester: TokenRequester
     pools: OwnedPools
     clock: Clock
     rng: random.Random
     metrics: Metrics
     publish: Publish
     accounts: dict[str, QuotaAccount] = attrs.Factory(dict)
-    asking: dict[str, "asyncio.Task[None]"] = attrs.Factory(dict)
-    waiting: dict[str, int] = attrs.Factory(dict)
-    silence: SilentOwners = attrs.Factory(SilentOwners)
-    answering: set["asyncio.Task[None]"] = attrs.Factory(set)
+    lease_tasks: dict[str, "asyncio.Task[None]"] = attrs.Factory(dict)
+    waiting_requests: dict[str, int] = attrs.Factory(dict)
+    unresponsive_owners: UnresponsiveOwners = attrs.Factory(UnresponsiveOwners)
+    request_tasks: set["asyncio.Task[None]"] = attrs.Factory(set)
 
-    # Requests that enter here
+    # Requests that enter at this node
 
     async def admit(self, request: Request) -> QuotaLease | None:
         workspace = self.view.workspaces.by_name.get(request.workspace)
@@ -85,99 +85,103 @@
         return lease
 
     async def _take_token(self, workspace: WorkspaceSettings, account: QuotaAccount) -> float:
-        """Take a token; return when, in seconds of the monotonic clock."""
-        for _ in range(MOST_ASKS):
+        """Take a token; return the time, in seconds of the monotonic clock."""
+        for _ in range(MAX_LEASE_ATTEMPTS):
             now = self.clock.monotonic()
             if account.spend(now):
                 return now
             if now < account.ask_again_at:
-                raise self._refusal(workspace, account, now)
+                raise self._limited_error(workspace, account, now)
             await self._wait_for_lease(workspace, account)
         now = self.clock.monotonic()
         if account.spend(now):
             return now
-        raise self._refusal(workspace, account, now)
+        raise self._limited_error(workspace, account, now)
 
     def give_back(self, name: str, account: QuotaAccount, leased_at: float) -> None:
-        """Give back the token of a request that did not run."""
+        """Return the token of a request that did not run."""
         account.give_back(leased_at, self.clock.monotonic())
         if account.returned == 1:
             loop = asyncio.get_running_loop()
-            loop.call_later(RETURN_AFTER_S, self._return, name, account)
+            loop.call_later(RETURN_DELAY_S, self._return_tokens, name, account)
 
-    def _refusal(
+    def _limited_error(
         self, workspace: WorkspaceSettings, account: QuotaAccount, now: float
     ) -> NotRunError:
         self.metrics.count("quota.refused")
         account.refusals += 1
-        wait_ms = max(LEAST_WAIT_MS, (account.retry_at - now) * 1000)
+        wait_ms = max(MIN_RETRY_AFTER_MS, (account.retry_at - now) * 1000)
         return NotRunError(
             ErrorCode.WORKSPACE_LIMITED,
             f"{workspace.name} has used up its {workspace.requests_per_s:g} requests a second",
             step=STEP,
-            retry_after_ms=round(wait_ms * self.rng.uniform(1, SPREAD)),
+            retry_after_ms=round(wait_ms * self.rng.uniform(1, RETRY_AFTER_JITTER)),
         )
 
     async def _wait_for_lease(self, workspace: WorkspaceSettings, account: QuotaAccount) -> None:
-        """Wait for the answer to one question, which all requests that wait share."""
+        """Wait for one lease request, which all waiting requests of the workspace share."""
         name = workspace.name
-        self.waiting[name] = self.waiting.get(name, 0) + 1
+        self.waiting_requests[name] = self.waiting_requests.get(name, 0) + 1
         try:
-            task = self.asking.get(name)
+            task = self.lease_tasks.get(name)
             if task is None:
-                task = self.asking[name] = asyncio.create_task(self._lease(workspace, account))
-                task.add_done_callback(lambda done: self._asked(name, done))
-            # A caller that gives up must not end the question that others wait for.
+                task = self.lease_tasks[name] = asyncio.create_task(
+                    self._request_lease(workspace, account)
+                )
+                task.add_done_callback(lambda done: self._lease_finished(name, done))
+            # Cancelling one caller must not cancel the lease request that others wait for.
             await asyncio.shield(task)
         finally:
-            self.waiting[name] -= 1
+            self.waiting_requests[name] -= 1
 
-    def _asked(self, name: str, task: "asyncio.Task[None]") -> None:
-        self.asking.pop(name, None)
+    def _lease_finished(self, name: str, task: "asyncio.Task[None]") -> None:
+        self.lease_tasks.pop(name, None)
         if not task.cancelled():
-            # Also where every request that waited was given up meanwhile.
+            # Retrieved even if all waiting requests were cancelled.
             task.exception()
 
-    async def _lease(self, workspace: WorkspaceSettings, account: QuotaAccount) -> None:
-        """Ask the owners in turn until one answers.
+    async def _request_lease(self, workspace: WorkspaceSettings, account: QuotaAccount) -> None:
+        """Request tokens from the owners in turn until one responds.
 
-        Raises ``NotRunError`` where none does.
+        Raises ``NotRunError`` if none does.
         """
-        # One turn of the loop, so that requests that arrive together ask together.
+        # One event loop iteration, so that requests that arrive together share the lease request.
         await asyncio.sleep(0)
         name = workspace.name
         for owner in self.owners.owners_of(name):
-            asked_at = self.clock.monotonic()
-            if self.silence.is_silent(owner.peer_address, asked_at):
+            requested_at = self.clock.monotonic()
+            if self.unresponsive_owners.is_unresponsive(owner.peer_address, requested_at):
                 continue
-            wanted = account.wanted(self.waiting.get(name, 0), asked_at)
+            requested = account.wanted(self.waiting_requests.get(name, 0), requested_at)
             returned = account.take_returned()
-            grant = await self._ask(owner, name, wanted, returned)
-            self.silence.note(owner.peer_address, grant is not None, self.clock.monotonic())
+            grant = await self._request_tokens(owner, name, requested, returned)
+            self.unresponsive_owners.record(
+                owner.peer_address, grant is not None, self.clock.monotonic()
+            )
             if grant is None:
                 self.metrics.count("quota.unanswered")
                 continue
-            account.add_lease(grant.granted, asked_at)
+            account.add_lease(grant.granted, requested_at)
             if not grant.granted:
-                account.record_refusal(grant.wait_ms / 1000, self.clock.monotonic())
+                account.record_refusal(grant.retry_after_ms / 1000, self.clock.monotonic())
             return
         raise NotRunError(
             ErrorCode.QUOTA_UNKNOWN,
-            f"no node that knows what is left for {name} answers",
+            f"no owner of the quota of {name} responds",
             step=STEP,
-            retry_after_ms=round(UNKNOWN_MS * self.rng.uniform(1, SPREAD)),
+            retry_after_ms=round(NO_OWNER_RETRY_AFTER_MS * self.rng.uniform(1, RETRY_AFTER_JITTER)),
         )
 
-    async def _ask(
-        self, owner: Member, workspace: str, wanted: int, returned: int
+    async def _request_tokens(
+        self, owner: Member, workspace: str, requested: int, returned: int
     ) -> TokenGrant | None:
         if owner.node == self.directory.self_member.node:
-            return await self.pools.grant(TokenRequest(0, workspace, wanted, returned))
+            return await self.pools.grant(TokenRequest(0, workspace, requested, returned))
         self.metrics.count("quota.asked")
-        return await self.questions.ask(owner, workspace, wanted, returned)
+        return await self.requester.request_tokens(owner, workspace, requested, returned)
 
-    def _return(self, name: str, account: QuotaAccount) -> None:
-        """Give back what no question has taken along."""
+    def _return_tokens(self, name: str, account: QuotaAccount) -> None:
+        """Return unused tokens that no lease request has included."""
         returned = account.take_returned()
         if not returned:
             return
@@ -190,10 +194,10 @@
         else:
             self.publish(TokenRequest(0, name, 0, returned).pack(), [owner])
 
-    # What other nodes send
+    # Messages of other nodes
 
     def handle_bulletin(self, member: Member, fields: list[Any]) -> None:
-        """Take in a message of another node."""
+        """Handle a quota bulletin of another node."""
         try:
             message = unpack_quota_message(fields)
         except MalformedError as error:
@@ -206,32 +210,32 @@
             )
             return
         if isinstance(message, TokenGrant):
-            self.questions.answered(message)
+            self.requester.handle_grant(message)
             return
-        task = asyncio.create_task(self._answer(member, message))
-        self.answering.add(task)
-        task.add_done_callback(self.answering.discard)
+        task = asyncio.create_task(self._handle_request(member, message))
+        self.request_tasks.add(task)
+        task.add_done_callback(self.request_tasks.discard)
 
-    async def _answer(self, member: Member, ask: TokenRequest) -> None:
-        grant = self.pools.lend(ask) if ask.loan else await self.pools.grant(ask)
-        if ask.wanted:
+    async def _handle_request(self, member: Member, request: TokenRequest) -> None:
+        grant = self.pools.lend(request) if request.is_loan else await self.pools.grant(request)
+        if request.requested:
             self.publish(grant.pack(), [member])
 
-    # What changes
+    # Changes of members and settings
 
     def members_changed(self, member: Member) -> None:
-        """Take note of a member that has come or gone."""
+        """Handle a member that has joined, left or changed."""
         if self.owners.member_changed(member):
-            self.pools.owners_changed()
+            self.pools.drop_disowned()
 
     def settings_changed(self, revision: int) -> None:
-        """Forget what belongs to workspaces that are gone or no longer limited."""
-        self.pools.keep({each.name for each in self.view.workspaces if each.is_limited})
+        """Remove the state of workspaces that are gone or no longer limited."""
+        self.pools.retain({each.name for each in self.view.workspaces if each.is_limited})
         for name in self.accounts.keys() - self.view.workspaces.by_name.keys():
             del self.accounts[name]
 
     def usage(self, name: str) -> dict[str, Any]:
-        """Return how much a workspace asks for at this node, and what became of it."""
+        """Return the demand of a workspace at this node, and how many were admitted and refused."""
         account = self.accounts.get(name, QuotaAccount())
         return {
             "asked_per_s": round(account.demand.rate(self.clock.monotonic()), 1),
@@ -247,20 +251,20 @@
     clock: Clock,
     rng: random.Random,
     metrics: Metrics,
-    announced: Callable[[], int] = lambda: 1,
+    announced_count: Callable[[], int] = lambda: 1,
 ) -> QuotaService:
-    """Return the quotas of a node, which owns no pool yet.
+    """Return the quota service of a node, which owns no pool yet.
 
-    ``announced`` returns how many nodes have announced themselves.
+    ``announced_count`` returns how many nodes have announced themselves.
     """
-    owners = Owners(directory, clock, announced=announced)
-    questions = Questions(publish, rng)
+    owners = QuotaOwners(directory, clock, announced_count=announced_count)
+    requester = TokenRequester(publish, rng)
     service = QuotaService(
         view,
         directory,
         owners,
-        questions,
-        OwnedPools(view, directory, owners, questions, clock, metrics),
+        requester,
+        OwnedPools(view, directory, owners, requester, clock, metrics),
         clock,
         rng,
         metrics,
--- a/src/marjoramtide/quota/_silent_owners.py
+++ b/src/marjoramtide/quota/_silent_owners.py
@@ -1,30 +1,30 @@
-"""Owners that don't answer."""
+"""Detects quota owners that don't respond."""
 
 import attrs
 
-# Of questions to an owner: a single one may be lost on its way.
-UNANSWERED = 2
-# For how long an owner that is silent isn't asked, in seconds.
-SILENT_S = 1.0
+# Consecutive requests to an owner without a response; a single one may be a lost datagram.
+MAX_UNANSWERED = 2
+# How long an unresponsive owner is not asked.
+UNRESPONSIVE_S = 1.0
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class SilentOwners:
-    """Counts unanswered questions in a row, by the owner's address."""
+class UnresponsiveOwners:
+    """Counts consecutive unanswered requests by the owner's address."""
 
     unanswered: dict[str, int] = attrs.Factory(dict)
-    until: dict[str, float] = attrs.Factory(dict)
+    unresponsive_until: dict[str, float] = attrs.Factory(dict)
 
-    def note(self, address: str, answered: bool, now: float) -> None:
-        """Take in whether an owner has answered a question."""
-        if answered:
+    def record(self, address: str, has_answered: bool, now: float) -> None:
+        """Record whether an owner has responded to a request."""
+        if has_answered:
             self.unanswered.pop(address, None)
-            self.until.pop(address, None)
+            self.unresponsive_until.pop(address, None)
             return
         self.unanswered[address] = self.unanswered.get(address, 0) + 1
-        if self.unanswered[address] >= UNANSWERED:
-            self.until[address] = now + SILENT_S
+        if self.unanswered[address] >= MAX_UNANSWERED:
+            self.unresponsive_until[address] = now + UNRESPONSIVE_S
 
-    def is_silent(self, address: str, now: float) -> bool:
-        """Tell whether an owner isn't to be asked now."""
-        return now < self.until.get(address, 0.0)
+    def is_unresponsive(self, address: str, now: float) -> bool:
+        """Tell whether an owner should not be asked now."""
+        return now < self.unresponsive_until.get(address, 0.0)
