--- a/src/marjoramtide/quarantine/__init__.py
+++ b/src/marjoramtide/quarantine/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end backend servers: who was running, what all nodes know of it, who must wait."""
+"""Holds back requests that crash backend servers, on all nodes of a service."""
 
 from marjoramtide.quarantine._news_codec import (
     is_quarantine_bulletin,
--- a/src/marjoramtide/quarantine/_gathered_news.py
+++ b/src/marjoramtide/quarantine/_gathered_news.py
@@ -1,4 +1,4 @@
-"""Suspicions that are told some time after they arose."""
+"""Reports of suspects that are sent some time after they were made."""
 
 from collections.abc import Iterable, Iterator
 
@@ -8,33 +8,35 @@
 
 
 @attrs.frozen(slots=True)
-class PieceOfNews:
-    """A suspicion, and when it arose in seconds of the monotonic clock."""
+class PendingReport:
+    """A report; ``created_at`` is in seconds of the monotonic clock."""
 
-    suspicion: SuspectReport
-    arose_at: float
+    report: SuspectReport
+    created_at: float
 
-    def told(self, now: float) -> SuspectReport:
-        """Return the suspicion with its ends as long ago as they are now."""
-        passed_s = now - self.arose_at
-        crashes = self.suspicion.crashes
-        aged = (ServerCrash(end.number, end.age_s + passed_s, end.ran_s) for end in crashes)
-        return attrs.evolve(self.suspicion, crashes=tuple(aged))
+    def with_current_ages(self, now: float) -> SuspectReport:
+        """Return the report with the ages that its crashes have now."""
+        elapsed_s = now - self.created_at
+        crashes = self.report.crashes
+        aged = (
+            ServerCrash(crash.number, crash.age_s + elapsed_s, crash.ran_s) for crash in crashes
+        )
+        return attrs.evolve(self.report, crashes=tuple(aged))
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class GatheredNews:
-    """Suspicions that wait to be told together.
+class ReportBatch:
+    """Reports that wait to be sent together.
 
-    Told as if they had arisen only then, ends that were half a second apart would count as one.
+    The ages of crashes must be updated: otherwise crashes half a second apart would count as one.
     """
 
-    pieces: list[PieceOfNews] = attrs.Factory(list)
+    pending: list[PendingReport] = attrs.Factory(list)
 
-    def add(self, suspicions: Iterable[SuspectReport], now: float) -> None:
-        """Take suspicions that have arisen just now."""
-        self.pieces += [PieceOfNews(suspicion, now) for suspicion in suspicions]
+    def add(self, reports: Iterable[SuspectReport], now: float) -> None:
+        """Add reports made just now."""
+        self.pending += [PendingReport(report, now) for report in reports]
 
-    def told(self, now: float) -> Iterator[SuspectReport]:
-        """Yield them as they are to be told now."""
-        return (piece.told(now) for piece in self.pieces)
+    def aged_reports(self, now: float) -> Iterator[SuspectReport]:
+        """Yield the reports with the current ages of their crashes."""
+        return (pending_report.with_current_ages(now) for pending_report in self.pending)
--- a/src/marjoramtide/quarantine/_quarantine_service.py
+++ b/src/marjoramtide/quarantine/_quarantine_service.py
@@ -1,4 +1,4 @@
-"""The quarantine as a running part of a node."""
+"""The service of a node that holds back requests that crash backend servers."""
 
 import math
 import random
@@ -33,13 +33,13 @@
 
 
 class QuarantineService(RequestGuard):
-    """Refuses requests that end backend servers, at all nodes of a service alike.
+    """Rejects requests that crash backend servers, alike on all nodes of a service.
 
-    The node beside a server knows what ran there when it ended, and tells the other nodes of its
-    service. Each decides by itself, from what it has heard; nothing is agreed on, and no node is
-    asked before a request is run.
+    The node beside a server knows which requests ran there when it crashed, and reports them to the
+    other nodes of its service. Each node decides by itself from the reports it has; there is no
+    agreement, and no node is asked before a request runs.
 
-    ``held_listener`` is told each request that is held back from now on, so that none waits for a
+    ``held_listener`` is called with each request that becomes held back, so that none waits for a
     server in vain.
     """
 
@@ -59,19 +59,19 @@
         self.rng = rng
         self.metrics = metrics
         self.held_listener: Callable[[int], None] = lambda fingerprint: None
-        self.end = rng.getrandbits(64)
-        self.has_ended = False
-        self.completed_here = CompletedRequests()
+        self.crash_number = rng.getrandbits(64)
+        self.has_crashed = False
+        self.completed_requests = CompletedRequests()
 
     def configure(self, settings: RouteSettings) -> None:
-        """Go on by these settings of the own service."""
+        """Apply these settings of the own service."""
         self.policy.rule = HoldRule(settings.quarantine_after, settings.quarantine_s)
 
     async def run(self) -> None:
-        """Tell again what others may have missed, until cancelled."""
+        """Repeat reports that other nodes may have missed, until cancelled."""
         await self.disseminator.run()
 
-    # The guard of the own backend server
+    # RequestGuard of the own backend server
 
     def fingerprint(self, request: Request, body: RequestBody) -> int:
         return self.fingerprinter.of(request, body)
@@ -84,46 +84,48 @@
                 self._refuse(request, suspect, wait_s)
 
     def begin(self, request: Request, fingerprint: int) -> None:
-        judgement = self.policy.decide(fingerprint, self.clock.monotonic())
-        if judgement.verdict is RunVerdict.RUN:
+        decision = self.policy.decide(fingerprint, self.clock.monotonic())
+        if decision.verdict is RunVerdict.RUN:
             return
         suspect = self.policy.find(fingerprint)
         assert suspect is not None
-        if judgement.verdict is RunVerdict.HOLD:
-            self._refuse(request, suspect, judgement.wait_s)
+        if decision.verdict is RunVerdict.HOLD:
+            self._refuse(request, suspect, decision.wait_s)
         self.metrics.count("quarantine.trials")
-        log.warning("quarantine.trial", step=STEP, **describe(suspect))
-        self.disseminator.tell_at_once([suspect])
+        log.warning("quarantine.trial", step=STEP, **describe_suspect(suspect))
+        self.disseminator.broadcast([suspect])
 
     def is_known_safe(self, fingerprint: int) -> bool:
-        """Tell whether the backend server has completed a request lately, and nothing blames it."""
-        return fingerprint in self.completed_here and self.policy.find(fingerprint) is None
+        """Tell whether the server has completed a request recently and it is not a suspect."""
+        return fingerprint in self.completed_requests and self.policy.find(fingerprint) is None
 
     def completed(self, fingerprint: int) -> None:
-        if self.has_ended:
+        if self.has_crashed:
             self.server_replaced()
-        self.completed_here.add(fingerprint)
+        self.completed_requests.add(fingerprint)
         if self.policy.find(fingerprint) is not None:
             self.clear(fingerprint, "completed")
 
     def server_ended(self, suspects: Sequence[InFlightRequest]) -> None:
-        """Suspect what ran there, but for what the server has completed before."""
+        """Suspect the requests that ran there, except those it has completed before."""
         now = self.clock.monotonic()
         self._count_servers()
-        self.has_ended = True
-        # The same request may run there several times at once.
-        different = {run.fingerprint: run for run in suspects}.values()
-        excuse = self.completed_here.excuse
-        blamed = [run for run in different if not excuse(run.fingerprint, self.end)]
-        self.disseminator.tell_at_once([self._blame(run, self.end, now) for run in blamed])
+        self.has_crashed = True
+        # Several runs of the same request may have been in flight.
+        distinct_runs = {run.fingerprint: run for run in suspects}.values()
+        excuse = self.completed_requests.excuse
+        blamed = [run for run in distinct_runs if not excuse(run.fingerprint, self.crash_number)]
+        self.disseminator.broadcast(
+            [self._suspect_run(run, self.crash_number, now) for run in blamed]
+        )
 
     def server_replaced(self) -> None:
-        """Draw the number of the next end, which is of another start."""
-        self.end = self.rng.getrandbits(64)
-        self.has_ended = False
+        """Generate the number of the next crash, which is of another incarnation of the server."""
+        self.crash_number = self.rng.getrandbits(64)
+        self.has_crashed = False
 
-    def _blame(self, run: InFlightRequest, end: int, now: float) -> Suspect:
-        return self._take(blamed_for(run, end, now), now, run.label)
+    def _suspect_run(self, run: InFlightRequest, crash_number: int, now: float) -> Suspect:
+        return self._merge_report(make_suspect_report(run, crash_number, now), now, run.label)
 
     def _refuse(self, request: Request, suspect: Suspect, wait_s: float) -> None:
         suspect.refused += 1
@@ -131,32 +133,34 @@
         self.metrics.count("quarantine.refused")
         raise NotRunError(
             ErrorCode.QUARANTINED,
-            "backend servers ended while they ran this request",
+            "backend servers crashed while they ran this request",
             step=STEP,
             retry_after_ms=math.ceil(wait_s * 1000),
         )
 
-    # What nodes find out and tell each other
+    # Reports of this and other nodes
 
     def node_crashed(self, member: Member, suspects: Sequence[InFlightRequest]) -> None:
-        """Suspect what was lost with a node that has ended; those of its service are told.
+        """Suspect the requests lost with a crashed node, and report them to its service.
 
-        Its runs are known to the nodes that had sent them there, and to its witness. Each tells its
-        part of the same end, by the same number.
+        The nodes that had sent requests there and the node's witness each know a part of its
+        requests in flight. They report the same crash by the same number.
         """
         now = self.clock.monotonic()
-        service, end = member.service, member_key(member.node)
-        different = {run.fingerprint: run for run in suspects}.values()
+        service, crash_number = member.service, member_key(member.node)
+        distinct_runs = {run.fingerprint: run for run in suspects}.values()
         if service == self.disseminator.directory.self_member.service:
             self._count_servers()
-            for run in different:
-                self._blame(run, end, now)
-        self.disseminator.tell_beside(service, [blamed_for(run, end, now) for run in different])
+            for run in distinct_runs:
+                self._suspect_run(run, crash_number, now)
+        self.disseminator.broadcast_to_service(
+            service, [make_suspect_report(run, crash_number, now) for run in distinct_runs]
+        )
 
     def handle_bulletin(self, member: Member, fields: list[Any]) -> None:
-        """Take in the news of another node."""
+        """Handle a quarantine bulletin of another node."""
         try:
-            heard = unpack_suspect_reports(fields)
+            reports = unpack_suspect_reports(fields)
         except MalformedError as error:
             self.metrics.count("quarantine.malformed")
             log.warning(
@@ -167,66 +171,66 @@
                 reason=str(error),
             )
             return
-        if not heard:
-            self.disseminator.answer(member)
+        if not reports:
+            self.disseminator.send_state(member)
             return
         now = self.clock.monotonic()
         self._count_servers()
-        for suspicion in heard:
-            self._take(suspicion, now)
+        for report in reports:
+            self._merge_report(report, now)
         self.disseminator.note_synced()
 
     def member_changed(self, member: Member) -> None:
-        """Take note of a member that this node has just met."""
+        """Handle a member that has become known."""
         self.disseminator.member_met(member)
 
     def _count_servers(self) -> None:
-        self.policy.server_count = 1 + len(self.disseminator.mates())
+        self.policy.server_count = 1 + len(self.disseminator.service_members())
 
-    def _take(self, heard: SuspectReport, now: float, label: str = "") -> Suspect:
-        was_guilty = self._is_guilty(heard.fingerprint)
-        suspect, is_new = self.policy.merge(heard, now)
+    def _merge_report(self, report: SuspectReport, now: float, label: str = "") -> Suspect:
+        was_restricted = self._is_restricted(report.fingerprint)
+        suspect, is_new = self.policy.merge(report, now)
         suspect.label = suspect.label or label
         is_restricted = self.policy.is_restricted(suspect)
         if is_new and is_restricted:
-            self.held_listener(heard.fingerprint)
-            self.disseminator.keep_telling()
-        if is_restricted and not was_guilty:
+            self.held_listener(report.fingerprint)
+            self.disseminator.resume_rounds()
+        if is_restricted and not was_restricted:
             self.metrics.count("quarantine.verdicts")
             wait_s = round(self.policy.wait_s(suspect, now), 1)
-            log.warning("quarantine.held", step=STEP, wait_s=wait_s, **describe(suspect))
-        elif was_guilty and not is_restricted:
-            self._note_release(suspect, "another-node")
+            log.warning("quarantine.held", step=STEP, wait_s=wait_s, **describe_suspect(suspect))
+        elif was_restricted and not is_restricted:
+            self._log_release(suspect, "another-node")
         return suspect
 
-    def _is_guilty(self, fingerprint: int) -> bool:
+    def _is_restricted(self, fingerprint: int) -> bool:
         suspect = self.policy.find(fingerprint)
         return suspect is not None and self.policy.is_restricted(suspect)
 
     def clear(self, fingerprint: int, by: str) -> bool:
-        """Clear a request of what it is suspected of; return whether there was anything."""
-        was_guilty = self._is_guilty(fingerprint)
+        """Clear a request of all suspicion; return whether there was any."""
+        was_restricted = self._is_restricted(fingerprint)
         suspect = self.policy.clear(fingerprint)
         if suspect is None:
             return False
-        if was_guilty:
-            self._note_release(suspect, by)
-            self.disseminator.tell_at_once([suspect])
+        if was_restricted:
+            self._log_release(suspect, by)
+            self.disseminator.broadcast([suspect])
         else:
-            self.disseminator.tell_soon(fingerprint)
+            self.disseminator.schedule_cleared(fingerprint)
         return True
 
-    def _note_release(self, suspect: Suspect, by: str) -> None:
+    def _log_release(self, suspect: Suspect, by: str) -> None:
         self.metrics.count("quarantine.released")
-        log.warning("quarantine.released", step=STEP, by=by, **describe(suspect))
+        log.warning("quarantine.released", step=STEP, by=by, **describe_suspect(suspect))
 
-    # What operators see and do
+    # Operator commands
 
     def list_held(self) -> list[dict[str, Any]]:
-        """Return what is held back, as plain values."""
+        """Return the held requests as plain values."""
         now = self.clock.monotonic()
         return [
-            describe(suspect)
+            describe_suspect(suspect)
             | {
                 "wait_s": round(self.policy.wait_s(suspect, now), 1),
                 "refused": suspect.refused,
@@ -235,22 +239,22 @@
         ]
 
     def release(self, fingerprint: int) -> None:
-        """Let a request run again, on an operator's word; raises ``not-found``."""
+        """Release a request on an operator's command; raises ``not-found``."""
         if not self.clear(fingerprint, "operator"):
             raise MarjoramtideError(
                 ErrorCode.NOT_FOUND,
-                f"{fingerprint:016x} is not suspected of anything here",
+                f"{fingerprint:016x} is not a suspect at this node",
                 step="quarantine.release",
             )
 
 
-def blamed_for(run: InFlightRequest, end: int, now: float) -> SuspectReport:
-    """Return the suspicion that a server has ended just now by one of its runs."""
-    return SuspectReport(run.fingerprint, (ServerCrash(end, ran_s=now - run.started_at),))
+def make_suspect_report(run: InFlightRequest, crash_number: int, now: float) -> SuspectReport:
+    """Return the report of a server that has crashed just now while it ran a request."""
+    return SuspectReport(run.fingerprint, (ServerCrash(crash_number, ran_s=now - run.started_at),))
 
 
-def describe(suspect: Suspect) -> dict[str, Any]:
-    """Return a suspect as the log and operators name it."""
+def describe_suspect(suspect: Suspect) -> dict[str, Any]:
+    """Return a suspect's fields for the log and for operators."""
     return {
         "fingerprint": f"{suspect.fingerprint:016x}",
         "what": suspect.label,
@@ -266,7 +270,10 @@
     rng: random.Random,
     metrics: Metrics,
 ) -> QuarantineService:
-    """Return the quarantine of a node whose fleet has this key; nothing is suspected yet."""
+    """Return the quarantine service of a node, without suspects.
+
+    ``key`` is the key of the fleet.
+    """
     policy = Quarantine()
     disseminator = ReportDisseminator(policy, directory, publish, clock, rng)
     return QuarantineService(policy, Fingerprinter(key), disseminator, clock, rng, metrics)
