--- a/src/marjoramtide/evacuation/__init__.py
+++ b/src/marjoramtide/evacuation/__init__.py
@@ -1,4 +1,4 @@
-"""Evacuated data centres, and the store's epoch: read by some nodes, told to all."""
+"""Evacuated data centres and the store's epoch, read by some nodes and sent to all others."""
 
 from marjoramtide.evacuation._evacuation_record import EvacuationRecord
 from marjoramtide.evacuation._evacuation_service import EvacuationService, make_evacuation_service
--- a/src/marjoramtide/evacuation/_evacuation_record.py
+++ b/src/marjoramtide/evacuation/_evacuation_record.py
@@ -1,4 +1,4 @@
-"""What an operator's evacuation of a data centre is written as."""
+"""The stored record of an evacuation."""
 
 import json
 
@@ -7,14 +7,14 @@
 
 from marjoramtide.checked import read_as, read_json
 
-MOST_AUTHOR_CHARACTERS = 128
+MAX_AUTHOR_CHARACTERS = 128
 
 
 @attrs.frozen(slots=True)
 class EvacuationRecord:
-    """Who has evacuated a data centre, and since when, in seconds since the Unix epoch."""
+    """Who has evacuated a data centre, and when, in seconds since the Unix epoch."""
 
-    author: str = attrs.field(default="", validator=max_len(MOST_AUTHOR_CHARACTERS))
+    author: str = attrs.field(default="", validator=max_len(MAX_AUTHOR_CHARACTERS))
     since: float = 0.0
 
     def encode(self) -> bytes:
@@ -22,5 +22,5 @@
 
 
 def decode_record(value: bytes) -> EvacuationRecord:
-    """Read a record; raises ``MalformedError``."""
+    """Decode a record; raises ``MalformedError``."""
     return read_as(EvacuationRecord, read_json(value))
--- a/src/marjoramtide/evacuation/_evacuation_service.py
+++ b/src/marjoramtide/evacuation/_evacuation_service.py
@@ -1,4 +1,4 @@
-"""Evacuated data centres as a running part of a node."""
+"""The service of a node that knows which data centres are evacuated."""
 
 import asyncio
 import random
@@ -22,77 +22,78 @@
 
 log = structlog.get_logger()
 
-# News is told to all at once, and again after so many seconds, for what was lost on the way. Each
-# node also asks another one for it as often as for the settings.
-TOLD_AGAIN_S = 0.25
-# A timer may fire a little early, and is not set again.
-AFTER_S = 0.05
+# The delay of one repetition to all nodes, for lost datagrams. In addition each node asks another
+# one as often as for the settings.
+REPEAT_DELAY_S = 0.25
+# A timer may fire slightly early, and is not rescheduled then.
+EXPIRY_SLACK_S = 0.05
 
 Publish = Callable[[list[Any], Iterable[Member]], None]
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class EvacuationService(SideNews):
-    """Knows which data centres are evacuated, and lets the other nodes know.
+    """Knows which data centres are evacuated, and informs the other nodes.
 
-    The nodes that watch the store tell all others, who tell whoever asks them. A node that starts
-    learns it with its settings, from the same peer or from the store, before it serves.
+    The nodes that watch the store inform all others, which include it in their replies about
+    settings. A starting node thus gets it with its settings, from the same peer or from the store,
+    before it serves.
 
-    ``changed`` is called with the names in force whenever they have changed. ``watch`` is ``None``
-    where the store can hold no evacuations; the store's epoch is told in any case.
+    ``on_change`` is called with the names in force whenever they have changed. ``watch`` is
+    ``None`` if the store can't hold evacuations; the store's epoch is sent in any case.
     """
 
     store: ObjectStore
     directory: Directory
     publish: Publish
     clock: Clock
-    changed: Callable[[frozenset[str]], None]
+    on_change: Callable[[frozenset[str]], None]
     policy: EvacuationState = attrs.Factory(EvacuationState)
     evacuations: EvacuationStore | None = None
     watch: EvacuationWatch | None = None
     in_force: frozenset[str] = frozenset()
-    listens: bool = False
+    is_receiving: bool = False
     timers: list[asyncio.TimerHandle] = attrs.Factory(list)
 
     async def run(self) -> None:
-        """Follow the store until cancelled."""
+        """Watch the store until cancelled."""
         if self.watch is not None:
             await self.watch.run()
         await asyncio.Event().wait()
 
-    # What the store says
+    # Changes in the store
 
-    def handle_snapshot(self, told: EvacuationSnapshot) -> None:
-        """Take in what was read in the store, and tell the others where it is news."""
-        if self._take(told, "store"):
-            self.tell()
+    def handle_snapshot(self, snapshot: EvacuationSnapshot) -> None:
+        """Merge a snapshot read from the store, and send it to the other nodes if it is new."""
+        if self._merge(snapshot, "store"):
+            self.broadcast()
 
     def epoch_changed(self, epoch: int) -> None:
-        """Tell the others that the store has come back from a copy, unless they have told this."""
-        if not self.listens:
-            self.tell()
+        """Inform other nodes that the store was restored from a copy, unless they reported it."""
+        if not self.is_receiving:
+            self.broadcast()
 
     async def read_store(self) -> None:
-        # Not told on: a fleet that starts has each node read it.
+        # Not sent to others: when a fleet starts, each node reads it.
         if self.watch is not None:
-            self._take(await self.watch.read(), "store")
+            self._merge(await self.watch.read(), "store")
 
-    # What nodes tell each other
+    # Bulletins between nodes
 
-    def tell(self) -> None:
-        """Tell all other nodes at once, and again for those that a datagram did not reach."""
+    def broadcast(self) -> None:
+        """Send the state to all other nodes now, and once more in case a datagram was lost."""
         self._publish()
         loop = asyncio.get_running_loop()
         self.timers = [timer for timer in self.timers if timer.when() > loop.time()]
-        self.timers.append(loop.call_later(TOLD_AGAIN_S, self._publish))
+        self.timers.append(loop.call_later(REPEAT_DELAY_S, self._publish))
 
     def told(self) -> list[Any]:
-        news = StoreBulletin(self.store.epoch, self.policy.snapshot(self.clock.monotonic()))
-        return news.pack()
+        bulletin = StoreBulletin(self.store.epoch, self.policy.snapshot(self.clock.monotonic()))
+        return bulletin.pack()
 
     def take(self, fields: list[Any], source: str) -> None:
         try:
-            news = unpack_store_bulletin(fields)
+            bulletin = unpack_store_bulletin(fields)
         except MalformedError as error:
             log.warning(
                 "evacuation.malformed",
@@ -102,26 +103,26 @@
                 reason=str(error),
             )
             return
-        self.listens = True
-        self.store.hear_epoch(news.epoch)
-        self.listens = False
-        self._take(news.evacuated, source)
+        self.is_receiving = True
+        self.store.hear_epoch(bulletin.epoch)
+        self.is_receiving = False
+        self._merge(bulletin.evacuated, source)
 
     def _publish(self) -> None:
         own = self.directory.self_member.node
         others = [member for member in self.directory.members() if member.node != own]
         self.publish(self.told(), others)
 
-    def _take(self, told: EvacuationSnapshot, source: str) -> bool:
+    def _merge(self, snapshot: EvacuationSnapshot, source: str) -> bool:
         now = self.clock.monotonic()
-        is_new = self.policy.merge(told, now)
+        is_new = self.policy.merge(snapshot, now)
         if is_new:
             self.refresh(source)
-            self._look_again(now)
+            self._schedule_refresh(now)
         return is_new
 
     def refresh(self, source: str = "time") -> None:
-        """Put into force what has changed, also by the time that has passed."""
+        """Apply the evacuations in force, which change with new snapshots and with time."""
         names = self.policy.in_force(self.clock.monotonic())
         if names == self.in_force:
             return
@@ -134,44 +135,49 @@
             version=self.policy.latest.version,
             begun=begun,
             ended=ended,
-            unknown=sorted(set(begun) - self._known_places()),
+            unknown=sorted(set(begun) - self._known_data_centres()),
         )
-        self.changed(names)
+        self.on_change(names)
 
-    def _look_again(self, now: float) -> None:
-        due = self.policy.next_expiry()
-        if due is not None:
+    def _schedule_refresh(self, now: float) -> None:
+        expires_at = self.policy.next_expiry()
+        if expires_at is not None:
             loop = asyncio.get_running_loop()
-            self.timers.append(loop.call_later(max(0.0, due - now) + AFTER_S, self.refresh))
+            self.timers.append(
+                loop.call_later(max(0.0, expires_at - now) + EXPIRY_SLACK_S, self.refresh)
+            )
 
-    def _known_places(self) -> set[str]:
+    def _known_data_centres(self) -> set[str]:
         return {member.data_centre for member in self.directory.members()}
 
-    # What operators do
+    # Operator commands
 
     async def evacuate(self, data_centre: str, author: str) -> None:
-        """Evacuate a data centre; raises ``not-found`` where no node is in it, else as the store.
+        """Evacuate a data centre; raises ``not-found`` if it has no node, else as the store.
 
-        A name that nobody has would have no effect, and is most likely a wrong one.
+        An evacuation of an unknown name would have no effect, and the name is most likely a
+        mistake.
         """
-        written = self._writable()
-        if data_centre not in self._known_places():
+        evacuation_store = self._writable_store()
+        if data_centre not in self._known_data_centres():
             raise MarjoramtideError(
                 ErrorCode.NOT_FOUND,
                 f"no node is in a data centre named {data_centre[:100]!r}; known: "
-                + ", ".join(sorted(self._known_places())),
+                + ", ".join(sorted(self._known_data_centres())),
                 step="evacuation.evacuate",
             )
-        await written.write(data_centre, EvacuationRecord(author, self.clock.wall()).encode())
-        await self._read_and_tell()
+        await evacuation_store.write(
+            data_centre, EvacuationRecord(author, self.clock.wall()).encode()
+        )
+        await self._read_and_broadcast()
 
     async def release(self, data_centre: str) -> None:
-        """Take an evacuation back; raises ``not-found`` where there is none, else as the store."""
-        await self._writable().remove(data_centre)
-        await self._read_and_tell()
+        """End an evacuation; raises ``not-found`` if there is none, else as the store."""
+        await self._writable_store().remove(data_centre)
+        await self._read_and_broadcast()
 
-    async def _read_and_tell(self) -> None:
-        """Put what was just written into force; the nodes that watch the store tell it as well."""
+    async def _read_and_broadcast(self) -> None:
+        """Apply what was just written; the nodes that watch the store send it to others as well."""
         assert self.watch is not None
         try:
             self.handle_snapshot(await self.watch.read())
@@ -179,9 +185,9 @@
             log.info("evacuation.read", code=error.code, reason=error.message)
 
     async def list_in_force(self) -> list[dict[str, Any]]:
-        """Return what is in force, by whom and since when, as plain values.
+        """Return the evacuations in force, with author and time, as plain values.
 
-        Where the store doesn't answer, by whom and since when is left open.
+        Author and time are empty if the store does not respond.
         """
         try:
             await self.read_store()
@@ -193,17 +199,17 @@
             for name in sorted(self.in_force)
         ]
 
-    def _writable(self) -> EvacuationStore:
-        if self.evacuations is None or self.watch is None or not self.watch.is_ours:
+    def _writable_store(self) -> EvacuationStore:
+        if self.evacuations is None or self.watch is None or not self.watch.is_writable:
             raise MarjoramtideError(
                 ErrorCode.BAD_SETTINGS,
-                "data centres of this fleet are evacuated by another system; do it there",
+                "another system manages the evacuations of this fleet; use that system",
                 step="evacuation.write",
             )
         return self.evacuations
 
     def close(self) -> None:
-        """Look no more."""
+        """Cancel all timers."""
         for timer in self.timers:
             timer.cancel()
 
@@ -216,21 +222,21 @@
     clock: Clock,
     rng: random.Random,
     is_watcher: Callable[[], bool],
-    is_ours: bool,
-    changed: Callable[[frozenset[str]], None],
+    is_writable: bool,
+    on_change: Callable[[frozenset[str]], None],
 ) -> EvacuationService:
-    """Return the evacuations of a node, which knows of none yet.
+    """Return the evacuation service of a node, which knows of no evacuations yet.
 
-    With an empty ``prefix`` the store can hold none, and is not asked for them.
+    With an empty ``prefix`` the store holds no evacuations, and is not read.
     """
-    service = EvacuationService(store, directory, publish, clock, changed)
+    service = EvacuationService(store, directory, publish, clock, on_change)
     store.on_epoch(service.epoch_changed)
     if prefix:
         service.evacuations = EvacuationStore(store, prefix, clock, rng)
         service.watch = EvacuationWatch(
             service.evacuations,
             is_watcher,
-            is_ours,
+            is_writable,
             service.handle_snapshot,
             lambda: frozenset(service.policy.held_until),
             clock,
