--- a/src/marjoramtide/peers/_peer_sign.py
+++ b/src/marjoramtide/peers/_peer_sign.py
@@ -1,11 +1,11 @@
-"""What a new connection to a node tells of it."""
+"""The result of a probe of a node."""
 
 from enum import Enum
 
 
-class PeerSign(Enum):
-    """Whether a node lives, as far as one attempt to connect shows."""
+class PeerProbeResult(Enum):
+    """Whether a node is alive, as far as one connection attempt shows."""
 
-    LIVES = "lives"
-    GONE = "gone"
+    ALIVE = "alive"
+    REFUSED = "refused"
     UNKNOWN = "unknown"
--- a/src/marjoramtide/peers/_run_listener.py
+++ b/src/marjoramtide/peers/_run_listener.py
@@ -1,14 +1,14 @@
-"""Who is told what other nodes run for their own callers."""
+"""The interface to what is notified of nodes that were lost with requests in flight."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
 
-from marjoramtide.peers._told_run import ToldRun
+from marjoramtide.peers._told_run import ReportedRequest
 
 
-class RunListener(ABC):
-    """Takes in what became of the connections by which nodes tell of their runs."""
+class InFlightListener(ABC):
+    """Notified when a connection breaks over which a node reported its requests in flight."""
 
     @abstractmethod
-    def lost(self, node: str, runs: Sequence[ToldRun]) -> None:
-        """Note that such a connection broke, and what its node was running then."""
+    def on_reporter_lost(self, node: str, requests: Sequence[ReportedRequest]) -> None:
+        """Handle the loss of such a connection; ``requests`` are those in flight at the node."""
