--- a/features/policy/interference.feature
+++ b/features/policy/interference.feature
@@ -144,7 +144,7 @@
     # requests began at once, 54 in 100 of all requests were answered within their goal.
     Given a server of 8 slots that runs 200 ms, and requests with a goal of 600 ms and 1500 ms in all
     And its neighbours slow it down 4 times in a third of its intervals of 300 ms
-    When 34 requests a second arrive for 30 s
+    When 34 requests a second are sent to it for 30 s
     Then at least 80 in 100 of all requests are answered before the goal
 
   Scenario: A request that arrives just after a possible change waits for the next read
@@ -194,7 +194,7 @@
     # Requests arrive at twice the capacity of the server for 10 s. In the order of deadlines nearly
     # every request is answered, but late. In the order of goals as many are answered, in time.
     Given a server of 8 slots that runs 100 ms, and requests with a goal of 300 ms and 800 ms in all
-    When 160 requests a second arrive for 10 s
+    When 160 requests a second are sent to it for 10 s
     Then at least 90 in 100 of the answers come before the goal
     And at least 70 a second are answered
     And 95 in 100 refusals come within 40 ms
--- a/features/steps/interference_steps.py
+++ b/features/steps/interference_steps.py
@@ -259,7 +259,7 @@
     context.times, context.interval_s = float(times), interval_ms / 1000
 
 
-@when("{per_s:d} requests a second arrive for {seconds:d} s")
+@when("{per_s:d} requests a second are sent to it for {seconds:d} s")
 def when_load(context: Any, per_s: int, seconds: int) -> None:
     """Simulate arrivals, ends, changes of the slowdown and expiries in order of time."""
     admission, rng = context.admission, random.Random(11)
