--- a/features/platform_harness.py
+++ b/features/platform_harness.py
@@ -175,7 +175,7 @@
     def knows_all(self, seat: Seat) -> bool:
         services = {each.settings.service for each in self.seats}
         known = sum(len(seat.node.membership.members_of(service)) for service in services)
-        return seat.node.takes_callers() and known == len(self.seats)
+        return seat.node.accepts_callers() and known == len(self.seats)
 
     async def wait_for(self, condition: Callable[[], bool], timeout: float = WAIT_S) -> None:
         async with asyncio.timeout(timeout):
--- a/features/steps/node_tasks_steps.py
+++ b/features/steps/node_tasks_steps.py
@@ -46,16 +46,16 @@
     context.health = ScriptedHealth([b"[" * count, b'{"state": "draining"}'])
     context.states = []
     context.clock = ManualClock()
-    context.measurer = HealthChecker(
+    context.health_checker = HealthChecker(
         context.health, context.clock, Metrics(), context.states.append
     )
-    context.measurer.configure(RouteSettings(service="s"))
+    context.health_checker.configure(RouteSettings(service="s"))
 
 
 @when("it has read twice")
 def when_read_twice(context: Any) -> None:
     async def work() -> None:
-        task = asyncio.create_task(context.measurer.run())
+        task = asyncio.create_task(context.health_checker.run())
         while context.health.reads < 2 and not task.done():
             await pass_time(context.clock, 1.0)
         task.cancel()
--- a/features/steps/platform_evacuation_steps.py
+++ b/features/steps/platform_evacuation_steps.py
@@ -78,7 +78,7 @@
         fleet.configure(5, [route("/tiles/", {"mapdesk": 1}, MaxAttempts=2)])
         started = fleet.seats[-1]
         await started.registrant.heartbeat(started.server.instance)
-        await fleet.wait_for(started.node.takes_callers)
+        await fleet.wait_for(started.node.accepts_callers)
 
     run(context, begin())
 
--- a/features/steps/platform_life_steps.py
+++ b/features/steps/platform_life_steps.py
@@ -85,7 +85,7 @@
 
     async def book() -> None:
         await register_first_time(first)
-        await context.fleet.wait_for(second.node.takes_callers)
+        await context.fleet.wait_for(second.node.accepts_callers)
         members = second.node.membership.members_of
         await context.fleet.wait_for(lambda: members("mapdesk"))
         work = [begin_booking(context, second) for _ in range(2)]
@@ -138,7 +138,7 @@
         await fill(fleet, services.split(", "))
         for each in fleet.seats:
             each.server.faults.drain = leaving
-        await fleet.wait_for(lambda: all(each.node.takes_callers() for each in fleet.seats))
+        await fleet.wait_for(lambda: all(each.node.accepts_callers() for each in fleet.seats))
         await asyncio.sleep(0.5)
 
     run(context, start())
--- a/features/steps/platform_named_limits_steps.py
+++ b/features/steps/platform_named_limits_steps.py
@@ -117,7 +117,7 @@
         lookups.entered_anew(0)
         await context.fleet.restart_node(0)
         await context.fleet.seats[0].registrant.heartbeat("i-1")
-        await context.fleet.wait_for(context.fleet.seats[0].node.takes_callers)
+        await context.fleet.wait_for(context.fleet.seats[0].node.accepts_callers)
         lookups.down.discard(0)
 
     run(context, restart())
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -294,7 +294,7 @@
         await register_first_time(first)
         ready = first.node.serving.admission
         await context.fleet.wait_for(lambda: ready.report(0.0).accepts)
-        await context.fleet.wait_for(first.node.takes_callers)
+        await context.fleet.wait_for(first.node.accepts_callers)
         work = [begin_booking(context, first) for _ in range(count)]
         context.bookings = [asyncio.create_task(each) for each in work]
         await context.fleet.wait_for(lambda: len(first.node.serving.queue.waiting) == count - 1)
@@ -440,7 +440,7 @@
         # A look at the health uses the connection that the bookings use.
         await asyncio.Event().wait()
 
-    first.node.server.measurer.check = unread
+    first.node.server.health_checker.check = unread
     run(context, asyncio.sleep(1.5))
 
 
--- a/features/steps/server_ends_steps.py
+++ b/features/steps/server_ends_steps.py
@@ -149,7 +149,7 @@
 def given_silent(context: Any, seconds: float) -> None:
     node = seat(context, 1).node
     watch = node.serving.crash_monitor.detector
-    node.server.measurer.result_listener = None
+    node.server.health_checker.result_listener = None
     began = node.clock.monotonic() - seconds
     watch.last_response_at = began - 1
     watch.request_started(1, make_run("a", began))
@@ -160,10 +160,12 @@
     node = seat(context, 1).node
     now = node.clock.monotonic()
     if "stopped" in when:
-        node.freeze.thawed_at = now
+        node.freeze_detector.thawed_at = now
 
     async def note() -> None:
-        node.server.note_health(HealthCheckResult(BackendState.DOWN, is_reachable=False), now - 1)
+        node.server.record_health_check(
+            HealthCheckResult(BackendState.DOWN, is_reachable=False), now - 1
+        )
 
     run(context, note())
 
--- a/features/steps/server_starts_steps.py
+++ b/features/steps/server_starts_steps.py
@@ -48,7 +48,7 @@
         await register_first_time(each)
         ready = each.node.serving.admission
         await context.fleet.wait_for(lambda: ready.report(0.0).accepts)
-        await context.fleet.wait_for(each.node.takes_callers)
+        await context.fleet.wait_for(each.node.accepts_callers)
         context.bookings = [asyncio.create_task(begin_booking(context, each))]
         await context.fleet.wait_for(lambda: each.server.slots.in_use == 1)
         each.server.start_again(each.registrant.slots)
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -190,7 +190,7 @@
 
 @then("it asks to be stopped")
 def then_stopping(context: Any) -> None:
-    assert context.node.stop_asked.is_set()
+    assert context.node.stop_requested.is_set()
 
 
 @when("settings with {count:d} connections come into force there")
--- a/features/steps/store_epoch_steps.py
+++ b/features/steps/store_epoch_steps.py
@@ -79,7 +79,7 @@
         context.revisions = set()
         ends = time.monotonic() + 3.0
         while time.monotonic() < ends:
-            if started.node.takes_callers():
+            if started.node.accepts_callers():
                 context.revisions.add(started.node.view.revision)
             await asyncio.sleep(POLL_S)
 
--- a/src/marjoramtide/daemon/_gauges.py
+++ b/src/marjoramtide/daemon/_gauges.py
@@ -39,5 +39,5 @@
         "store.calls": node.store.calls_made,
         "store.unreadable": node.store.unreadable,
         "log.lines_lost": log_output.lost,
-        "freezes": node.freeze.count,
+        "freezes": node.freeze_detector.count,
     }
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -83,7 +83,7 @@
         self.store = open_object_store(
             settings.store, clock=self.clock, rng=rng, protocol=interface.store
         )
-        self.freeze = FreezeDetector(self.clock)
+        self.freeze_detector = FreezeDetector(self.clock)
         self.membership = make_membership(settings, self.store, self.clock, random.SystemRandom())
         self.name = self.membership.self_member.node
         self.metrics = Metrics(settings.statsd)
@@ -91,7 +91,7 @@
         self.transport = HttpTransport(settings.backend, FIRST_CONNECTIONS, interface.backend)
         self.claims = make_claims(self.store, self.clock, self.name)
         self.peer_client = PeerClient(settings.key, self.clock)
-        self.peer_server = PeerServer(settings.key, self.clock, self.freeze)
+        self.peer_server = PeerServer(settings.key, self.clock, self.freeze_detector)
         control = PeerControlChannel(self.peer_client, self.peer_server)
         self.settings_service = make_settings_service(
             settings,
@@ -100,7 +100,7 @@
             control,
             self.clock,
             rng,
-            self.freeze,
+            self.freeze_detector,
             interface.tree,
         )
         self.view = self.settings_service.view
@@ -148,13 +148,15 @@
             self.transport,
             interface,
             self.clock,
-            self.freeze,
+            self.freeze_detector,
             self.metrics,
             self.update_state,
             lambda: self.settings_changed(self.view.revision),
         )
         self.quarantine.held_listener = self.serving.reject_quarantined
-        self.start_up = StartupGrace(self.clock, self.freeze, is_quarantine_known=self.is_informed)
+        self.start_up = StartupGrace(
+            self.clock, self.freeze_detector, is_quarantine_known=self.is_informed
+        )
         self.quarantine.spreader.informed_listener = self.start_up.notify
         self.peer_ends = PeerCrashDetector(
             self.peer_client,
@@ -218,7 +220,7 @@
         self.app_servers = self.make_app_servers()
         self.stopping = False
         self.serving_ended = False
-        self.stop_asked = asyncio.Event()
+        self.stop_requested = asyncio.Event()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.view.on_change(self.settings_changed)
         self.membership.on_change(self.member_changed)
@@ -241,9 +243,9 @@
                 ErrorCode.BAD_SETTINGS, f"can't listen: {error}", step="daemon.start"
             ) from error
         works: dict[str, Callable[[], Awaitable[None]]] = {
-            "freeze": self.freeze.run,
+            "freeze": self.freeze_detector.run,
             "settings": self.settings_service.run,
-            "measurer": self.server.measurer.run,
+            "measurer": self.server.health_checker.run,
             "metrics": self.metrics.run,
             "logs": summarise_logs,
             "quarantine": self.quarantine.run,
@@ -276,7 +278,7 @@
             app = make_metrics_app(self.metrics, self.refresh_gauges)
             servers[settings.metrics] = AppServer("metrics", app)
         if self.interface.readiness_app is not None and settings.readiness:
-            app = self.interface.readiness_app(self.takes_callers)
+            app = self.interface.readiness_app(self.accepts_callers)
             servers[settings.readiness] = AppServer("readiness", app)
         if self.interface.registration_app is not None and self.server.registrar is not None:
             app = self.interface.registration_app(self.server.registrar)
@@ -288,7 +290,7 @@
         for name, level in node_gauges(self).items():
             self.metrics.gauge(name, float(level))
 
-    def takes_callers(self) -> bool:
+    def accepts_callers(self) -> bool:
         """Tell whether callers may be sent to this node."""
         return self.view.revision > 0 and self.view.is_current and not self.stopping
 
@@ -373,7 +375,7 @@
             # only frozen or cut off. Nobody would send here any more, yet callers that still reach
             # this one would be served beside the fleet's knowledge, by settings of their own.
             log.error("daemon.superseded", code=ErrorCode.PEER_REFUSED, step="daemon.membership")
-            self.stop_asked.set()
+            self.stop_requested.set()
         elif member.state is MemberState.DEAD and not own:
             self.spawn(self.peer_client.drop(member.peer_address))
 
--- a/src/marjoramtide/daemon/_operators.py
+++ b/src/marjoramtide/daemon/_operators.py
@@ -63,7 +63,7 @@
         "load": attrs.asdict(report),
         "stated": attrs.asdict(node.server.statements.statement),
         "held_requests": len(node.quarantine.shown()),
-        "freezes": node.freeze.count,
+        "freezes": node.freeze_detector.count,
         "totals": dict(node.metrics.totals),
         "log_lines_lost": log_output.lost,
         "gossip": attrs.asdict(node.membership.counters),
--- a/src/marjoramtide/daemon/_own_server.py
+++ b/src/marjoramtide/daemon/_own_server.py
@@ -41,7 +41,7 @@
         transport: HttpTransport,
         interface: Interface,
         clock: Clock,
-        freeze: FreezeDetector,
+        freeze_detector: FreezeDetector,
         metrics: Metrics,
         changed: Callable[[], None],
         resized: Callable[[], None],
@@ -50,14 +50,19 @@
         self.transport = transport
         self.protocol = interface.backend
         self.clock = clock
-        self.freeze = freeze
+        self.freeze_detector = freeze_detector
         self.changed = changed
         self.resized = resized
-        self.measurer = HealthChecker(
-            transport, clock, metrics, self.state_changed, interface.backend, self.note_health
+        self.health_checker = HealthChecker(
+            transport,
+            clock,
+            metrics,
+            self.state_changed,
+            interface.backend,
+            self.record_health_check,
         )
-        self.measurer.preferred_check_at = serving.preferred_check_at
-        serving.health_checker = self.measurer
+        self.health_checker.preferred_check_at = serving.preferred_check_at
+        serving.health_checker = self.health_checker
         transport.on_response = self.note_reply
         transport.on_connection_refused = serving.crash_monitor.connection_refused
         self.registrar: Registrar | None = None
@@ -95,7 +100,7 @@
         """Go on by these settings of the server's service."""
         self.transport.max_connections = settings.connections
         self.cold_start_s = settings.cold_start_s
-        self.measurer.configure(settings)
+        self.health_checker.configure(settings)
 
     def state_changed(self, state: BackendState) -> None:
         self.state = state
@@ -104,16 +109,18 @@
     async def ask_identity(self) -> str:
         """Read from the server who it is; empty where it doesn't say."""
         try:
-            answer = await self.transport.read(self.measurer.path, IDENTITY_TIMEOUT_S)
+            answer = await self.transport.read(self.health_checker.path, IDENTITY_TIMEOUT_S)
         except (MarjoramtideError, TimeoutError) as error:
             log.info("daemon.identity_unknown", reason=str(error), step="daemon.identity")
             return ""
         return self.protocol.read_health(answer).instance
 
-    def note_health(self, reading: HealthCheckResult, asked_at: float) -> None:
+    def record_health_check(self, reading: HealthCheckResult, asked_at: float) -> None:
         """Take in what the server's health says, or that it says nothing."""
         # Given up because this process stood still, a look says nothing of the server.
-        is_late = not reading.is_reachable and self.freeze.was_frozen(self.clock.monotonic())
+        is_late = not reading.is_reachable and self.freeze_detector.was_frozen(
+            self.clock.monotonic()
+        )
         if self._is_of(reading.instance) and not is_late:
             self.serving.crash_monitor.note_health_check(
                 is_reachable=reading.is_reachable, asked_at=asked_at
--- a/src/marjoramtide/daemon/_process.py
+++ b/src/marjoramtide/daemon/_process.py
@@ -35,7 +35,7 @@
     node = Node(settings, make_interface(settings))
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, node.stop_asked.set)
+        loop.add_signal_handler(number, node.stop_requested.set)
     watch = SettingsWatch(path, lambda changed: node.reload(changed, make_interface(changed)))
     loop.add_signal_handler(signal.SIGHUP, watch.look_now)
     node.spawn(keep_running("settings file", watch.run, node.clock, node.metrics))
@@ -49,7 +49,7 @@
     # amid the first requests of a node, and left as much memory in use (33.8 MB without and with).
     gc.freeze()
     gc.enable()
-    await node.stop_asked.wait()
+    await node.stop_requested.wait()
     await node.stop()
 
 
--- a/src/marjoramtide/ingress/_dispatcher.py
+++ b/src/marjoramtide/ingress/_dispatcher.py
@@ -451,7 +451,7 @@
         with self.tracer.span("attempt", request.trace) as span:
             if span is not None:
                 span.attributes |= {"to": node, "attempt": attempts.count}
-                request = attrs.evolve(request, trace=span.header(), attempt=attempts.count)
+                request = attrs.evolve(request, trace=span.traceparent(), attempt=attempts.count)
             elif attempts.count > 1:
                 request = attrs.evolve(request, attempt=attempts.count)
             if node == self.directory.self_member.node:
--- a/src/marjoramtide/ingress/_ingress.py
+++ b/src/marjoramtide/ingress/_ingress.py
@@ -31,7 +31,7 @@
 from marjoramtide.ingress._request_quota import NoQuota, QuotaLease, RequestQuota
 from marjoramtide.ingress._start_up import StartupGrace
 from marjoramtide.settings import RouteSettings, SettingsView
-from marjoramtide.telemetry import Metrics, Tracer, read_trace
+from marjoramtide.telemetry import Metrics, Tracer, parse_traceparent
 
 log = structlog.get_logger()
 
@@ -159,9 +159,9 @@
             with self.tracer.span("ingress", request.trace) as span:
                 if span is not None:
                     span.attributes |= {"method": request.method, "service": request.service}
-                    if read_trace(http_request.headers.get("Traceparent", "")) is None:
+                    if parse_traceparent(http_request.headers.get("Traceparent", "")) is None:
                         span.parent_id = ""
-                    request = attrs.evolve(request, trace=span.header())
+                    request = attrs.evolve(request, trace=span.traceparent())
                 answer = await self.dispatcher.dispatch(request, body, settings)
             self.log_if_late(request, answer)
             return await self.send(http_request, request, answer)
--- a/src/marjoramtide/ingress/_read_request.py
+++ b/src/marjoramtide/ingress/_read_request.py
@@ -161,7 +161,7 @@
 ) -> tuple[Request, RouteSettings]:
     """Return the request with the settings of its route; raises the error for the caller."""
     settings = read_route(http_request, view)
-    trace = tracer.begin(http_request.headers.get("Traceparent", ""), settings.trace_share)
+    trace = tracer.start_trace(http_request.headers.get("Traceparent", ""), settings.trace_share)
     request = Request(
         service=settings.service,
         method=http_request.method,
@@ -172,7 +172,7 @@
         deadline=now + read_timeout(http_request, settings),
         depth=read_depth(http_request, settings),
         idempotency_key=read_idempotency_key(http_request),
-        trace=trace.header(),
+        trace=trace.traceparent(),
         request_id=http_request.headers.get("X-Request-Id", "")[:MAX_KEY_CHARACTERS],
         parent_run=single_header(http_request, "Marjoramtide-Run"),
         rank=settings.rank,
--- a/src/marjoramtide/platform/_callers.py
+++ b/src/marjoramtide/platform/_callers.py
@@ -86,7 +86,7 @@
             deadline=now + read_remaining_ms(http, settings) / 1000,
             depth=1 + request_id.count(CALL_SEPARATOR),
             parent_run=request_id.rpartition(CALL_SEPARATOR)[0],
-            trace=tracer.begin("", settings.trace_share).header(),
+            trace=tracer.start_trace("", settings.trace_share).traceparent(),
             request_id=request_id,
             rank=settings.rank,
             goal=now + settings.goal_ms / 1000 if settings.goal_ms else float("inf"),
--- a/src/marjoramtide/serving/_service.py
+++ b/src/marjoramtide/serving/_service.py
@@ -275,7 +275,7 @@
             with self.tracer.span("serving", request.trace) as span:
                 if span is not None:
                     # What the backend server does for this request is this span's child.
-                    execution.request = attrs.evolve(request, trace=span.header())
+                    execution.request = attrs.evolve(request, trace=span.traceparent())
                 answer = await self.send(execution)
                 if span is not None:
                     span.attributes |= {"status": answer.status, "urgent": request.urgent}
--- a/src/marjoramtide/telemetry/__init__.py
+++ b/src/marjoramtide/telemetry/__init__.py
@@ -4,7 +4,7 @@
 from marjoramtide.telemetry._logs import configure_logs, log_output, summarise_logs
 from marjoramtide.telemetry._metrics import Metrics
 from marjoramtide.telemetry._span import Span
-from marjoramtide.telemetry._trace_context import TraceContext, new_trace, read_trace
+from marjoramtide.telemetry._trace_context import TraceContext, new_trace, parse_traceparent
 from marjoramtide.telemetry._tracer import Tracer
 
 __all__ = [
@@ -16,6 +16,6 @@
     "log_output",
     "make_metrics_app",
     "new_trace",
-    "read_trace",
+    "parse_traceparent",
     "summarise_logs",
 ]
--- a/src/marjoramtide/telemetry/_span.py
+++ b/src/marjoramtide/telemetry/_span.py
@@ -18,6 +18,6 @@
     duration_ms: float = 0.0
     attributes: dict[str, Any] = attrs.Factory(dict)
 
-    def header(self) -> str:
+    def traceparent(self) -> str:
         """Return the ``traceparent`` by which the next hop names this span as its parent."""
         return f"00-{self.trace_id}-{self.span_id}-01"
--- a/src/marjoramtide/telemetry/_trace_context.py
+++ b/src/marjoramtide/telemetry/_trace_context.py
@@ -20,7 +20,7 @@
     span_id: str
     sampled: bool
 
-    def header(self) -> str:
+    def traceparent(self) -> str:
         """Return the ``traceparent`` value."""
         return f"00-{self.trace_id}-{self.span_id}-{int(self.sampled):02x}"
 
@@ -29,7 +29,7 @@
         return TraceContext(self.trace_id, f"{rng.getrandbits(64):016x}", self.sampled)
 
 
-def read_trace(header: str) -> TraceContext | None:
+def parse_traceparent(header: str) -> TraceContext | None:
     """Return the context in a ``traceparent`` header, or ``None`` where it is not valid."""
     match = PATTERN.fullmatch(header)
     if match is None:
--- a/src/marjoramtide/telemetry/_tracer.py
+++ b/src/marjoramtide/telemetry/_tracer.py
@@ -16,7 +16,7 @@
     TraceContext,
     is_sampled,
     new_trace,
-    read_trace,
+    parse_traceparent,
 )
 
 KEPT_SPANS = 2048
@@ -45,12 +45,12 @@
         self.second = 0
         self.begun = 0
 
-    def begin(self, header: str, share: float) -> TraceContext:
+    def start_trace(self, header: str, share: float) -> TraceContext:
         """Return the context of a caller's request, new where it brings none.
 
         Beyond ``MAX_TRACES_PER_S`` it is not sampled, whatever the caller or the share says.
         """
-        context = read_trace(header) or new_trace(self.rng, self.rng.random() < share)
+        context = parse_traceparent(header) or new_trace(self.rng, self.rng.random() < share)
         if context.sampled and not self.may_begin():
             return attrs.evolve(context, sampled=False)
         return context
@@ -69,7 +69,7 @@
         Gives ``None`` where the trace is not sampled, which is most requests: they pay for the
         look at one character.
         """
-        parent = read_trace(header) if is_sampled(header) else None
+        parent = parse_traceparent(header) if is_sampled(header) else None
         return NO_SPAN if parent is None else self.record(name, parent)
 
     @contextmanager
