--- a/features/steps/node_tasks_steps.py
+++ b/features/steps/node_tasks_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the long-lived tasks of a node."""
+"""Steps for the background tasks of a node."""
 
 import asyncio
 import random
@@ -8,7 +8,7 @@
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from marjoramtide.clock import ManualClock
-from marjoramtide.daemon._supervision import keep_running
+from marjoramtide.daemon._supervision import supervise
 from marjoramtide.membership import Member
 from marjoramtide.membership._announcement import ANNOUNCEMENT_PREFIX, announcement_of
 from marjoramtide.membership._announcer import Announcer
@@ -23,7 +23,7 @@
 
 
 class ScriptedHealth:
-    """Answers reads of the health endpoint from a list, the last one for ever."""
+    """Responds to health checks from a list, and repeats the last entry."""
 
     def __init__(self, bodies: list[bytes]) -> None:
         self.bodies = bodies
@@ -41,8 +41,8 @@
             await asyncio.sleep(0)
 
 
-@given("a node's reader of a backend server whose health is {count:d} brackets, then draining")
-def given_measurer(context: Any, count: int) -> None:
+@given("a health checker whose backend server responds with {count:d} brackets, then draining")
+def given_health_checker(context: Any, count: int) -> None:
     context.health = ScriptedHealth([b"[" * count, b'{"state": "draining"}'])
     context.states = []
     context.clock = ManualClock()
@@ -52,19 +52,19 @@
     context.health_checker.configure(RouteSettings(service="s"))
 
 
-@when("it has read twice")
-def when_read_twice(context: Any) -> None:
-    async def work() -> None:
+@when("two health checks have run")
+def when_checked_twice(context: Any) -> None:
+    async def run_scenario() -> None:
         task = asyncio.create_task(context.health_checker.run())
         while context.health.reads < 2 and not task.done():
             await pass_time(context.clock, 1.0)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    asyncio.run(work())
+    asyncio.run(run_scenario())
 
 
-@then("it knows the states ready and draining")
+@then("it has reported the states ready and draining")
 def then_states(context: Any) -> None:
     assert context.states == ["ready", "draining"], context.states
 
@@ -75,26 +75,26 @@
     context.metrics = Metrics()
     context.clock = ManualClock()
 
-    async def work() -> None:
+    async def fail_then_wait() -> None:
         context.runs += 1
         if context.runs <= FAILURES:
             raise ZeroDivisionError("a fault of this scenario")
         await asyncio.Event().wait()
 
-    context.work = work
+    context.task_function = fail_then_wait
 
 
 @when("{seconds:g} s pass on the node's clock")
 def when_time_passes(context: Any, seconds: float) -> None:
-    async def work() -> None:
+    async def run_scenario() -> None:
         task = asyncio.create_task(
-            keep_running("test", context.work, context.clock, context.metrics)
+            supervise("test", context.task_function, context.clock, context.metrics)
         )
         await pass_time(context.clock, seconds)
         context.running = not task.done()
         task.cancel()
 
-    asyncio.run(work())
+    asyncio.run(run_scenario())
 
 
 @then("the task runs, and {count:d} restarts were counted")
@@ -104,8 +104,8 @@
     assert context.metrics.totals["daemon.task_restarts"] == count
 
 
-class OddStore:
-    """Holds one announcement of somebody else, and counts the writes of the node."""
+class ForeignAnnouncementStore:
+    """Holds one announcement of another node, and counts the writes of the node under test."""
 
     def __init__(self, value: bytes) -> None:
         self.other = StoredObject(ANNOUNCEMENT_PREFIX + "other", value, 1)
@@ -124,14 +124,14 @@
         return [self.other]
 
     async def delete(self, key: str, version: int, *, timeout: float = 2.0) -> None:
-        raise AssertionError("it may be somebody's")
+        raise AssertionError("the announcement may be another node's")
 
 
 @given("a store in which an announcement has the text {time} as its time")
-def given_odd_store(context: Any, time: str) -> None:
+def given_malformed_announcement(context: Any, time: str) -> None:
     own = Member("n", "s", "r", "d", "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
-    odd = attrs.evolve(announcement_of(own, 0.0), node="other", gossip_address="127.0.0.1:4")
-    context.store = OddStore(attrs.evolve(odd, refreshed=time).encode())
+    malformed = attrs.evolve(announcement_of(own, 0.0), node="other", gossip_address="127.0.0.1:4")
+    context.store = ForeignAnnouncementStore(attrs.evolve(malformed, refreshed=time).encode())
     context.clock = ManualClock()
     context.announcer = Announcer(
         context.store, context.clock, random.Random(1), lambda: own, lambda: 1, lambda found: None
@@ -140,14 +140,14 @@
 
 @when("a node announces itself for {seconds:g} s")
 def when_announces(context: Any, seconds: float) -> None:
-    async def work() -> None:
+    async def run_scenario() -> None:
         task = asyncio.create_task(context.announcer.run())
         await pass_time(context.clock, seconds, 1.0)
         context.running = not task.done()
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
 
-    asyncio.run(work())
+    asyncio.run(run_scenario())
 
 
 @then("it has announced itself at least {count:d} times, and goes on")
--- a/src/marjoramtide/__init__.py
+++ b/src/marjoramtide/__init__.py
@@ -4,5 +4,5 @@
 
 __version__ = "0.1.0.dev0"
 
-# When this process began, in seconds of the monotonic clock: before all other imports.
-process_began_at = monotonic()
+# Start of the process on the monotonic clock, in seconds; read before all other imports.
+process_started_at = monotonic()
--- a/src/marjoramtide/daemon/__init__.py
+++ b/src/marjoramtide/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The node as a process."""
+"""The node process: startup, shutdown, reloading and background tasks."""
--- a/src/marjoramtide/daemon/_gauges.py
+++ b/src/marjoramtide/daemon/_gauges.py
@@ -1,4 +1,4 @@
-"""What a node tells its metrics of its state."""
+"""The gauges of a node."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 def node_gauges(node: Node) -> dict[str, float]:
-    """Return the levels of a node's gauges at this moment."""
+    """Return the present values of a node's gauges by name."""
     now = node.clock.monotonic()
     report = node.serving.report(now)
-    said = node.server.statements.said
+    tracker = node.server.statements.tracker
     return {
         "members": len(node.membership.members()),
         "settings.revision": node.view.revision,
@@ -25,8 +25,8 @@
         "serving.limit": report.limit,
         "serving.accepts": report.accepts,
         "serving.slowdown": report.slowdown,
-        "serving.named_rate": -1.0 if said.rate_per_s is None else said.rate_per_s,
-        "serving.leaving": said.leaving,
+        "serving.named_rate": -1.0 if tracker.rate_per_s is None else tracker.rate_per_s,
+        "serving.leaving": tracker.leaving,
         "serving.connections": len(node.transport.connections),
         "serving.registrations_refused": node.server.refused_registrations,
         "quarantine.held": len(node.quarantine.policy.held(now)),
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -1,4 +1,4 @@
-"""One node: its parts, their start and their planned stop."""
+"""The node: its components, their start and their graceful shutdown."""
 
 import asyncio
 import random
@@ -8,18 +8,18 @@
 import attrs
 import structlog
 
-from marjoramtide import process_began_at
+from marjoramtide import process_started_at
 from marjoramtide.claims import (
     make_claim_cleaner,
     make_claims,
 )
 from marjoramtide.clock import FreezeDetector, SystemClock
+from marjoramtide.daemon._backend_server_monitor import BackendServerMonitor
 from marjoramtide.daemon._gauges import node_gauges
-from marjoramtide.daemon._node_news import NodeNews
+from marjoramtide.daemon._graceful_shutdown import shut_down_gracefully
+from marjoramtide.daemon._node_bulletins import NodeBulletins
 from marjoramtide.daemon._operators import make_node_handle
-from marjoramtide.daemon._own_server import OwnServer
-from marjoramtide.daemon._planned_stop import stop_as_planned
-from marjoramtide.daemon._supervision import keep_running
+from marjoramtide.daemon._supervision import supervise
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.evacuation import make_evacuations
 from marjoramtide.ingress import (
@@ -59,22 +59,22 @@
 
 log = structlog.get_logger()
 
-# Until the settings say how many connections the backend server takes.
-FIRST_CONNECTIONS = 10
-# Keys of the settings file that are taken over while the node runs.
-RELOADED = frozenset(("bounds", "base_tree", "stop_grace_s"))
+# Connections to the backend server until the settings give their limit.
+INITIAL_CONNECTIONS = 10
+# Keys of the settings file that take effect without a restart.
+RELOADABLE_KEYS = frozenset(("bounds", "base_tree", "stop_grace_s"))
 
 
 class Node:
-    """Owns the parts of a node; each part owns its sockets and its state."""
+    """Owns the components of a node; each component owns its sockets and its state."""
 
     def __init__(
         self,
         settings: NodeSettings,
         interface: Interface | None = None,
-        began_at: float = process_began_at,
+        started_at: float = process_started_at,
     ) -> None:
-        """``began_at`` is when the process began, in seconds of the monotonic clock."""
+        """``started_at`` is the start of the process on the monotonic clock, in seconds."""
         self.settings = settings
         self.interface = interface = interface or own_interface()
         self.stop_grace_s = interface.stop_grace_s or settings.stop_grace_s
@@ -88,7 +88,7 @@
         self.name = self.membership.self_member.node
         self.metrics = Metrics(settings.statsd)
         self.tracer = Tracer(self.name, self.clock, rng, settings.trace_file)
-        self.transport = HttpTransport(settings.backend, FIRST_CONNECTIONS, interface.backend)
+        self.transport = HttpTransport(settings.backend, INITIAL_CONNECTIONS, interface.backend)
         self.claims = make_claims(self.store, self.clock, self.name)
         self.peer_client = PeerClient(settings.key, self.clock)
         self.peer_server = PeerServer(settings.key, self.clock, self.freeze_detector)
@@ -116,7 +116,7 @@
             interface.tree.is_ours,
             self.evacuations_changed,
         )
-        self.claim_gate = IdempotencyKeyDispatcher(self.claims, self.view, self.clock)
+        self.idempotency_dispatcher = IdempotencyKeyDispatcher(self.claims, self.view, self.clock)
         self.quarantine = make_quarantine(
             settings.key, self.membership, self.membership.publish, self.clock, rng, self.metrics
         )
@@ -131,19 +131,19 @@
         self.serving = ServingService(
             settings.service,
             self.transport,
-            self.claim_gate,
+            self.idempotency_dispatcher,
             self.view,
             self.clock,
             self.metrics,
             self.tracer,
             self.quarantine,
-            began_at,
+            started_at,
             self.run_teller,
         )
         self.peer_server.handler = self.serving
         if interface.runs is not None:
             interface.runs.listener = self.serving.running
-        self.server = OwnServer(
+        self.server = BackendServerMonitor(
             self.serving,
             self.transport,
             interface,
@@ -154,18 +154,18 @@
             lambda: self.settings_changed(self.view.revision),
         )
         self.quarantine.held_listener = self.serving.reject_quarantined
-        self.start_up = StartupGrace(
-            self.clock, self.freeze_detector, is_quarantine_known=self.is_informed
+        self.startup_grace = StartupGrace(
+            self.clock, self.freeze_detector, is_quarantine_known=self.is_quarantine_known
         )
-        self.quarantine.spreader.informed_listener = self.start_up.notify
-        self.peer_ends = PeerCrashDetector(
+        self.quarantine.spreader.informed_listener = self.startup_grace.notify
+        self.peer_crash_detector = PeerCrashDetector(
             self.peer_client,
             self.clock,
             self.metrics,
             self.quarantine.fingerprint,
             self.quarantine.node_ended,
         )
-        self.peer_server.run_listener = RunWitness(self.membership, self.peer_ends)
+        self.peer_server.run_listener = RunWitness(self.membership, self.peer_crash_detector)
         self.dispatcher = Dispatcher(
             self.membership,
             self.view,
@@ -175,8 +175,8 @@
             rng,
             self.metrics,
             self.tracer,
-            self.start_up,
-            self.peer_ends,
+            self.startup_grace,
+            self.peer_crash_detector,
         )
         self.quotas = make_quota_service(
             self.view,
@@ -195,7 +195,7 @@
             self.metrics,
             self.tracer,
             interface.callers,
-            self.start_up,
+            self.startup_grace,
             Authenticator(
                 self.view,
                 interface.callers.scheme,
@@ -203,7 +203,7 @@
             ),
             self.quotas,
         )
-        self.news = NodeNews(
+        self.bulletins = NodeBulletins(
             self.membership,
             self.dispatcher,
             self.quarantine,
@@ -212,37 +212,37 @@
             self.quotas,
             rng,
         )
-        self.membership.on_bulletin(self.news.take)
-        self.membership.relay_targets = self.news.passed_on_to
-        self.serving.load_listener = self.news.tell_load
-        self.claims.witnesses = self.news.tell_claim
+        self.membership.on_bulletin(self.bulletins.handle)
+        self.membership.relay_targets = self.bulletins.relay_recipients
+        self.serving.load_listener = self.bulletins.publish_load
+        self.claims.witnesses = self.bulletins.publish_claim
         self.drained_by_operator = False
         self.app_servers = self.make_app_servers()
-        self.stopping = False
-        self.serving_ended = False
+        self.is_stopping = False
+        self.has_stopped_serving = False
         self.stop_requested = asyncio.Event()
         self.tasks: set[asyncio.Task[Any]] = set()
         self.view.on_change(self.settings_changed)
         self.membership.on_change(self.member_changed)
         self.membership.on_change(self.quarantine.member_changed)
-        self.view.on_change(lambda revision: self.start_up.notify())
-        self.membership.on_change(lambda member: self.start_up.notify())
+        self.view.on_change(lambda revision: self.startup_grace.notify())
+        self.membership.on_change(lambda member: self.startup_grace.notify())
 
     async def start(self) -> None:
-        """Open every port and begin every task."""
+        """Open all ports and start all background tasks."""
         settings = self.settings
         try:
             await self.peer_server.start(*parse_address(settings.peers))
             await self.membership.start()
-            self.start_up.begin()
+            self.startup_grace.begin()
             await self.ingress.start(*parse_address(settings.callers))
             for address, server in self.app_servers.items():
                 await server.start(*parse_address(address))
         except OSError as error:
             raise MarjoramtideError(
-                ErrorCode.BAD_SETTINGS, f"can't listen: {error}", step="daemon.start"
+                ErrorCode.BAD_SETTINGS, f"cannot listen: {error}", step="daemon.start"
             ) from error
-        works: dict[str, Callable[[], Awaitable[None]]] = {
+        loops: dict[str, Callable[[], Awaitable[None]]] = {
             "freeze": self.freeze_detector.run,
             "settings": self.settings_service.run,
             "measurer": self.server.health_checker.run,
@@ -253,16 +253,17 @@
             "evacuations": self.evacuations.run,
         }
         if self.interface.takes_keys:
-            works |= self.claim_works()
-        for name, work in works.items():
-            self.spawn(keep_running(name, work, self.clock, self.metrics))
+            loops |= self.claim_tasks()
+        for name, run in loops.items():
+            self.spawn(supervise(name, run, self.clock, self.metrics))
         log.info("daemon.started", callers=settings.callers, peers=settings.peers)
 
-    def claim_works(self) -> dict[str, Callable[[], Awaitable[None]]]:
-        """Return what settles and cleans the claims of idempotency keys.
+    def claim_tasks(self) -> dict[str, Callable[[], Awaitable[None]]]:
+        """Return the tasks that complete and expire claims of idempotency keys.
 
-        Where no keys are sent, each node would list claims that are never made once in ten seconds:
-        among twelve nodes the most calls of a calm minute.
+        They are omitted where no caller sends keys: each node would list the claims in the store
+        once in ten seconds although there are none, which for twelve nodes was the largest share of
+        store calls at low load.
         """
         cleaner = make_claim_cleaner(
             self.store, self.clock, fleet_size=lambda: len(self.membership.members())
@@ -270,7 +271,7 @@
         return {"claims": self.claims.run, "claim cleaner": cleaner.run}
 
     def make_app_servers(self) -> dict[str, AppServer]:
-        """Return the small HTTP servers of this node by their addresses."""
+        """Return the HTTP servers for operators, metrics, readiness and registration by address."""
         settings = self.settings
         operators = make_operators_app(make_node_handle(self))
         servers = {settings.operators: AppServer("operators", operators)}
@@ -286,21 +287,21 @@
         return servers
 
     def refresh_gauges(self) -> None:
-        """Set what is a state rather than a count, for whoever reads the metrics."""
+        """Set the gauges to their present values."""
         for name, level in node_gauges(self).items():
             self.metrics.gauge(name, float(level))
 
     def accepts_callers(self) -> bool:
-        """Tell whether callers may be sent to this node."""
-        return self.view.revision > 0 and self.view.is_current and not self.stopping
+        """Tell whether this node is ready for callers' requests, for its readiness check."""
+        return self.view.revision > 0 and self.view.is_current and not self.is_stopping
 
-    def is_informed(self) -> bool:
-        """Tell whether this node has heard what is held back, or nobody is there to tell it."""
+    def is_quarantine_known(self) -> bool:
+        """Tell whether the quarantine was received from another node, or there is no other node."""
         return self.quarantine.spreader.is_informed or self.membership.is_alone
 
-    def spawn(self, work: Coroutine[Any, Any, Any]) -> None:
-        """Run a task of the node for as long as the node runs."""
-        task = asyncio.create_task(work)
+    def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
+        """Run a coroutine as a task that is cancelled when the node closes."""
+        task = asyncio.create_task(coroutine)
         self.tasks.add(task)
         task.add_done_callback(self.task_ended)
 
@@ -315,11 +316,11 @@
             )
 
     def settings_changed(self, revision: int) -> None:
-        """Put a new revision of the shared settings into force in this node's own parts."""
+        """Apply a new revision of the settings tree to the components of this node."""
         try:
             settings = self.view.route(self.settings.service, "/")
         except MarjoramtideError as error:
-            log.warning("daemon.no_service", code=error.code, reason=error.message)
+            log.warning("daemon.service_not_in_settings", code=error.code, reason=error.message)
             return
         if self.server.slots is not None:
             settings = attrs.evolve(settings, slots=self.server.slots)
@@ -329,67 +330,67 @@
         self.update_state()
 
     def evacuations_changed(self, data_centres: frozenset[str]) -> None:
-        """Send nothing to backend servers of evacuated data centres, nor give the own one any."""
+        """Route no requests to evacuated data centres, and reject here if this is one of them."""
         self.membership.set_evacuated(data_centres)
         self.serving.set_evacuated(self.settings.data_centre in data_centres)
         self.update_state()
-        # What waits for members may be refused at once now, or have somewhere to go.
-        self.start_up.notify()
+        # Requests that wait for members may now be routed, or rejected at once.
+        self.startup_grace.notify()
 
     def drain(self, drained: bool) -> None:
-        """Stop or resume taking new work, on an operator's word."""
+        """Stop (true) or resume (false) accepting new requests, on an operator's command."""
         self.drained_by_operator = drained
         self.update_state()
 
     def update_state(self) -> None:
-        """Tell the admission and the other nodes whether this one takes new work.
+        """Update the admission and the member state that the other nodes see.
 
-        The admission rejects at once, whatever the others still believe, so a leaving backend
-        server gets nothing new however slowly the word spreads.
+        The admission rejects at once, whatever state other nodes still hold, so a leaving backend
+        server gets no new requests however slowly its state spreads.
         """
-        opened = self.serving.is_open and self.server.is_known
-        is_able = (
-            opened
+        is_initialized = self.serving.is_open and self.server.is_state_known
+        can_serve = (
+            is_initialized
             and self.server.is_ready
             and not self.drained_by_operator
-            and not self.serving_ended
+            and not self.has_stopped_serving
         )
-        # A member in an evacuated data centre stays ready: all know the evacuation, and its end
-        # brings all these servers back at one moment, without news of each.
-        self.serving.set_accepting(is_able and not self.serving.is_evacuated)
-        if self.serving_ended:
+        # A member in an evacuated data centre stays READY: every node knows of the evacuation, and
+        # when it ends all these servers are used again at once, with no state change of each.
+        self.serving.set_accepting(can_serve and not self.serving.is_evacuated)
+        if self.has_stopped_serving:
             state = MemberState.LEAVING
-        elif is_able:
+        elif can_serve:
             state = MemberState.READY
         else:
-            state = MemberState.DRAINING if opened else MemberState.STARTING
+            state = MemberState.DRAINING if is_initialized else MemberState.STARTING
         if state is not self.membership.self_member.state:
             log.info("daemon.state", state=state, backend=self.server.state)
             self.membership.set_state(state)
 
     def member_changed(self, member: Member) -> None:
-        """Close the connections to a node that is known to be dead."""
-        own = member.node == self.name
-        if own and member.state is MemberState.DEAD and not self.stopping:
+        """Close the connections to a dead node; stop if this node itself was declared dead."""
+        is_self = member.node == self.name
+        if is_self and member.state is MemberState.DEAD and not self.is_stopping:
             # Another process has this node's address: the platform replaced an instance that was
-            # only frozen or cut off. Nobody would send here any more, yet callers that still reach
-            # this one would be served beside the fleet's knowledge, by settings of their own.
+            # only frozen or partitioned. Other nodes send nothing here any more, but callers that
+            # still reach this process would be served with outdated membership and settings.
             log.error("daemon.superseded", code=ErrorCode.PEER_REFUSED, step="daemon.membership")
             self.stop_requested.set()
-        elif member.state is MemberState.DEAD and not own:
+        elif member.state is MemberState.DEAD and not is_self:
             self.spawn(self.peer_client.drop(member.peer_address))
 
     def reload(self, settings: NodeSettings, interface: Interface) -> None:
-        """Go on by a changed settings file, as far as that is possible without a new start.
+        """Apply a changed settings file, as far as that is possible without a restart.
 
-        Addresses, places and keys belong to sockets and identities that others know; a change of
-        one is told in the log, and waits for the next start.
+        Addresses, locations and keys belong to open sockets and to the identity that other nodes
+        know. Changes of these are logged as ``waiting_for_restart`` and have no effect until then.
         """
         before = attrs.asdict(self.settings)
         changed = sorted(
             key for key, value in attrs.asdict(settings).items() if value != before[key]
         )
-        waiting = [key for key in changed if key not in RELOADED]
+        waiting = [key for key in changed if key not in RELOADABLE_KEYS]
         self.stop_grace_s = interface.stop_grace_s or settings.stop_grace_s
         self.interface = attrs.evolve(
             self.interface,
@@ -398,34 +399,35 @@
         )
         self.settings_service.follower.trees.source = interface.tree
         self.settings = attrs.evolve(
-            self.settings, **{key: getattr(settings, key) for key in changed if key in RELOADED}
+            self.settings,
+            **{key: getattr(settings, key) for key in changed if key in RELOADABLE_KEYS},
         )
         log.info(
             "daemon.reloaded",
             step="daemon.reload",
-            changed=[key for key in changed if key in RELOADED],
+            changed=[key for key in changed if key in RELOADABLE_KEYS],
             waiting_for_restart=waiting,
         )
 
-    def has_substitutes(self) -> bool:
-        """Tell whether other nodes take work of the service that this one serves."""
+    def has_other_members(self) -> bool:
+        """Tell whether other nodes accept requests of the service that this one serves."""
         own = self.membership.self_member
         members = self.membership.members_of(own.service)
         return any(member.node != own.node for member in members)
 
-    def end_serving(self) -> None:
-        """Take no new work for the own backend server, and pass on what waits for it."""
-        self.serving_ended = True
+    def stop_serving(self) -> None:
+        """Accept no new requests for the backend server; return queued ones to their senders."""
+        self.has_stopped_serving = True
         self.update_state()
-        if self.has_substitutes():
+        if self.has_other_members():
             self.serving.reject_queued()
 
     async def stop(self) -> None:
-        """Refuse what is new, finish what is in progress, then leave."""
-        await stop_as_planned(self)
+        """Reject new requests, finish those in flight, then leave the membership."""
+        await shut_down_gracefully(self)
 
     async def close(self) -> None:
-        """End all tasks and close all sockets."""
+        """Cancel all tasks and close all sockets."""
         tasks = list(self.tasks)
         for task in tasks:
             task.cancel()
--- a/src/marjoramtide/daemon/_node_news.py
+++ b/src/marjoramtide/daemon/_node_bulletins.py
@@ -1,4 +1,4 @@
-"""The small news that nodes send each other in datagrams."""
+"""Publishing and handling of the bulletins that nodes send each other as datagrams."""
 
 import random
 from typing import Any
@@ -20,13 +20,13 @@
 
 log = structlog.get_logger()
 
-# Other nodes that know of each claim: with two, the loss of a node and of one datagram lose none.
-CLAIM_WITNESSES = 2
+# Copies of each claim at other nodes: two survive the loss of one node and of one datagram.
+CLAIM_COPIES = 2
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class NodeNews:
-    """Sends this node's news, and hands that of others to the parts that they are for."""
+class NodeBulletins:
+    """Publishes this node's bulletins, and passes those of other nodes to their components."""
 
     membership: MembershipService
     dispatcher: Dispatcher
@@ -40,27 +40,27 @@
     def __attrs_post_init__(self) -> None:
         self.routes = BulletinRoutes(self.rng)
 
-    def tell_load(self, report: LoadReport) -> None:
-        """Tell the nodes that follow this one that its backend server's speed has changed."""
+    def publish_load(self, report: LoadReport) -> None:
+        """Publish a load report to the nodes that get this node's bulletins."""
         own = self.membership.self_member
         if own.state is MemberState.READY:
             route = self.routes.route(own, self.membership.members())
             self.membership.publish(report_fields(report), route.recipients, route.relays)
 
-    def passed_on_to(self, teller: Member) -> list[Member]:
-        """Return the members of this data centre that follow a node elsewhere."""
+    def relay_recipients(self, sender: Member) -> list[Member]:
+        """Return the members of this data centre to which a remote sender's bulletin is relayed."""
         membership = self.membership
-        return self.routes.relay_recipients(teller, membership.self_member, membership.members())
+        return self.routes.relay_recipients(sender, membership.self_member, membership.members())
 
-    def tell_claim(self, key: str, record: ClaimRecord) -> None:
-        """Have some other nodes know of a claim, which would write it again if this one is lost."""
+    def publish_claim(self, key: str, record: ClaimRecord) -> None:
+        """Send a claim to a few other nodes, which write it again if this node is lost."""
         own = self.membership.self_member.node
-        others = [member for member in self.membership.members() if member.node != own]
-        chosen = self.rng.sample(others, min(len(others), CLAIM_WITNESSES))
-        self.membership.publish(pack_claim(key, record), chosen)
+        other_members = [member for member in self.membership.members() if member.node != own]
+        recipients = self.rng.sample(other_members, min(len(other_members), CLAIM_COPIES))
+        self.membership.publish(pack_claim(key, record), recipients)
 
-    def take(self, member: Member, fields: list[Any]) -> None:
-        """Take in the news of another node; of a kind that isn't known it is passed over."""
+    def handle(self, member: Member, fields: list[Any]) -> None:
+        """Pass a bulletin to its component; bulletins of unknown kinds are ignored."""
         if is_quarantine_news(fields):
             self.quarantine.take(member, fields)
         elif is_store_news(fields):
@@ -68,12 +68,12 @@
         elif is_quota_message(fields):
             self.quotas.take(member, fields)
         elif is_claim_news(fields):
-            self.take_claim(member, fields)
+            self.handle_claim(member, fields)
         elif (report := unpack_report(fields)) is not None:
             self.dispatcher.record_load_report(member, report)
 
-    def take_claim(self, member: Member, fields: list[Any]) -> None:
-        """Remember a claim of another node."""
+    def handle_claim(self, member: Member, fields: list[Any]) -> None:
+        """Store a claim that another node holds."""
         try:
             key, record = unpack_claim(fields)
         except MalformedError as error:
--- a/src/marjoramtide/daemon/_operators.py
+++ b/src/marjoramtide/daemon/_operators.py
@@ -1,4 +1,4 @@
-"""What a node shows to its operators."""
+"""The operators' view of a node."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def make_node_handle(node: Node) -> NodeHandle:
-    """Return the view of a node that the operators' API is given."""
+    """Return the handle through which the operators' API reads and controls a node."""
     return NodeHandle(
         settings=node.settings_service,
         directory=node.membership,
@@ -29,29 +29,29 @@
         evacuated=node.evacuations.shown,
         evacuate=node.evacuations.evacuate,
         take_back=node.evacuations.release,
-        workspaces=lambda: shown_workspaces(node),
+        workspaces=lambda: describe_workspaces(node),
     )
 
 
-def shown_workspaces(node: Node) -> list[dict[str, Any]]:
-    """Return what a node knows of each workspace, its keys by fingerprint."""
+def describe_workspaces(node: Node) -> list[dict[str, Any]]:
+    """Return the limits and usage of each workspace, with its keys by fingerprint."""
     now = node.clock.monotonic()
-    short = node.serving.admission.workspaces_over_share(now)
+    over_share = node.serving.admission.workspaces_over_share(now)
     return [
         {
-            "name": each.name,
-            "keys": [key_fingerprint(digest) for digest in each.key_digests],
-            "limit_per_s": each.requests_per_s,
-            "burst": each.request_burst,
-            "short": each.name in short,
+            "name": workspace.name,
+            "keys": [key_fingerprint(digest) for digest in workspace.key_digests],
+            "limit_per_s": workspace.requests_per_s,
+            "burst": workspace.request_burst,
+            "short": workspace.name in over_share,
         }
-        | node.quotas.shown(each.name)
-        for each in node.view.workspaces
+        | node.quotas.shown(workspace.name)
+        for workspace in node.view.workspaces
     ]
 
 
 def node_status(node: Node) -> dict[str, Any]:
-    """Return what the parts of a node tell of themselves."""
+    """Return the status fields of the node's components."""
     report = node.serving.report(node.clock.monotonic())
     return {
         "version": __version__,
--- a/src/marjoramtide/daemon/_process.py
+++ b/src/marjoramtide/daemon/_process.py
@@ -1,4 +1,4 @@
-"""What the node's process does: ``marjoramtided --settings FILE [--check]``."""
+"""The node process: ``marjoramtided --settings FILE [--check]``."""
 
 import argparse
 import asyncio
@@ -9,8 +9,8 @@
 import structlog
 
 from marjoramtide.daemon._node import Node
-from marjoramtide.daemon._settings_watch import SettingsWatch
-from marjoramtide.daemon._supervision import keep_running
+from marjoramtide.daemon._settings_file_watcher import SettingsFileWatcher
+from marjoramtide.daemon._supervision import supervise
 from marjoramtide.errors import MarjoramtideError
 from marjoramtide.interface import Interface, own_interface
 from marjoramtide.settings import NodeSettings, load_node_settings
@@ -18,11 +18,11 @@
 
 log = structlog.get_logger()
 
-BAD_SETTINGS_STATUS = 2
+BAD_SETTINGS_EXIT_STATUS = 2
 
 
 def make_interface(settings: NodeSettings) -> Interface:
-    """Return the interface that the settings name; only that one is imported."""
+    """Return the interface named in the settings; the other one is not imported."""
     if settings.interface == "own":
         return own_interface()
     from marjoramtide.platform import platform_interface
@@ -31,22 +31,25 @@
 
 
 async def run(settings: NodeSettings, path: str) -> None:
-    """Run a node until SIGTERM, SIGINT or its own replacement, then stop it as planned."""
+    """Run a node until SIGTERM, SIGINT or its replacement, then shut it down gracefully."""
     node = Node(settings, make_interface(settings))
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, node.stop_requested.set)
-    watch = SettingsWatch(path, lambda changed: node.reload(changed, make_interface(changed)))
-    loop.add_signal_handler(signal.SIGHUP, watch.look_now)
-    node.spawn(keep_running("settings file", watch.run, node.clock, node.metrics))
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, node.stop_requested.set)
+    watcher = SettingsFileWatcher(
+        path, lambda changed: node.reload(changed, make_interface(changed))
+    )
+    loop.add_signal_handler(signal.SIGHUP, watcher.check_now)
+    node.spawn(supervise("settings file", watcher.run, node.clock, node.metrics))
     try:
         await node.start()
     except BaseException:
         await node.close()
         raise
-    # What lives since the start is never garbage; scanning it again and again costs tail latency.
-    # Nor is it worth a collection first: that took 55 ms of processor time, a sixth of all imports,
-    # amid the first requests of a node, and left as much memory in use (33.8 MB without and with).
+    # Objects that exist after startup are permanent, and scanning them in every collection costs
+    # tail latency. There is no collection before the freeze: it took 55 ms of CPU time, a sixth of
+    # that of all imports, during the first requests, and freed nothing (33.8 MB in use without and
+    # with it).
     gc.freeze()
     gc.enable()
     await node.stop_requested.wait()
@@ -54,7 +57,7 @@
 
 
 def run_process() -> int:
-    """Read the settings and run; exit status 2 for settings that can't be used."""
+    """Read the settings and run the node; return exit status 2 for invalid settings."""
     parser = argparse.ArgumentParser(prog="marjoramtided", description=__doc__)
     parser.add_argument("--settings", required=True, metavar="FILE", help="this node's TOML file")
     parser.add_argument("--check", action="store_true", help="check the settings and exit")
@@ -73,5 +76,5 @@
         asyncio.run(run(settings, options.settings))
     except MarjoramtideError as error:
         print(str(error), file=sys.stderr)
-        return BAD_SETTINGS_STATUS
+        return BAD_SETTINGS_EXIT_STATUS
     return 0
--- a/src/marjoramtide/daemon/_supervision.py
+++ b/src/marjoramtide/daemon/_supervision.py
@@ -1,4 +1,4 @@
-"""Keeping a node's long-lived tasks alive."""
+"""Restarting of a node's background tasks."""
 
 from collections.abc import Awaitable, Callable
 
@@ -10,26 +10,26 @@
 
 log = structlog.get_logger()
 
-RESTART_PAUSE_S = 1.0
+RESTART_DELAY_S = 1.0
 
 
-async def keep_running(
-    name: str, work: Callable[[], Awaitable[None]], clock: Clock, metrics: Metrics
+async def supervise(
+    name: str, run: Callable[[], Awaitable[None]], clock: Clock, metrics: Metrics
 ) -> None:
-    """Run ``work`` until cancelled, again after a pause where it ends.
+    """Run ``run`` until cancelled, and restart it after a delay if it returns or raises.
 
-    Failure: a fault ends the task that reads the backend server's health, and the node goes on
-    without it: the server drains, and gets new work for as long as the process lives. Started
-    again, since the parts keep their state outside of these tasks. Ending the process would be no
-    better: what one node trips over is likely to reach all of them.
+    Failure: an exception ends the health check task while the node continues, so a draining backend
+    server gets new requests for as long as the process lives. A restart is safe because the
+    components keep their state outside of these tasks. Exiting the process instead would be worse:
+    what makes one node fail is likely to reach all nodes.
     """
     while True:
         try:
-            await work()
+            await run()
             log.error("daemon.task_ended", code=ErrorCode.INTERNAL, step="daemon.run", task=name)
         except Exception:
             log.exception(
                 "daemon.task_failed", code=ErrorCode.INTERNAL, step="daemon.run", task=name
             )
         metrics.count("daemon.task_restarts")
-        await clock.sleep(RESTART_PAUSE_S)
+        await clock.sleep(RESTART_DELAY_S)
