--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the command line, run as a process against a live operators' API."""
+"""Steps that run the command line as a process against a live operators' API."""
 
 import asyncio
 import json
@@ -23,11 +23,11 @@
 from marjoramtide.operators import NodeHandle, make_operators_app
 
 COMMAND_TIMEOUT_S = 30
-GOSSIP_S = 0.05
+GOSSIP_INTERVAL_S = 0.05
 
 
 class LiveFleet(Fleet):
-    """A fleet in real time, in a loop of its own thread, with an operators' API for each node."""
+    """A fleet on the real clock, in an event loop of its own thread, each node with its API."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -37,18 +37,18 @@
         self.thread = threading.Thread(target=self.loop.run_forever, daemon=True)
         self.thread.start()
 
-    def call(self, work: Any) -> Any:
-        return asyncio.run_coroutine_threadsafe(work, self.loop).result(COMMAND_TIMEOUT_S)
+    def call(self, coroutine: Any) -> Any:
+        return asyncio.run_coroutine_threadsafe(coroutine, self.loop).result(COMMAND_TIMEOUT_S)
 
     async def open(self, names: list[str]) -> None:
-        self.gossiping = asyncio.create_task(self.gossip_on())
+        self.gossip_task = asyncio.create_task(self.gossip_forever())
         for name in names:
             self.start(self.add(name))
-        await self.listen()
+        await self.open_operators_apis()
 
-    async def listen(self) -> None:
+    async def open_operators_apis(self) -> None:
         for node in self.nodes.values():
-            runner = web.AppRunner(make_operators_app(self.handle(node)), access_log=None)
+            runner = web.AppRunner(make_operators_app(self.make_handle(node)), access_log=None)
             await runner.setup()
             _, _, port = node.member.operators_address.partition(":")
             await web.TCPSite(runner, "127.0.0.1", int(port or 0), shutdown_timeout=0.1).start()
@@ -56,31 +56,31 @@
             node.member = attrs.evolve(node.member, operators_address=address)
             self.runners.append(runner)
 
-    async def hang_up(self) -> None:
+    async def close_operators_apis(self) -> None:
         for runner in self.runners:
             await runner.cleanup()
         self.runners.clear()
 
-    async def gossip_on(self) -> None:
+    async def gossip_forever(self) -> None:
         while True:
             self.gossip()
-            await asyncio.sleep(GOSSIP_S)
+            await asyncio.sleep(GOSSIP_INTERVAL_S)
 
-    async def shut(self) -> None:
-        self.gossiping.cancel()
-        await self.hang_up()
+    async def shut_down(self) -> None:
+        self.gossip_task.cancel()
+        await self.close_operators_apis()
         tasks = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def finish(self) -> None:
-        self.call(self.shut())
+        self.call(self.shut_down())
         self.loop.call_soon_threadsafe(self.loop.stop)
         self.thread.join()
         self.loop.close()
 
-    def handle(self, node: Node) -> NodeHandle:
+    def make_handle(self, node: Node) -> NodeHandle:
         def drain(drained: bool) -> None:
             state = MemberState.DRAINING if drained else MemberState.READY
             node.member = attrs.evolve(node.member, state=state)
@@ -97,16 +97,16 @@
             },
             trace=lambda trace_id: [{"trace_id": trace_id, "name": "ingress", "start": 1.0}],
             drain=drain,
-            held=lambda: list(self.held.values()),
-            release=lambda fingerprint: self.held.pop(fingerprint),
-            evacuated=evacuations.shown,
+            list_held_requests=lambda: list(self.held.values()),
+            release_request=lambda fingerprint: self.held.pop(fingerprint),
+            list_evacuations=evacuations.shown,
             evacuate=evacuations.evacuate,
-            take_back=evacuations.release,
-            workspaces=list,
+            release_evacuation=evacuations.release,
+            list_workspaces=list,
         )
 
     def evacuations(self, node: Node) -> EvacuationService:
-        """Return the evacuations of a node, which it alone knows of."""
+        """Return an evacuation service that publishes to no other node."""
         return make_evacuations(
             NodeStore(node),
             "evacuations/",
@@ -121,7 +121,7 @@
 
 
 def folder(context: Any) -> Path:
-    """Return the scenario's own folder, made when first asked for."""
+    """Return the temporary folder of the scenario, created on first use."""
     if "folder" not in context:
         context.folder = Path(context.cleanup.enter_context(tempfile.TemporaryDirectory()))
     return context.folder
@@ -168,7 +168,7 @@
 
 
 @given("the live settings node {name} is cut off from all")
-def given_cut(context: Any, name: str) -> None:
+def given_partitioned(context: Any, name: str) -> None:
     node = context.live.nodes[name]
     node.store_cut, node.group = True, 99
 
@@ -183,12 +183,12 @@
     store = context.live.store
     context.written = asyncio.Event()
 
-    async def hook() -> None:
+    async def lose_response() -> None:
         store.faults = ["applied"]
         store.down = True
         context.written.set()
 
-    store.before_write = hook
+    store.before_write = lose_response
 
 
 @when("the operators' addresses close once the change is in doubt")
@@ -197,8 +197,8 @@
 
     async def close() -> None:
         await context.written.wait()
-        await asyncio.sleep(GOSSIP_S)
-        await live.hang_up()
+        await asyncio.sleep(GOSSIP_INTERVAL_S)
+        await live.close_operators_apis()
 
     context.closing = asyncio.run_coroutine_threadsafe(close(), live.loop)
 
@@ -207,7 +207,7 @@
 def when_back(context: Any) -> None:
     context.closing.result(COMMAND_TIMEOUT_S)
     context.live.store.down = False
-    context.live.call(context.live.listen())
+    context.live.call(context.live.open_operators_apis())
 
 
 def run(context: Any, command: str) -> "subprocess.CompletedProcess[str]":
@@ -231,19 +231,19 @@
 @given('the command "{command}" ends with {status:d}')
 @when('the command "{command}" ends with {status:d}')
 def command_ends(context: Any, command: str, status: int) -> None:
-    done = run(context, command)
-    assert done.returncode == status, (done.returncode, done.stdout, done.stderr)
+    result = run(context, command)
+    assert result.returncode == status, (result.returncode, result.stdout, result.stderr)
 
 
 @then('the command "{command}" ends with {status:d} and prints "{words}"')
 def then_prints(context: Any, command: str, status: int, words: str) -> None:
-    done = run(context, command)
-    assert done.returncode == status, (done.returncode, done.stdout, done.stderr)
-    assert words in done.stdout + done.stderr, (done.stdout, done.stderr)
+    result = run(context, command)
+    assert result.returncode == status, (result.returncode, result.stdout, result.stderr)
+    assert words in result.stdout + result.stderr, (result.stdout, result.stderr)
 
 
 @then('the command "{command}" says what to do next')
-def then_next(context: Any, command: str) -> None:
+def then_next_step(context: Any, command: str) -> None:
     assert "\nnext: " in run(context, command).stderr
 
 
--- a/features/steps/edge_observability_steps.py
+++ b/features/steps/edge_observability_steps.py
@@ -14,7 +14,7 @@
 from features.edge.peer_attacks import ATTACKS
 from features.edge.sink import Sink
 from features.edge.watching import REFUSALS, TRACE, find, get, lines
-from marjoramtide.telemetry._line_output import LineOutput
+from marjoramtide.telemetry._line_output import NonBlockingOutput
 from standins.raw_caller import send_raw
 
 use_step_matcher("parse")
@@ -237,7 +237,7 @@
 @given("the output of a log into a pipe that nobody reads")
 def given_pipe(context: Any) -> None:
     context.pipe = os.pipe()
-    context.output = LineOutput(context.pipe[1])
+    context.output = NonBlockingOutput(context.pipe[1])
     context.cleanup.callback(os.close, context.pipe[1])
 
 
@@ -256,4 +256,4 @@
 def lines_lost(context: Any) -> None:
     numbers = [json.loads(line)["number"] for line in context.read.decode().splitlines()]
     assert numbers == list(range(len(numbers))) and len(numbers) > 100, len(numbers)
-    assert len(numbers) + context.output.lost == context.written, context.output.lost
+    assert len(numbers) + context.output.lost_lines == context.written, context.output.lost_lines
--- a/src/marjoramtide/daemon/_gauges.py
+++ b/src/marjoramtide/daemon/_gauges.py
@@ -38,6 +38,6 @@
         "store.epoch": node.store.epoch,
         "store.calls": node.store.calls_made,
         "store.unreadable": node.store.unreadable,
-        "log.lines_lost": log_output.lost,
+        "log.lines_lost": log_output.lost_lines,
         "freezes": node.freeze_detector.count,
     }
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -53,7 +53,7 @@
     Metrics,
     Tracer,
     make_metrics_app,
-    summarise_logs,
+    report_suppressed_lines,
 )
 from marjoramtide.witness import RunTeller, RunWitness
 
@@ -247,7 +247,7 @@
             "settings": self.settings_service.run,
             "measurer": self.server.health_checker.run,
             "metrics": self.metrics.run,
-            "logs": summarise_logs,
+            "logs": report_suppressed_lines,
             "quarantine": self.quarantine.run,
             "run teller": self.run_teller.run,
             "evacuations": self.evacuations.run,
--- a/src/marjoramtide/daemon/_operators.py
+++ b/src/marjoramtide/daemon/_operators.py
@@ -24,12 +24,12 @@
         explain=node.dispatcher.explain,
         trace=lambda trace_id: [attrs.asdict(span) for span in node.tracer.spans_of(trace_id)],
         drain=node.drain,
-        held=node.quarantine.shown,
-        release=node.quarantine.release,
-        evacuated=node.evacuations.shown,
+        list_held_requests=node.quarantine.shown,
+        release_request=node.quarantine.release,
+        list_evacuations=node.evacuations.shown,
         evacuate=node.evacuations.evacuate,
-        take_back=node.evacuations.release,
-        workspaces=lambda: describe_workspaces(node),
+        release_evacuation=node.evacuations.release,
+        list_workspaces=lambda: describe_workspaces(node),
     )
 
 
@@ -65,6 +65,6 @@
         "held_requests": len(node.quarantine.shown()),
         "freezes": node.freeze_detector.count,
         "totals": dict(node.metrics.totals),
-        "log_lines_lost": log_output.lost,
+        "log_lines_lost": log_output.lost_lines,
         "gossip": attrs.asdict(node.membership.counters),
     }
--- a/src/marjoramtide/daemon/_own_statements.py
+++ b/src/marjoramtide/daemon/_own_statements.py
@@ -78,12 +78,12 @@
         self.on_change()
 
     def _report_malformed(self, malformed: tuple[str, ...]) -> None:
-        for reason in malformed:
+        for problem in malformed:
             self.metrics.count("serving.statements_malformed")
             log.warning(
                 "serving.statement_malformed",
                 code=ErrorCode.BACKEND_FAILED,
                 step="serving.read",
                 instance=self.tracker.instance,
-                reason=reason,
+                reason=problem,
             )
--- a/src/marjoramtide/operators/__init__.py
+++ b/src/marjoramtide/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' API of a node, over HTTP."""
+"""The HTTP API for operators of a node."""
 
 from marjoramtide.operators._app import make_operators_app
 from marjoramtide.operators._node_handle import NodeHandle
--- a/src/marjoramtide/operators/_answers.py
+++ b/src/marjoramtide/operators/_answers.py
@@ -1,4 +1,4 @@
-"""Errors as operators' programs read them."""
+"""Error responses of the operators' API."""
 
 from collections.abc import Awaitable, Callable
 from http import HTTPStatus
@@ -11,7 +11,7 @@
 
 log = structlog.get_logger()
 
-STATUS_OF = {
+HTTP_STATUSES = {
     ErrorCode.BAD_REQUEST: HTTPStatus.BAD_REQUEST,
     ErrorCode.BAD_SETTINGS: HTTPStatus.BAD_REQUEST,
     ErrorCode.NOT_FOUND: HTTPStatus.NOT_FOUND,
@@ -22,8 +22,8 @@
 }
 
 
-def describe(error: MarjoramtideError) -> dict[str, Any]:
-    """Return an error as plain values."""
+def describe_error(error: MarjoramtideError) -> dict[str, Any]:
+    """Return the JSON fields of an error."""
     return {
         "code": str(error.code),
         "message": error.message,
@@ -32,9 +32,9 @@
     }
 
 
-def internal(error: Exception, step: str) -> MarjoramtideError:
-    """Log a fault of the program and return what operators are told of it."""
-    log.exception("operators.fault", step=step, code=ErrorCode.INTERNAL)
+def log_internal_error(error: Exception, step: str) -> MarjoramtideError:
+    """Log an unexpected exception and return it as an ``internal`` error for the response."""
+    log.exception("operators.internal_error", step=step, code=ErrorCode.INTERNAL)
     return MarjoramtideError(ErrorCode.INTERNAL, f"{type(error).__name__}: {error}", step=step)
 
 
@@ -42,15 +42,15 @@
 async def errors_as_json(
     request: web.Request, handler: Callable[[web.Request], Awaitable[web.StreamResponse]]
 ) -> web.StreamResponse:
-    """Answer errors with their code, message, step and peer."""
+    """Respond to errors with their code, message, step and peer as JSON."""
     try:
         return await handler(request)
     except MarjoramtideError as error:
-        found = error
+        reported = error
     except web.HTTPException as error:
         message = f"{request.method} {request.path}: {error.reason}"
-        found = MarjoramtideError(ErrorCode.BAD_REQUEST, message, step="operators.route")
+        reported = MarjoramtideError(ErrorCode.BAD_REQUEST, message, step="operators.route")
     except Exception as error:
-        found = internal(error, f"operators{request.path.replace('/', '.')}")
-    status = STATUS_OF.get(found.code, HTTPStatus.SERVICE_UNAVAILABLE)
-    return web.json_response({"error": describe(found)}, status=status)
+        reported = log_internal_error(error, f"operators{request.path.replace('/', '.')}")
+    status = HTTP_STATUSES.get(reported.code, HTTPStatus.SERVICE_UNAVAILABLE)
+    return web.json_response({"error": describe_error(reported)}, status=status)
--- a/src/marjoramtide/operators/_app.py
+++ b/src/marjoramtide/operators/_app.py
@@ -1,4 +1,4 @@
-"""The operators' API of a node."""
+"""The HTTP application of the operators' API."""
 
 import math
 import re
@@ -20,7 +20,7 @@
 
 @attrs.frozen(slots=True)
 class OperatorsApi:
-    """Answers operators from what the node knows."""
+    """The request handlers of the operators' API."""
 
     node: NodeHandle
 
@@ -28,7 +28,7 @@
         settings = self.node.settings.view
         members = self.node.directory.members()
         own = self.node.directory.self_member
-        told = {
+        fields = {
             "node": own.node,
             "service": own.service,
             "region": own.region,
@@ -38,7 +38,7 @@
                 "revision": settings.revision,
                 "digest": settings.digest,
                 "current": settings.is_current,
-                "proof_age_s": rounded(settings.freshness.proof_age_s),
+                "proof_age_s": rounded_seconds(settings.freshness.proof_age_s),
                 "vouches_for_keys": settings.vouches_for_keys,
                 "unreadable": settings.freshness.unreadable,
                 "store_answers": self.node.settings.follower.store_answers,
@@ -46,7 +46,7 @@
             },
             "members": len(members),
         }
-        return web.json_response(told | self.node.status())
+        return web.json_response(fields | self.node.status())
 
     async def members(self, _: web.Request) -> web.Response:
         members = sorted(self.node.directory.members(), key=lambda member: member.node)
@@ -58,14 +58,16 @@
             return web.json_response({"revision": 0, "digest": "", "text": "", "recent": []})
         return web.json_response(describe_envelope(view.envelope))
 
-    async def revision(self, http: web.Request) -> web.Response:
-        text = argument(http, "revision")
+    async def revision(self, http_request: web.Request) -> web.Response:
+        text = required_argument(http_request, "revision")
         if not text.isdecimal():
             raise bad_argument(f"revision = {text!r}; allowed: a whole number")
         return web.json_response(describe_envelope(await self.node.settings.envelope_at(int(text))))
 
-    async def resolved(self, http: web.Request) -> web.Response:
-        service, path = argument(http, "service"), http.query.get("path", "/")
+    async def resolved(self, http_request: web.Request) -> web.Response:
+        service, path = required_argument(http_request, "service"), http_request.query.get(
+            "path", "/"
+        )
         route, resolved = self.node.settings.view.resolved(service, path)
         return web.json_response(
             {
@@ -76,40 +78,40 @@
             }
         )
 
-    async def change(self, http: web.Request) -> web.StreamResponse:
-        return await stream_change(self.node.settings, http)
+    async def change(self, http_request: web.Request) -> web.StreamResponse:
+        return await stream_change(self.node.settings, http_request)
 
-    async def explain(self, http: web.Request) -> web.Response:
-        return web.json_response(self.node.explain(argument(http, "service")))
+    async def explain(self, http_request: web.Request) -> web.Response:
+        return web.json_response(self.node.explain(required_argument(http_request, "service")))
 
-    async def trace(self, http: web.Request) -> web.Response:
-        return web.json_response({"spans": self.node.trace(argument(http, "id"))})
+    async def trace(self, http_request: web.Request) -> web.Response:
+        return web.json_response({"spans": self.node.trace(required_argument(http_request, "id"))})
 
     async def quarantine(self, _: web.Request) -> web.Response:
-        return web.json_response({"held": self.node.held()})
+        return web.json_response({"held": self.node.list_held_requests()})
 
-    async def release(self, http: web.Request) -> web.Response:
-        text = argument(http, "fingerprint")
+    async def release(self, http_request: web.Request) -> web.Response:
+        text = required_argument(http_request, "fingerprint")
         if not FINGERPRINT.fullmatch(text):
             raise bad_argument(f"fingerprint = {text[:40]!r}; allowed: 16 digits from 0 to f")
-        self.node.release(int(text, 16))
+        self.node.release_request(int(text, 16))
         return web.json_response({"released": text})
 
     async def evacuations(self, _: web.Request) -> web.Response:
-        return web.json_response({"evacuations": await self.node.evacuated()})
+        return web.json_response({"evacuations": await self.node.list_evacuations()})
 
-    async def evacuate(self, http: web.Request) -> web.Response:
-        data_centre = argument(http, "data_centre")
-        await self.node.evacuate(data_centre, http.query.get("author", ""))
+    async def evacuate(self, http_request: web.Request) -> web.Response:
+        data_centre = required_argument(http_request, "data_centre")
+        await self.node.evacuate(data_centre, http_request.query.get("author", ""))
         return web.json_response({"evacuated": data_centre})
 
-    async def take_back(self, http: web.Request) -> web.Response:
-        data_centre = argument(http, "data_centre")
-        await self.node.take_back(data_centre)
+    async def release_evacuation(self, http_request: web.Request) -> web.Response:
+        data_centre = required_argument(http_request, "data_centre")
+        await self.node.release_evacuation(data_centre)
         return web.json_response({"released": data_centre})
 
     async def workspaces(self, _: web.Request) -> web.Response:
-        return web.json_response({"workspaces": self.node.workspaces()})
+        return web.json_response({"workspaces": self.node.list_workspaces()})
 
     async def drain(self, _: web.Request) -> web.Response:
         return self._set_drained(True)
@@ -124,35 +126,35 @@
 
 
 def describe_member(member: Member) -> dict[str, Any]:
-    """Return a member as plain values."""
+    """Return the JSON fields of a member."""
     return attrs.asdict(member) | {"state": str(member.state)}
 
 
 def describe_envelope(envelope: Envelope) -> dict[str, Any]:
-    """Return a revision as plain values."""
+    """Return the JSON fields of a revision of the settings."""
     return attrs.asdict(envelope) | {"digest": envelope.digest}
 
 
-def rounded(seconds: float) -> float | None:
-    """Return seconds as JSON carries them, ``None`` for no end of them."""
+def rounded_seconds(seconds: float) -> float | None:
+    """Return seconds rounded for JSON, or ``None`` for infinity, which JSON can't represent."""
     return None if math.isinf(seconds) else round(seconds, 2)
 
 
-def argument(http: web.Request, name: str) -> str:
-    """Return a query argument; raises ``bad-request`` where it is missing."""
-    value = http.query.get(name, "")
+def required_argument(http_request: web.Request, name: str) -> str:
+    """Return a query argument; raises ``bad-request`` if it is missing."""
+    value = http_request.query.get(name, "")
     if not value:
-        raise bad_argument(f"{http.path} needs ?{name}=...")
+        raise bad_argument(f"{http_request.path} needs ?{name}=...")
     return value
 
 
 def bad_argument(message: str) -> MarjoramtideError:
-    """Return the error for a query argument that can't be used."""
+    """Return the error for an invalid query argument."""
     return MarjoramtideError(ErrorCode.BAD_REQUEST, message, step="operators.argument")
 
 
 def make_operators_app(node: NodeHandle) -> web.Application:
-    """Return the aiohttp application that answers operators; the daemon gives it an address."""
+    """Return the aiohttp application of the operators' API; the daemon binds its address."""
     api = OperatorsApi(node)
     app = web.Application(middlewares=[errors_as_json], client_max_size=MAX_BODY_BYTES)
     app.add_routes(
@@ -169,7 +171,7 @@
             web.post("/quarantine/release", api.release),
             web.get("/evacuations", api.evacuations),
             web.post("/evacuations/begin", api.evacuate),
-            web.post("/evacuations/release", api.take_back),
+            web.post("/evacuations/release", api.release_evacuation),
             web.get("/workspaces", api.workspaces),
             web.post("/drain", api.drain),
             web.post("/undrain", api.undrain),
--- a/src/marjoramtide/operators/_node_handle.py
+++ b/src/marjoramtide/operators/_node_handle.py
@@ -1,4 +1,4 @@
-"""What the operators' API needs of a node."""
+"""The interface between the operators' API and a node."""
 
 from collections.abc import Awaitable, Callable
 from typing import Any
@@ -11,16 +11,18 @@
 
 @attrs.frozen(slots=True)
 class NodeHandle:
-    """The parts of a node that operators look at and steer.
-
-    ``status`` returns what the node's other parts tell of themselves, ``explain`` what a service's
-    selector believes (``members``) with its last ``decisions``, ``trace`` the spans kept of a
-    trace, ``held`` the requests that are held back, each as plain values that JSON carries.
-    ``release`` lets the request with a fingerprint run again; raises ``not-found``. ``drain`` stops
-    (true) or resumes (false) taking new work. ``evacuated`` returns the evacuated data centres as
-    plain values; ``evacuate`` adds one, with its author, and ``take_back`` removes one; both raise
-    ``not-found`` and what the store does. ``workspaces`` returns what is known of each workspace
-    here, its keys by fingerprint.
+    """The components and functions of a node that operators read and control.
+
+    These return JSON-compatible values: ``status`` the state of the node's other components,
+    ``explain`` the selector's view of a service's ``members`` with its latest ``decisions``,
+    ``trace`` the retained spans of a trace, ``list_held_requests`` the requests in quarantine,
+    ``list_evacuations`` the evacuated data centres, and ``list_workspaces`` each workspace with its
+    usage at this node and the fingerprints of its keys.
+
+    ``release_request`` removes the request with a fingerprint from quarantine; raises
+    ``not-found``. ``drain`` stops (true) or resumes (false) accepting new requests. ``evacuate``
+    adds a data centre with its author, and ``release_evacuation`` removes one; both raise
+    ``not-found`` and the errors of the store.
     """
 
     settings: SettingsService
@@ -29,9 +31,9 @@
     explain: Callable[[str], dict[str, list[dict[str, Any]]]]
     trace: Callable[[str], list[dict[str, Any]]]
     drain: Callable[[bool], None]
-    held: Callable[[], list[dict[str, Any]]]
-    release: Callable[[int], None]
-    evacuated: Callable[[], Awaitable[list[dict[str, Any]]]]
+    list_held_requests: Callable[[], list[dict[str, Any]]]
+    release_request: Callable[[int], None]
+    list_evacuations: Callable[[], Awaitable[list[dict[str, Any]]]]
     evacuate: Callable[[str, str], Awaitable[None]]
-    take_back: Callable[[str], Awaitable[None]]
-    workspaces: Callable[[], list[dict[str, Any]]]
+    release_evacuation: Callable[[str], Awaitable[None]]
+    list_workspaces: Callable[[], list[dict[str, Any]]]
--- a/src/marjoramtide/telemetry/__init__.py
+++ b/src/marjoramtide/telemetry/__init__.py
@@ -1,7 +1,7 @@
-"""Logs, metrics and spans."""
+"""Logs, metrics and tracing."""
 
 from marjoramtide.telemetry._exposition import make_metrics_app
-from marjoramtide.telemetry._logs import configure_logs, log_output, summarise_logs
+from marjoramtide.telemetry._logs import configure_logs, log_output, report_suppressed_lines
 from marjoramtide.telemetry._metrics import Metrics
 from marjoramtide.telemetry._span import Span
 from marjoramtide.telemetry._trace_context import TraceContext, new_trace, parse_traceparent
@@ -17,5 +17,5 @@
     "make_metrics_app",
     "new_trace",
     "parse_traceparent",
-    "summarise_logs",
+    "report_suppressed_lines",
 ]
--- a/src/marjoramtide/telemetry/_line_output.py
+++ b/src/marjoramtide/telemetry/_line_output.py
@@ -1,50 +1,51 @@
-"""Where the lines of the log go."""
+"""Non-blocking output of log lines."""
 
 import os
 import select
 
-# What POSIX promises of a pipe that poll() calls writable: so much can be written without waiting.
-PIECE_BYTES = select.PIPE_BUF
+# POSIX guarantees that this much can be written without blocking to a pipe that poll() reports
+# as writable.
+CHUNK_BYTES = select.PIPE_BUF
 
 
-class LineOutput:
-    """Writes to a file descriptor and never waits; what doesn't fit is dropped and counted.
+class NonBlockingOutput:
+    """Writes to a file descriptor without blocking; lines that don't fit are dropped and counted.
 
-    Failure: whoever collects the lines stalls, and a pipe of 64 kB is full after some hundred of
-    them. A plain write then stops the event loop, and with it every request and the gossip, until
-    the collector goes on. Where the collector has ended, a plain write raises, in the middle of
-    whatever wrote the line: a booking that ran would be told of as unknown. A lost line is the
-    lesser harm; operators find the number of them in ``lost``.
+    Failure: the log collector stalls, and a pipe of 64 kB is full after some hundred lines. A
+    blocking write then stops the event loop, and with it every request and the gossip, until the
+    collector continues. If the collector has exited, a plain write raises in the code that logs,
+    and a request that has run is reported with an unknown outcome. A lost line does less harm;
+    ``lost_lines`` counts them for operators.
 
-    It is the file that structlog's ``WriteLogger`` is given.
+    It serves as the file of structlog's ``WriteLogger``.
     """
 
     def __init__(self, descriptor: int) -> None:
         self.descriptor = descriptor
         self.poll = select.poll()
         self.poll.register(descriptor, select.POLLOUT)
-        self.lost = 0
-        self.line_is_open = False
+        self.lost_lines = 0
+        self.is_line_incomplete = False
 
     def write(self, text: str) -> None:
         data = text.encode("utf-8", "backslashreplace")
-        if self.line_is_open:
-            # The next line would else be read as the rest of one that was broken off.
+        if self.is_line_incomplete:
+            # Terminates a truncated line, so that the next line is not parsed as part of it.
             data = b"\n" + data
         while data:
             if not self.can_write():
-                self.lost += 1
+                self.lost_lines += 1
                 break
             try:
-                written = os.write(self.descriptor, data[:PIECE_BYTES])
+                written = os.write(self.descriptor, data[:CHUNK_BYTES])
             except OSError:
-                self.lost += 1
+                self.lost_lines += 1
                 break
-            self.line_is_open = data[written - 1 : written] != b"\n"
+            self.is_line_incomplete = data[written - 1 : written] != b"\n"
             data = data[written:]
 
     def can_write(self) -> bool:
         return any(event & select.POLLOUT for _, event in self.poll.poll(0))
 
     def flush(self) -> None:
-        """Do nothing: no byte is held back here."""
+        """Do nothing: there is no buffer."""
--- a/src/marjoramtide/telemetry/_log_limit.py
+++ b/src/marjoramtide/telemetry/_log_limit.py
@@ -1,4 +1,4 @@
-"""A bound on how many lines a node writes."""
+"""Rate limit of log lines."""
 
 import time
 from collections import Counter
@@ -7,50 +7,50 @@
 
 import structlog
 
-LINES_PER_S = 10
-SUMMARY = "log.suppressed"
-SPAN = "span"
+MAX_LINES_PER_S = 10
+SUMMARY_EVENT = "log.suppressed"
+SPAN_EVENT = "span"
 
-Kind = tuple[str, str, str]
+LineKind = tuple[str, str, str]
 
 
-class LogLimit:
-    """Lets through ``LINES_PER_S`` lines a second of each event and code, and counts the rest.
+class LogRateLimiter:
+    """Passes ``MAX_LINES_PER_S`` lines a second of each event, code and step; counts the rest.
 
-    Failure: under overload each refused request writes a line. At 1.5 times the load these are
-    hundreds a second; writing them takes the processor time that serving needs, and whoever
-    collects them drops lines that matter. The first lines of each second tell what happens, and
-    one line for each kind and second tells how often more. Spans have a bound of their own.
+    Failure: under overload each rejected request writes a line. At a load factor of 1.5 these are
+    hundreds a second; writing them takes CPU time that serving needs, and the log collector drops
+    important lines. The first lines of each second show what happens, and a summary line for each
+    kind shows how many were suppressed. Spans have a limit of their own.
 
-    It is a structlog processor; a task calls ``summarise`` now and then, so that counts are told
-    also when a flood has ended.
+    It is a structlog processor. A task calls ``summarise`` at intervals, so that the counts are
+    also logged after a burst has ended.
     """
 
     def __init__(self, now: Callable[[], float] = time.monotonic) -> None:
         self.now = now
         self.second = 0
-        self.written: Counter[Kind] = Counter()
-        self.held: Counter[Kind] = Counter()
+        self.line_counts: Counter[LineKind] = Counter()
+        self.suppressed: Counter[LineKind] = Counter()
 
     def __call__(
         self, logger: Any, method: str, event: MutableMapping[str, Any]
     ) -> MutableMapping[str, Any]:
         name = str(event.get("event", ""))
-        if name in (SUMMARY, SPAN):
+        if name in (SUMMARY_EVENT, SPAN_EVENT):
             return event
         second = int(self.now())
         if second != self.second:
             self.second = second
-            self.written.clear()
+            self.line_counts.clear()
         kind = (name, str(event.get("code", "")), str(event.get("step", "")))
-        self.written[kind] += 1
-        if self.written[kind] <= LINES_PER_S:
+        self.line_counts[kind] += 1
+        if self.line_counts[kind] <= MAX_LINES_PER_S:
             return event
-        self.held[kind] += 1
+        self.suppressed[kind] += 1
         raise structlog.DropEvent
 
     def summarise(self, log: Any) -> None:
-        """Write one line for each kind of line that was held back since the last call."""
-        held, self.held = self.held, Counter()
-        for (name, code, step), count in held.items():
-            log.warning(SUMMARY, suppressed=name, code=code, step=step, peer="", count=count)
+        """Log the number of suppressed lines of each kind since the last call."""
+        suppressed, self.suppressed = self.suppressed, Counter()
+        for (name, code, step), count in suppressed.items():
+            log.warning(SUMMARY_EVENT, suppressed=name, code=code, step=step, peer="", count=count)
--- a/src/marjoramtide/telemetry/_logs.py
+++ b/src/marjoramtide/telemetry/_logs.py
@@ -1,4 +1,4 @@
-"""Structured logs: one JSON line for each event, on standard output."""
+"""Structured logging: one JSON line per event on standard output."""
 
 import asyncio
 import logging
@@ -6,22 +6,22 @@
 
 import structlog
 
-from marjoramtide.telemetry._line_output import LineOutput
-from marjoramtide.telemetry._log_limit import LogLimit
-from marjoramtide.telemetry._standard_log import StandardLog
+from marjoramtide.telemetry._line_output import NonBlockingOutput
+from marjoramtide.telemetry._log_limit import LogRateLimiter
+from marjoramtide.telemetry._standard_log import StandardLogHandler
 
-SUMMARY_S = 1.0
-STANDARD_OUTPUT = 1
+SUMMARY_INTERVAL_S = 1.0
+STDOUT_DESCRIPTOR = 1
 
-limit = LogLimit()
-log_output = LineOutput(STANDARD_OUTPUT)
+rate_limiter = LogRateLimiter()
+log_output = NonBlockingOutput(STDOUT_DESCRIPTOR)
 
 
 def configure_logs(level: str, **fields: str) -> None:
-    """Write events of ``level`` and above, each with ``fields`` (the node's name and place)."""
+    """Log events of ``level`` and above, each with ``fields`` (the node's name and data centre)."""
     structlog.configure(
         processors=[
-            limit,
+            rate_limiter,
             structlog.contextvars.merge_contextvars,
             structlog.processors.add_log_level,
             structlog.processors.TimeStamper(fmt="iso", utc=True),
@@ -35,15 +35,15 @@
         cache_logger_on_first_use=True,
     )
     structlog.contextvars.bind_contextvars(**fields)
-    logging.basicConfig(handlers=[StandardLog()], level=logging.WARNING, force=True)
+    logging.basicConfig(handlers=[StandardLogHandler()], level=logging.WARNING, force=True)
 
 
-async def summarise_logs() -> None:
-    """Tell once a second how many lines were held back, until cancelled and once more then."""
+async def report_suppressed_lines() -> None:
+    """Log the counts of suppressed lines once a second until cancelled, and a last time then."""
     log = structlog.get_logger()
     try:
         while True:
-            await asyncio.sleep(SUMMARY_S)
-            limit.summarise(log)
+            await asyncio.sleep(SUMMARY_INTERVAL_S)
+            rate_limiter.summarise(log)
     finally:
-        limit.summarise(log)
+        rate_limiter.summarise(log)
--- a/src/marjoramtide/telemetry/_metrics.py
+++ b/src/marjoramtide/telemetry/_metrics.py
@@ -1,4 +1,4 @@
-"""Counters and timings, aggregated in the process and sent as statsd datagrams once a second."""
+"""Counters and timings, aggregated in the process and sent to statsd once a second."""
 
 import asyncio
 import bisect
@@ -6,29 +6,29 @@
 
 import statsd
 
-FLUSH_S = 1.0
-# Upper limits of the histograms' buckets, in milliseconds: about a factor of two apart, from a hop
-# on a quiet machine to the longest deadlines.
+FLUSH_INTERVAL_S = 1.0
+# Upper bounds of the histogram buckets, in milliseconds: about a factor of two apart, from a hop
+# between nodes on an idle machine to the longest request deadlines.
 BUCKETS_MS = (1, 2, 5, 10, 20, 50, 100, 200, 300, 500, 800, 1000, 2000, 5000)
 
 
 class Histogram:
-    """How many durations fell into each bucket, and their sum in milliseconds."""
+    """The number of durations in each bucket, and their sum in milliseconds."""
 
     def __init__(self) -> None:
         self.counts = [0] * (len(BUCKETS_MS) + 1)
-        self.total = 0.0
+        self.total_ms = 0.0
 
     def add(self, milliseconds: float) -> None:
         self.counts[bisect.bisect_left(BUCKETS_MS, milliseconds)] += 1
-        self.total += milliseconds
+        self.total_ms += milliseconds
 
 
 class Metrics:
-    """Collects until the next flush, so that telemetry costs a few datagrams a second.
+    """Aggregates metrics between flushes, so that telemetry costs a few datagrams a second.
 
-    A timing is sent as its mean, maximum and count over the second; one datagram for each request
-    would cost more than the request path itself. ``totals`` keeps counts since the start for the
+    A timing is sent as its mean, maximum and count over the second; a datagram per request would
+    cost more than the request path itself. ``totals`` holds the counters since the start for the
     operators' API.
     """
 
@@ -42,11 +42,11 @@
         self.histograms: dict[str, Histogram] = {}
 
     def count(self, name: str, number: int = 1) -> None:
-        """Add to a counter."""
+        """Increment a counter."""
         self.counts[name] += number
 
     def timing(self, name: str, milliseconds: float) -> None:
-        """Note one duration."""
+        """Record a duration."""
         histogram = self.histograms.get(name)
         if histogram is None:
             histogram = self.histograms[name] = Histogram()
@@ -60,16 +60,16 @@
         entry[2] = max(entry[2], milliseconds)
 
     def gauge(self, name: str, value: float) -> None:
-        """Set a value that is sent as it stands."""
+        """Set a gauge."""
         self.gauges[name] = value
 
     def all_counts(self) -> dict[str, int]:
-        """Return the counts since the start, those not yet flushed included."""
+        """Return the counters since the start, including those not flushed yet."""
         names = self.totals.keys() | self.counts.keys()
         return {name: self.totals.get(name, 0) + self.counts.get(name, 0) for name in names}
 
     def flush(self) -> None:
-        """Send what was collected, and begin anew."""
+        """Send the collected metrics and reset the counters and timings."""
         counts, self.counts = self.counts, defaultdict(int)
         timings, self.timings = self.timings, {}
         for name, number in counts.items():
@@ -83,14 +83,14 @@
                 batch.timing(f"{name}.mean", total / calls)
                 batch.timing(f"{name}.max", largest)
                 batch.incr(f"{name}.count", int(calls))
-            for name, level in self.gauges.items():
-                batch.gauge(name, level)
+            for name, value in self.gauges.items():
+                batch.gauge(name, value)
 
     async def run(self) -> None:
-        """Flush once a second until cancelled, and once more then."""
+        """Flush once a second until cancelled, and a last time then."""
         try:
             while True:
-                await asyncio.sleep(FLUSH_S)
+                await asyncio.sleep(FLUSH_INTERVAL_S)
                 self.flush()
         finally:
             self.flush()
--- a/src/marjoramtide/telemetry/_span.py
+++ b/src/marjoramtide/telemetry/_span.py
@@ -1,4 +1,4 @@
-"""What was done for one request at one hop."""
+"""A tracing span: the processing of one request at one hop."""
 
 from typing import Any
 
@@ -7,7 +7,7 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Span:
-    """A span as it is logged: times in seconds since the epoch and milliseconds."""
+    """A span as it is logged; ``start`` is in seconds since the Unix epoch."""
 
     trace_id: str
     span_id: str
@@ -19,5 +19,5 @@
     attributes: dict[str, Any] = attrs.Factory(dict)
 
     def traceparent(self) -> str:
-        """Return the ``traceparent`` by which the next hop names this span as its parent."""
+        """Return the ``traceparent`` header that makes this span the parent at the next hop."""
         return f"00-{self.trace_id}-{self.span_id}-01"
--- a/src/marjoramtide/telemetry/_standard_log.py
+++ b/src/marjoramtide/telemetry/_standard_log.py
@@ -1,4 +1,4 @@
-"""What libraries write to the standard library's log, as our JSON lines."""
+"""Log records of libraries as JSON lines."""
 
 import logging
 
@@ -9,11 +9,11 @@
 log = structlog.get_logger()
 
 
-class StandardLog(logging.Handler):
-    """Hands records on, so that every line of the node's output is JSON.
+class StandardLogHandler(logging.Handler):
+    """Forwards records of ``logging`` to structlog, so that every line of the output is JSON.
 
-    Without it asyncio's "Task exception was never retrieved" comes as a plain traceback, which
-    breaks whoever parses the lines.
+    Without it asyncio's "Task exception was never retrieved" is written as a plain traceback, which
+    breaks programs that parse the log.
     """
 
     def emit(self, record: logging.LogRecord) -> None:
--- a/src/marjoramtide/telemetry/_tracer.py
+++ b/src/marjoramtide/telemetry/_tracer.py
@@ -1,4 +1,4 @@
-"""Spans of the requests that pass through this node."""
+"""Recording of the spans of sampled requests at this node."""
 
 import json
 import random
@@ -19,62 +19,63 @@
     parse_traceparent,
 )
 
-KEPT_SPANS = 2048
+MAX_RECENT_SPANS = 2048
 NO_SPAN: AbstractContextManager[Span | None] = nullcontext()
-# A caller may ask for a trace of each of its requests; what that may cost a node is bounded here.
+# Bounds the cost of callers that set the sampled flag on each of their requests.
 MAX_TRACES_PER_S = 50
 
 log = structlog.get_logger()
 
 
 class Tracer:
-    """Writes one JSON line for each span of a sampled trace and keeps the last for ``trace``.
+    """Writes one JSON line per span of a sampled trace, and retains recent spans for ``trace``.
 
-    The lines go to ``trace_file`` where one is named, else among the logs.
+    The lines go to ``trace_file`` if one is set, otherwise to the log.
 
-    Whether a trace is sampled is decided where it begins, by the caller's ``traceparent`` or by the
-    share in the settings, and travels with the request: a trace is whole or absent.
+    Head-based sampling: the first node decides by the caller's ``traceparent`` or by the
+    ``trace_share`` setting, and the decision travels with the request, so that a trace is complete
+    or absent.
     """
 
     def __init__(self, node: str, clock: Clock, rng: random.Random, trace_file: str = "") -> None:
         self.node = node
         self.clock = clock
         self.rng = rng
-        self.kept: deque[Span] = deque(maxlen=KEPT_SPANS)
-        self.sink = open_sink(trace_file) if trace_file else log_span
-        self.second = 0
-        self.begun = 0
+        self.recent_spans: deque[Span] = deque(maxlen=MAX_RECENT_SPANS)
+        self.write_span = open_trace_file(trace_file) if trace_file else log_span
+        self.current_second = 0
+        self.traces_begun = 0
 
-    def start_trace(self, header: str, share: float) -> TraceContext:
-        """Return the context of a caller's request, new where it brings none.
+    def start_trace(self, header: str, sample_ratio: float) -> TraceContext:
+        """Return the trace context of a caller's request, a new one if the header is not valid.
 
-        Beyond ``MAX_TRACES_PER_S`` it is not sampled, whatever the caller or the share says.
+        Beyond ``MAX_TRACES_PER_S`` it is not sampled, regardless of the caller and the ratio.
         """
-        context = parse_traceparent(header) or new_trace(self.rng, self.rng.random() < share)
-        if context.sampled and not self.may_begin():
+        context = parse_traceparent(header) or new_trace(self.rng, self.rng.random() < sample_ratio)
+        if context.sampled and not self.allows_trace():
             return attrs.evolve(context, sampled=False)
         return context
 
-    def may_begin(self) -> bool:
-        """Count a trace that begins at this node."""
+    def allows_trace(self) -> bool:
+        """Count a sampled trace that starts at this node; tell whether it is within the limit."""
         second = int(self.clock.monotonic())
-        if second != self.second:
-            self.second, self.begun = second, 0
-        self.begun += 1
-        return self.begun <= MAX_TRACES_PER_S
+        if second != self.current_second:
+            self.current_second, self.traces_begun = second, 0
+        self.traces_begun += 1
+        return self.traces_begun <= MAX_TRACES_PER_S
 
     def span(self, name: str, header: str) -> AbstractContextManager[Span | None]:
-        """Record what runs inside as a span under the one that ``header`` names.
+        """Record the ``with`` block as a child span of the one in a ``traceparent`` header.
 
-        Gives ``None`` where the trace is not sampled, which is most requests: they pay for the
-        look at one character.
+        Yields ``None`` if the trace is not sampled. This is the case for most requests, which only
+        pay for the comparison of one character.
         """
         parent = parse_traceparent(header) if is_sampled(header) else None
         return NO_SPAN if parent is None else self.record(name, parent)
 
     @contextmanager
     def record(self, name: str, parent: TraceContext) -> Iterator[Span]:
-        """Record what runs inside as a span under ``parent``."""
+        """Record the ``with`` block as a child span of ``parent``."""
         context = parent.child(self.rng)
         span = Span(
             context.trace_id,
@@ -84,29 +85,29 @@
             self.node,
             self.clock.wall(),
         )
-        started = self.clock.monotonic()
+        started_at = self.clock.monotonic()
         try:
             yield span
         except BaseException as error:
             span.attributes["error"] = getattr(error, "code", type(error).__name__)
             raise
         finally:
-            span.duration_ms = round((self.clock.monotonic() - started) * 1000, 3)
-            self.kept.append(span)
-            self.sink(span)
+            span.duration_ms = round((self.clock.monotonic() - started_at) * 1000, 3)
+            self.recent_spans.append(span)
+            self.write_span(span)
 
     def spans_of(self, trace_id: str) -> list[Span]:
-        """Return the spans kept of one trace."""
-        return [span for span in self.kept if span.trace_id == trace_id]
+        """Return the recent spans of a trace."""
+        return [span for span in self.recent_spans if span.trace_id == trace_id]
 
 
 def log_span(span: Span) -> None:
-    """Write a span among the logs."""
+    """Write a span to the log."""
     log.info("span", **attrs.asdict(span))
 
 
-def open_sink(path: str) -> Callable[[Span], None]:
-    """Return what appends spans to a file; raises ``bad-settings`` where it can't be opened."""
+def open_trace_file(path: str) -> Callable[[Span], None]:
+    """Return a function that appends spans to a file; raises ``bad-settings`` on failure."""
     try:
         file = open(path, "a", encoding="utf-8", buffering=1)  # noqa: SIM115 - open to the end
     except OSError as error:
@@ -114,11 +115,11 @@
             ErrorCode.BAD_SETTINGS, f"trace_file: {error}", step="telemetry.open"
         ) from error
 
-    def write(span: Span) -> None:
+    def append_span(span: Span) -> None:
         try:
             file.write(json.dumps({"event": "span", **attrs.asdict(span)}) + "\n")
         except OSError as error:
-            # A full disk would else fail the request whose span this is, after it has run.
+            # Otherwise a full disk would fail the request of this span after it has run.
             log.warning(
                 "telemetry.span_lost",
                 code=ErrorCode.INTERNAL,
@@ -127,4 +128,4 @@
                 reason=str(error),
             )
 
-    return write
+    return append_span
