--- a/features/cli/commands.feature
+++ b/features/cli/commands.feature
@@ -54,8 +54,8 @@
     And the command "evacuation list" ends with 0 and prints "data_centre  author"
 
   Scenario: A request that is held back is shown and released
-    # Backend servers ended while they ran a request. It is mended in the servers, and its callers wait
-    # for a time that nobody needs any more.
+    # Backend servers crashed while they ran a request. The servers are fixed, but the callers of the
+    # request would have to wait until the quarantine expires.
     Given "GET /tiles/7" with the fingerprint 00c0ffee00c0ffee is held back for 55 s
     Then the command "quarantine list" ends with 0 and prints "GET /tiles/7"
     And the command "quarantine list" ends with 0 and prints "00c0ffee00c0ffee  2     55.0    6        2"
@@ -74,8 +74,8 @@
     Then the command "settings edit" ends with 3 and prints "your text is kept in"
 
   Scenario: A file that was made from an older revision
-    The operator shows the tree, and another one changes it before he applies his file. A different
-    branch is kept; the same branch is a conflict, and nothing is written.
+    Another operator changes the tree between show and apply. A change of a different branch is
+    merged; a change of the same branch is a conflict, and nothing is written.
     Given the file mine.toml is what the command "settings show" prints with "slots = 10" replaced by "slots = 11"
     When the command "service create licencehub" ends with 0
     Then the command "settings apply mine.toml" ends with 0 and prints "on top of other operators' changes"
@@ -110,8 +110,8 @@
     And the command "settings show" ends with 0 and prints "revision 1"
 
   Scenario: The node goes away while the change is in doubt
-    The write was applied, its answer is lost and the store is down; then the node stops answering.
-    The command can't know, says so with the change id, and asking again with it tells the end.
+    The write is applied, its response is lost and the store is down; then the node stops responding.
+    The outcome is unknown; the command prints the change id, and a repeat with it shows the outcome.
     Given the live store loses the answer to the next write and goes down
     When the operators' addresses close once the change is in doubt
     Then the command "settings set /services/mapdesk slots 12 --change-id c7" ends with 6 and prints "change: c7"
--- a/features/edge/observability.feature
+++ b/features/edge/observability.feature
@@ -1,9 +1,9 @@
 Feature: One request can be followed, and watching costs little
 
   Scenario: The spans of one request join over nodes, up to its caller and down to its backend server
-    # A caller that traces sends a request to a node that does not serve it. Its span is the parent
-    # of the ingress span, that of the attempt, that of the serving span on the other node, and that
-    # is the parent named to the backend server.
+    # A traced request enters by a node of another service. The caller's span is the parent of the
+    # ingress span, which is the parent of the attempt span, which is the parent of the serving span
+    # on the other node, which is sent to the backend server as the parent.
     Given a mixed mesh of 1 mapdesk and 1 licencehub nodes
       """
       [services.mapdesk]
@@ -18,8 +18,8 @@
     And the backend server was told the last one as its parent
 
   Scenario: What is sampled is decided where the trace begins
-    # The caller's flag counts before the share in the settings, both ways. A trace that begins at
-    # the node has a first span without a parent.
+    # The caller's sampled flag overrides the trace_share setting in both directions. The root span of
+    # a trace that begins at the node has no parent.
     Given a mesh of 1 mapdesk nodes
       """
       [services.mapdesk]
@@ -32,8 +32,8 @@
     And a request with traceparent 01-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-00-more leaves 0 spans at mapdesk-1
 
   Scenario: Callers that trace everything don't fill the log
-    # A caller sets the sampled flag on each of its requests. A node begins at most 50 traces a
-    # second; the other requests are served without.
+    # A caller sets the sampled flag on each of its requests. A node samples at most 50 traces a
+    # second and serves the other requests without a trace.
     Given a mesh of 1 mapdesk nodes
     When 400 traced lookups of mapdesk enter by mapdesk-1 at once
     Then mapdesk-1 has begun at most 50 traces a second
@@ -45,24 +45,24 @@
     Then the file of mapdesk-1 has 15 spans and its log has none
 
   Scenario: A flood of refusals writes few lines, and loses none from the count
-    # 2000 requests of a host that nobody serves come as fast as they can. Each is refused. The log
-    # has at most ten lines a second for them, and one more that counts the rest.
+    # 2000 requests of an unknown host arrive without a pause, and each is rejected. The log has at
+    # most ten lines a second for them, and one summary line with the count of the suppressed ones.
     Given a mesh of 1 mapdesk nodes
-    When 2000 requests of an unknown host enter by mapdesk-1 as fast as they can
+    When 2000 requests of an unknown host enter by mapdesk-1 without a pause
     Then mapdesk-1 wrote at most 11 lines a second of them, and counted 2000
 
   Scenario: Every line of the log can be read by a program
-    # Bad requests, foreign frames, a backend server that dies and a planned stop all leave lines.
-    # Each is a JSON object with event, level, timestamp and node; each refusal tells code, step and
-    # peer.
+    # Bad requests, frames with a wrong key, a backend server that is killed and a graceful shutdown
+    # are logged. Each line is a JSON object with event, level, timestamp and node; each rejection
+    # has code, step and peer.
     Given a mesh of 2 mapdesk nodes
-    When much goes wrong at mapdesk-1
+    When a series of failures happens at mapdesk-1
     Then every line of mapdesk-1 is JSON with event, level, timestamp and node
-    And each of its refusals has code, step and peer
+    And each of its rejections has code, step and peer
 
   Scenario: Metrics are sent in few datagrams whatever the load
-    # A sink in place of statsd counts datagrams. At rest and under load a node sends a handful a
-    # second, each of whole statsd lines, and the counters add up to the requests that were made.
+    # A UDP receiver in place of statsd counts datagrams. When idle and under load a node sends a few a
+    # second, each with complete statsd lines, and the counters add up to the requests made.
     Given a mesh of 1 mapdesk nodes
     And mapdesk-1 reports to a statsd sink
     When 900 lookups of mapdesk enter by mapdesk-1 in 3 s
@@ -70,8 +70,8 @@
     And the sink counted 900 completed requests
 
   Scenario: Nobody takes the lines of the log any more
-    # Whoever collects them stalls, and then ends. A node that waited would stand still with all its
-    # requests; one that raised would fail whatever wrote the line. Lines are lost, and counted.
-    Given the output of a log into a pipe that nobody reads
-    When 2000 lines are written to it, and 10 more after the pipe's reader has ended
-    Then the first lines can be read, and the other ones were counted as lost
+    # The log collector stalls and then exits. A blocking write would stop the node with all its
+    # requests, and an exception would fail the code that logs. Lines are dropped and counted.
+    Given a log output that writes to a pipe that is not read
+    When 2000 lines are written to it, and 10 more after the pipe's reader has closed
+    Then the first lines can be read, and the others are counted as lost
--- a/features/edge/recorder.py
+++ b/features/edge/recorder.py
@@ -1,4 +1,4 @@
-"""A backend server that keeps every byte it is sent."""
+"""A backend server that records the raw requests it receives."""
 
 import socketserver
 import threading
@@ -9,12 +9,12 @@
 import httptools
 
 HEALTHY = b'HTTP/1.1 200 OK\r\nContent-Length: 17\r\n\r\n{"state":"ready"}'
-FINE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
 
 @attrs.define(slots=True)
 class Record:
-    """One request as it came, and whether its end came too."""
+    """A request as received, and whether it was received completely."""
 
     raw: bytes = b""
     method: str = ""
@@ -33,7 +33,7 @@
 
 
 class Recorder(socketserver.ThreadingTCPServer):
-    """Answers each request with ``reply`` and keeps what it was sent, health reads apart."""
+    """Responds to each request with ``reply``, and records all requests but health checks."""
 
     allow_reuse_address = True
     daemon_threads = True
@@ -42,14 +42,14 @@
         host, _, port = address.rpartition(":")
         super().__init__((host, int(port)), Connection)
         self.records: list[Record] = []
-        self.reply = FINE
+        self.reply = OK_RESPONSE
         threading.Thread(target=self.serve_forever, daemon=True).start()
 
     def handle_error(self, *_: Any) -> None:
-        """Say nothing of connections that were reset."""
+        """Ignore errors of connections that were reset."""
 
     def wait(self, count: int, timeout: float = 3.0) -> list[Record]:
-        """Return the records once there are ``count``, each with its connection idle or ended."""
+        """Return the records once there are ``count``, after time for their bodies to arrive."""
         end = time.monotonic() + timeout
         while len(self.records) < count and time.monotonic() < end:
             time.sleep(0.02)
@@ -62,13 +62,13 @@
 
 
 class Connection(socketserver.BaseRequestHandler):
-    """Reads one request after the other."""
+    """Serves the requests of one connection in sequence."""
 
     def handle(self) -> None:
-        while self.take_one():
+        while self.serve_request():
             pass
 
-    def take_one(self) -> bool:
+    def serve_request(self) -> bool:
         record = Record()
         parser: Any = httptools.HttpRequestParser(record)
         while not record.whole:
--- a/features/steps/edge_observability_steps.py
+++ b/features/steps/edge_observability_steps.py
@@ -1,4 +1,4 @@
-"""Steps that read what nodes tell of themselves: logs, metrics and spans."""
+"""Steps for the logs, metrics and spans of nodes."""
 
 import asyncio
 import itertools
@@ -12,7 +12,7 @@
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from features.edge.peer_attacks import ATTACKS
-from features.edge.sink import Sink
+from features.edge.sink import StatsdSink
 from features.edge.watching import REFUSALS, TRACE, find, get, lines
 from marjoramtide.telemetry._line_output import NonBlockingOutput
 from standins.raw_caller import send_raw
@@ -30,7 +30,7 @@
 
 
 def spans(context: Any) -> list[dict[str, Any]]:
-    """Return the spans of the traced request over all nodes, first to last."""
+    """Return the spans of the traced request from all nodes, in order."""
     trace_id = TRACE.split("-")[1]
     found = [line for node in context.mesh.nodes for line in lines(node, "span")]
     mine = [span for span in found if span["trace_id"] == trace_id]
@@ -58,8 +58,8 @@
 @then("the backend server was told the last one as its parent")
 def backend_parent(context: Any) -> None:
     last = spans(context)[-1]
-    (told,) = [one.wait(1)[0] for one in context.recorders.values() if one.records]
-    assert told.headers["traceparent"] == f"00-{last['trace_id']}-{last['span_id']}-01"
+    (record,) = [one.wait(1)[0] for one in context.recorders.values() if one.records]
+    assert record.headers["traceparent"] == f"00-{last['trace_id']}-{last['span_id']}-01"
 
 
 @then("a request with traceparent {value} leaves {count:d} spans at {name}")
@@ -77,7 +77,7 @@
 
 
 async def lookups(address: str, data: bytes, count: int, workers: int = 20) -> list[int]:
-    """Send ``count`` lookups over a few connections; return their statuses."""
+    """Send ``count`` requests over ``workers`` connections; return their statuses."""
     host, _, port = address.rpartition(":")
 
     async def work(number: int) -> list[int]:
@@ -113,7 +113,7 @@
 
 
 def restart(context: Any, name: str, **extra: Any) -> None:
-    """Start a node again with more settings."""
+    """Restart a node with additional settings."""
     node = find(context, name)
     context.runner.run(node.process.stop())
     node.extra.update(extra)
@@ -136,7 +136,7 @@
     assert not [span for span in lines(find(context, name), "span") if span["trace_id"] == trace_id]
 
 
-@when("{count:d} requests of an unknown host enter by {name} as fast as they can")
+@when("{count:d} requests of an unknown host enter by {name} without a pause")
 def flood(context: Any, count: int, name: str) -> None:
     started = time.monotonic()
     found = context.runner.run(lookups(find(context, name).callers, get("nobody"), count))
@@ -146,7 +146,7 @@
 
 
 @then("{name} wrote at most {rate:d} lines a second of them, and counted {count:d}")
-def few_lines(context: Any, name: str, rate: int, count: int) -> None:
+def limited_lines(context: Any, name: str, rate: int, count: int) -> None:
     node = find(context, name)
     written = [line for line in lines(node, "ingress.refused") if line["code"] == "unknown-service"]
     held = [line for line in lines(node, "log.suppressed") if line["code"] == "unknown-service"]
@@ -154,12 +154,12 @@
     assert len(written) + sum(line["count"] for line in held) == count, (len(written), held)
 
 
-@when("much goes wrong at {name}")
-def much_goes_wrong(context: Any, name: str) -> None:
+@when("a series of failures happens at {name}")
+def cause_failures(context: Any, name: str) -> None:
     node = find(context, name)
     other = next(each for each in context.mesh.nodes if each is not node)
 
-    async def trouble() -> None:
+    async def fail() -> None:
         await send_raw(node.callers, b"\x00garbage\r\n\r\n")
         await send_raw(node.callers, get("nobody"))
         await ATTACKS["another key"](node.peers)
@@ -171,7 +171,7 @@
         await asyncio.sleep(1.5)
         await node.process.stop()
 
-    context.runner.run(trouble())
+    context.runner.run(fail())
 
 
 @then("every line of {name} is JSON with event, level, timestamp and node")
@@ -183,8 +183,8 @@
     context.rows = rows
 
 
-@then("each of its refusals has code, step and peer")
-def refusals_tell(context: Any) -> None:
+@then("each of its rejections has code, step and peer")
+def rejections_complete(context: Any) -> None:
     found = [row for row in context.rows if row["event"] in REFUSALS]
     kinds = {row["code"] for row in found}
     bad = [row for row in found if not (row["code"] and row["step"] and "peer" in row)]
@@ -194,7 +194,7 @@
 
 @given("{name} reports to a statsd sink")
 def to_sink(context: Any, name: str) -> None:
-    context.sink = Sink(context.mesh.host)
+    context.sink = StatsdSink(context.mesh.host)
     context.cleanup.callback(context.sink.stop)
     host, port = context.sink.socket.getsockname()
     restart(context, name, statsd=f"{host}:{port}")
@@ -203,8 +203,8 @@
 
 
 def completed(context: Any) -> int:
-    """Return the completed requests that the sink was told of; each line must be well formed."""
-    metrics = [line for _, text in context.sink.taken for line in text.splitlines()]
+    """Return the completed requests that the sink counted; asserts that each line is valid."""
+    metrics = [line for _, text in context.sink.datagrams for line in text.splitlines()]
     assert all(METRIC.fullmatch(line) for line in metrics), metrics
     values = [line.split(":")[1] for line in metrics if ".ingress.completed:" in line]
     return sum(int(value.partition("|")[0]) for value in values)
@@ -224,7 +224,7 @@
 
 @then("no second brought the sink more than {count:d} datagrams")
 def few_datagrams(context: Any, count: int) -> None:
-    times = [when for when, _ in context.sink.taken]
+    times = [when for when, _ in context.sink.datagrams]
     busiest = max(sum(start <= when < start + 1 for when in times) for start in times)
     assert busiest <= count, Counter(int(when) for when in times)
 
@@ -234,14 +234,14 @@
     assert completed(context) - context.before == count, (completed(context), context.before)
 
 
-@given("the output of a log into a pipe that nobody reads")
+@given("a log output that writes to a pipe that is not read")
 def given_pipe(context: Any) -> None:
     context.pipe = os.pipe()
     context.output = NonBlockingOutput(context.pipe[1])
     context.cleanup.callback(os.close, context.pipe[1])
 
 
-@when("{count:d} lines are written to it, and {more:d} more after the pipe's reader has ended")
+@when("{count:d} lines are written to it, and {more:d} more after the pipe's reader has closed")
 def write_lines(context: Any, count: int, more: int) -> None:
     for number in range(count):
         context.output.write(json.dumps({"number": number, "text": "a" * 100}) + "\n")
@@ -252,7 +252,7 @@
     context.written = count + more
 
 
-@then("the first lines can be read, and the other ones were counted as lost")
+@then("the first lines can be read, and the others are counted as lost")
 def lines_lost(context: Any) -> None:
     numbers = [json.loads(line)["number"] for line in context.read.decode().splitlines()]
     assert numbers == list(range(len(numbers))) and len(numbers) > 100, len(numbers)
--- a/features/steps/edge_steps.py
+++ b/features/steps/edge_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send bad HTTP to real nodes, and look at what reaches the backend servers."""
+"""Steps that send malformed HTTP to nodes and check what reaches the backend servers."""
 
 import asyncio
 import itertools
@@ -15,25 +15,25 @@
 use_step_matcher("parse")
 
 
-async def send_forms(node: Any, rows: list[Any]) -> list[str]:
-    """Send each form and return what was not as its row says."""
+async def send_raw_requests(node: Any, rows: list[Any]) -> list[str]:
+    """Send each raw request; return those whose response or log differs from their row."""
     wrong = []
     for row in rows:
         seen = len(lines(node, *REFUSALS))
         answer = await send_raw(node.callers, spell(row["raw"]))
-        told = await one_line(node, seen, REFUSALS)
-        codes = [line["code"] for line in told]
+        log_lines = await one_line(node, seen, REFUSALS)
+        codes = [line["code"] for line in log_lines]
         good = answer.statuses == [int(row["status"])] and codes == [row["code"]]
-        if not (good and b"Request-Outcome: not-run" in answer.data and told[0]["step"]):
+        if not (good and b"Request-Outcome: not-run" in answer.data and log_lines[0]["step"]):
             wrong.append(f"{row['raw'][:90]}\n   {answer.statuses} {codes} {answer.data[:200]!r}")
         await asyncio.sleep(PAUSE_S)
     return wrong
 
 
 @when("raw requests are sent to {name} amid the traffic")
-def forms_amid_traffic(context: Any, name: str) -> None:
+def raw_requests_amid_traffic(context: Any, name: str) -> None:
     rows = list(context.table)
-    work = send_forms(find(context, name), rows)
+    work = send_raw_requests(find(context, name), rows)
     wrong = context.runner.run(amid_traffic(context, name, work))
     assert not wrong, "\n".join(wrong)
 
@@ -46,7 +46,7 @@
 
 
 @given("every backend server only records")
-def record(context: Any) -> None:
+def record_requests(context: Any) -> None:
     context.recorders = {}
     for node in context.mesh.nodes:
         context.runner.run(node.server.kill())
@@ -78,7 +78,7 @@
 
 
 @then("no backend server was given a whole request")
-def nothing_whole(context: Any) -> None:
+def no_complete_request(context: Any) -> None:
     time.sleep(0.5)
     whole = [each for one in context.recorders.values() for each in one.records if each.whole]
     assert not whole, [each.raw[:200] for each in whole]
@@ -92,7 +92,7 @@
 
 
 @when("a caller sends {name} one byte a second")
-def trickle(context: Any, name: str) -> None:
+def send_byte_by_byte(context: Any, name: str) -> None:
     node = find(context, name)
     pieces = (bytes((byte,)) for byte in get("mapdesk"))
     started = time.monotonic()
@@ -110,8 +110,8 @@
     assert len(found) == 1 and found[0]["step"], found
 
 
-async def ask_and_wait(address: str, service: str, size: int, seconds: float) -> Any:
-    """Ask for a large answer, read nothing for some seconds, then read on to the end."""
+async def read_after_delay(address: str, service: str, size: int, seconds: float) -> Any:
+    """Request a large response, read nothing for some seconds, then read the rest."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     target = f"/?bytes={size}"
@@ -130,14 +130,14 @@
     context.size = size
 
     async def both() -> Any:
-        calls = [ask_and_wait(address, service, size, seconds) for service in (one, other)]
+        calls = [read_after_delay(address, service, size, seconds) for service in (one, other)]
         return await asyncio.gather(*calls)
 
     context.answers = context.runner.run(both())
 
 
 @then("each finds a part, an end, and a line of {code} at {name}")
-def part_and_end(context: Any, code: str, name: str) -> None:
+def partial_response(context: Any, code: str, name: str) -> None:
     for answer in context.answers:
         assert answer.closed and len(answer.data) < context.size, (answer.closed, len(answer.data))
     found = lines(find(context, name), "ingress.broken_off")
@@ -215,7 +215,7 @@
 
 
 async def wait_and_send(address: str, size: int) -> tuple[bool, list[int]]:
-    """Send a head, wait, and send the body where it was asked for."""
+    """Send a head, wait for 100 Continue, and send the body if it was received."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     head = f"POST / HTTP/1.1\r\nHost: mapdesk\r\nExpect: 100-continue\r\nContent-Length: {size}"
--- a/features/steps/platform_status_steps.py
+++ b/features/steps/platform_status_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a node shows of itself, and on what makes it go on by changed settings."""
+"""Steps for the status that a node shows, and for reloading of its settings."""
 
 import asyncio
 import contextlib
@@ -68,7 +68,7 @@
 
 
 @then("the settings of node {number:d} were put into force no further time")
-def no_further_time(context: Any, number: int) -> None:
+def no_reopening(context: Any, number: int) -> None:
     assert context.opened == 0, context.opened
 
 
@@ -85,7 +85,7 @@
     def make(settings: NodeSettings) -> Interface:
         context.levels.append(settings.log_level)
         if len(context.levels) == 2:
-            raise RuntimeError("a fault of ours")
+            raise RuntimeError("an injected failure")
         return own_interface()
 
     context.cleanup.enter_context(mock.patch.object(_process, "make_interface", make))
@@ -108,11 +108,11 @@
             signal.raise_signal(signal.SIGTERM)
             await node
 
-    # The steps that follow tell how far it came.
+    # The following step asserts which changes were applied.
     with contextlib.suppress(TimeoutError):
         context.runner.run(change())
 
 
 @then("the second change is taken up")
-def second_taken_up(context: Any) -> None:
+def second_applied(context: Any) -> None:
     assert context.levels == ["info", "warning", "error"], context.levels
--- a/features/steps/story_steps.py
+++ b/features/steps/story_steps.py
@@ -1,4 +1,4 @@
-"""Steps on reading a request's story from logs."""
+"""Steps for reading a request's timeline from logs."""
 
 import tempfile
 from pathlib import Path
@@ -6,7 +6,7 @@
 
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from marjoramtide.cli._request_story import format_story, read_story
+from marjoramtide.cli._request_timeline import format_timeline, read_timeline
 
 use_step_matcher("parse")
 
@@ -20,15 +20,15 @@
 
 @when('the operator traces "{request}" in that file')
 def when_traced(context: Any, request: str) -> None:
-    context.story = format_story(read_story(request, [str(context.log_file)]))
+    context.timeline = format_timeline(read_timeline(request, [str(context.log_file)]))
 
 
-@then('the story names "{first}", "{second}", "{third}" in this order')
-def names_in_order(context: Any, first: str, second: str, third: str) -> None:
-    places = [context.story.find(each) for each in (first, second, third)]
-    assert -1 not in places and places == sorted(places), context.story
+@then('the timeline contains "{first}", "{second}", "{third}" in this order')
+def contains_in_order(context: Any, first: str, second: str, third: str) -> None:
+    places = [context.timeline.find(each) for each in (first, second, third)]
+    assert -1 not in places and places == sorted(places), context.timeline
 
 
-@then('the story does not name "{text}"')
-def names_not(context: Any, text: str) -> None:
-    assert text not in context.story
+@then('the timeline does not contain "{text}"')
+def does_not_contain(context: Any, text: str) -> None:
+    assert text not in context.timeline
--- a/src/marjoramtide/cli/__init__.py
+++ b/src/marjoramtide/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' command line."""
+"""The command line for operators."""
--- a/src/marjoramtide/cli/_evacuation_commands.py
+++ b/src/marjoramtide/cli/_evacuation_commands.py
@@ -1,4 +1,4 @@
-"""``marjoramtide evacuation``: data centres whose backend servers get no work."""
+"""``marjoramtide evacuation``: data centres whose backend servers get no requests."""
 
 import time
 from collections.abc import Iterable
@@ -6,7 +6,7 @@
 
 import attrs
 
-from marjoramtide.cli._node_client import ask_all
+from marjoramtide.cli._node_client import query_nodes
 from marjoramtide.cli._session import Session, current_user
 from marjoramtide.errors import MarjoramtideError
 
@@ -15,10 +15,10 @@
 
 @attrs.frozen(slots=True)
 class EvacuationProgress:
-    """How far an evacuation is.
+    """The progress of an evacuation.
 
-    ``running`` requests still run at backend servers of the data centre; of the slots of all others
-    ``free_elsewhere`` are not in use.
+    ``running`` requests are still executing at backend servers of the data centre; of all
+    ``slots_elsewhere``, ``free_elsewhere`` are free.
     """
 
     data_centre: str
@@ -30,53 +30,59 @@
 
 
 class EvacuationCommands:
-    """Data centres whose backend servers get nothing more, until taken back."""
+    """Evacuate data centres: their backend servers get no requests until released."""
 
     def __init__(self, session: Session) -> None:
         self._session = session
 
     def begin(self, data_centre: str) -> None:
-        """Send nothing more to backend servers of DATA_CENTRE; what they run ends well."""
+        """Evacuate DATA_CENTRE: send it no new requests; those in flight finish."""
         data_centre = str(data_centre)
-        told = self._session.node.post(
+        response = self._session.node.post(
             "/evacuations/begin", data_centre=data_centre, author=current_user()
         )
-        self._session.output.result(told, f"{data_centre} is evacuated")
+        self._session.output.result(response, f"{data_centre} is evacuated")
 
     def release(self, data_centre: str) -> None:
-        """Take an evacuation back: backend servers of DATA_CENTRE get work again."""
+        """End an evacuation: backend servers of DATA_CENTRE get requests again."""
         data_centre = str(data_centre)
-        told = self._session.node.post("/evacuations/release", data_centre=data_centre)
-        self._session.output.result(told, f"{data_centre} gets work again")
+        response = self._session.node.post("/evacuations/release", data_centre=data_centre)
+        self._session.output.result(response, f"{data_centre} gets work again")
 
     def list(self) -> None:
-        """Print what is evacuated, by whom, since when, and how far it is."""
+        """Print the evacuated data centres with author, start time and progress."""
         found = self._session.node.get("/evacuations")["evacuations"]
         members = self._session.node.get("/members")["members"]
-        answers = ask_all([member["operators_address"] for member in members], "/status")
-        nodes = [answer for answer in answers if isinstance(answer, dict)]
-        evacuated = {each["data_centre"] for each in found}
-        rows = [progress_of(each, nodes, evacuated) for each in found]
-        silent = [error.peer for error in answers if isinstance(error, MarjoramtideError)]
-        told = {"evacuations": [attrs.asdict(row) for row in rows], "silent": silent}
-        self._session.output.table(told, [attrs.astuple(row) for row in rows], COLUMNS)
-        if silent:
-            self._session.output.progress(f"no answer from {', '.join(silent)}")
-
-
-def progress_of(
-    told: dict[str, Any], nodes: Iterable[dict[str, Any]], evacuated: set[str]
+        responses = query_nodes([member["operators_address"] for member in members], "/status")
+        nodes = [status for status in responses if isinstance(status, dict)]
+        evacuated = {evacuation["data_centre"] for evacuation in found}
+        rows = [evacuation_progress(evacuation, nodes, evacuated) for evacuation in found]
+        unreachable = [error.peer for error in responses if isinstance(error, MarjoramtideError)]
+        document = {"evacuations": [attrs.asdict(row) for row in rows], "silent": unreachable}
+        self._session.output.table(document, [attrs.astuple(row) for row in rows], COLUMNS)
+        if unreachable:
+            self._session.output.progress(f"no answer from {', '.join(unreachable)}")
+
+
+def evacuation_progress(
+    evacuation: dict[str, Any], nodes: Iterable[dict[str, Any]], evacuated: set[str]
 ) -> EvacuationProgress:
-    """Return how far an evacuation is, by the status of all nodes that answered."""
+    """Return the progress of an evacuation by the status of all nodes that responded."""
     nodes = list(nodes)
-    there = [node["load"] for node in nodes if node["data_centre"] == told["data_centre"]]
-    others = [node["load"] for node in nodes if node["data_centre"] not in evacuated]
-    slots = sum(load["limit"] for load in others)
+    evacuated_loads = [
+        node["load"] for node in nodes if node["data_centre"] == evacuation["data_centre"]
+    ]
+    other_loads = [node["load"] for node in nodes if node["data_centre"] not in evacuated]
+    slots_elsewhere = sum(load["limit"] for load in other_loads)
     return EvacuationProgress(
-        told["data_centre"],
-        told["author"],
-        time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(told["since"])) if told["since"] else "",
-        sum(load["in_use"] for load in there),
-        slots - sum(load["in_use"] for load in others),
-        slots,
+        evacuation["data_centre"],
+        evacuation["author"],
+        (
+            time.strftime("%Y-%m-%d %H:%M:%S", time.gmtime(evacuation["since"]))
+            if evacuation["since"]
+            else ""
+        ),
+        sum(load["in_use"] for load in evacuated_loads),
+        slots_elsewhere - sum(load["in_use"] for load in other_loads),
+        slots_elsewhere,
     )
--- a/src/marjoramtide/cli/_exit_code.py
+++ b/src/marjoramtide/cli/_exit_code.py
@@ -1,4 +1,4 @@
-"""Exit statuses that scripts can rely on."""
+"""Exit statuses, a stable interface for scripts."""
 
 from enum import IntEnum
 
@@ -6,7 +6,7 @@
 
 
 class ExitCode(IntEnum):
-    """How a command ended; the numbers never change."""
+    """The result of a command; the numbers are stable."""
 
     DONE = 0
     INTERNAL = 1
@@ -17,7 +17,7 @@
     UNKNOWN = 6
 
 
-_OF_ERROR = {
+_EXIT_CODES = {
     ErrorCode.INTERNAL: ExitCode.INTERNAL,
     ErrorCode.NOT_IN_FORCE: ExitCode.NOT_IN_FORCE,
     ErrorCode.STORE_UNAVAILABLE: ExitCode.UNAVAILABLE,
@@ -29,5 +29,5 @@
 
 
 def exit_code_of(code: ErrorCode) -> ExitCode:
-    """Return the exit status for an error; most mean that nothing was changed."""
-    return _OF_ERROR.get(code, ExitCode.REJECTED)
+    """Return the exit status for an error; by default ``REJECTED``, nothing was changed."""
+    return _EXIT_CODES.get(code, ExitCode.REJECTED)
--- a/src/marjoramtide/cli/_node_client.py
+++ b/src/marjoramtide/cli/_node_client.py
@@ -1,4 +1,4 @@
-"""Asks a node's operators API."""
+"""The client of a node's operators' API."""
 
 import asyncio
 import json
@@ -11,53 +11,53 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.settings import parse_address
 
-TIMEOUT_S = 15.0
-ASKED_AT_ONCE = 16
-# A change waits for the store as long as it is away; the node sends a line every few seconds.
+CALL_TIMEOUT_S = 15.0
+MAX_CONCURRENT_QUERIES = 16
+# A change waits while the store is unavailable; meanwhile the node sends a line every few seconds.
 LINE_TIMEOUT_S = 30.0
 NODE_VARIABLE = "MARJORAMTIDE_NODE"
 
 
 @attrs.frozen(slots=True)
 class NodeClient:
-    """One node's operators API at ``IP:PORT``.
+    """A client of the operators' API at ``IP:PORT``.
 
-    Raises ``connect-failed`` where the node isn't reached, ``peer-lost`` where its answer breaks
-    off, and what the node itself answers.
+    Raises ``connect-failed`` if the node can't be reached, ``peer-lost`` if its response is
+    incomplete, and the errors that the node responds with.
     """
 
     address: str
 
     def get(self, path: str, /, **arguments: Any) -> dict[str, Any]:
-        """Ask and return the answer."""
+        """Send a GET request and return the response."""
         return asyncio.run(self.call("GET", path, arguments))
 
     def post(self, path: str, /, **arguments: Any) -> dict[str, Any]:
-        """Tell the node to do something and return its answer."""
+        """Send a POST request and return the response."""
         return asyncio.run(self.call("POST", path, arguments))
 
     def change(
-        self, body: dict[str, Any], progress: Callable[[dict[str, Any]], None]
+        self, body: dict[str, Any], on_progress: Callable[[dict[str, Any]], None]
     ) -> dict[str, Any]:
-        """Make a change and return its outcome; raises ``store-ambiguous`` where it isn't known."""
-        return asyncio.run(self._change(body, progress))
+        """Make a change and return its outcome; raises ``store-ambiguous`` if that is unknown."""
+        return asyncio.run(self._change(body, on_progress))
 
     async def call(self, method: str, path: str, arguments: dict[str, Any]) -> dict[str, Any]:
-        """Make one call."""
-        timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
+        """Make one API call and return the response."""
+        timeout = aiohttp.ClientTimeout(total=CALL_TIMEOUT_S)
         try:
             async with (
                 aiohttp.ClientSession(timeout=timeout) as session,
                 session.request(method, self._url(path), params=arguments) as response,
             ):
-                return self._read(await response.text())
+                return self._parse_response(await response.text())
         except aiohttp.ClientConnectorError as error:
             raise self._unreachable(error) from error
         except (aiohttp.ClientError, TimeoutError) as error:
-            raise self._lost(f"{type(error).__name__}: {error}") from error
+            raise self._connection_lost(f"{type(error).__name__}: {error}") from error
 
     async def _change(
-        self, body: dict[str, Any], progress: Callable[[dict[str, Any]], None]
+        self, body: dict[str, Any], on_progress: Callable[[dict[str, Any]], None]
     ) -> dict[str, Any]:
         timeout = aiohttp.ClientTimeout(total=None, sock_read=LINE_TIMEOUT_S)
         try:
@@ -66,64 +66,69 @@
                 session.post(self._url("/settings/change"), json=body) as response,
             ):
                 async for line in response.content:
-                    answer = self._read(line.decode())
-                    if "outcome" in answer:
-                        outcome: dict[str, Any] = answer["outcome"]
+                    message = self._parse_response(line.decode())
+                    if "outcome" in message:
+                        outcome: dict[str, Any] = message["outcome"]
                         return outcome
-                    progress(answer.get("progress", {}))
+                    on_progress(message.get("progress", {}))
         except aiohttp.ClientConnectorError as error:
             raise self._unreachable(error) from error
         except (aiohttp.ClientError, TimeoutError) as error:
-            raise self._unknown(f"{type(error).__name__}: {error}") from error
-        raise self._unknown("the node's answer ended before the outcome")
+            raise self._outcome_unknown(f"{type(error).__name__}: {error}") from error
+        raise self._outcome_unknown("the response ended before the outcome")
 
     def _url(self, path: str) -> str:
         host, port = parse_address(self.address)
         return f"http://{f'[{host}]' if ':' in host else host}:{port}{path}"
 
-    def _read(self, text: str) -> dict[str, Any]:
+    def _parse_response(self, text: str) -> dict[str, Any]:
         try:
-            answer: dict[str, Any] = json.loads(text)
+            response_fields: dict[str, Any] = json.loads(text)
         except ValueError as error:
-            raise self._lost(f"not JSON: {text[:80]!r}") from error
-        if told := answer.get("error"):
+            raise self._connection_lost(f"not JSON: {text[:80]!r}") from error
+        if error_fields := response_fields.get("error"):
             raise MarjoramtideError(
-                ErrorCode(told["code"]), told["message"], step=told["step"], peer=told["peer"]
+                ErrorCode(error_fields["code"]),
+                error_fields["message"],
+                step=error_fields["step"],
+                peer=error_fields["peer"],
             )
-        return answer
+        return response_fields
 
     def _unreachable(self, error: Exception) -> MarjoramtideError:
         return MarjoramtideError(
             ErrorCode.CONNECT_FAILED, str(error), step="cli.connect", peer=self.address
         )
 
-    def _lost(self, message: str) -> MarjoramtideError:
+    def _connection_lost(self, message: str) -> MarjoramtideError:
         return MarjoramtideError(ErrorCode.PEER_LOST, message, step="cli.call", peer=self.address)
 
-    def _unknown(self, message: str) -> MarjoramtideError:
-        """Return the error for a change that the node may still be making."""
+    def _outcome_unknown(self, message: str) -> MarjoramtideError:
+        """Return the error for a change that may or may not be accepted."""
         return MarjoramtideError(
             ErrorCode.STORE_AMBIGUOUS,
-            f"not known whether the change was accepted: {message}",
+            f"unknown whether the change was accepted: {message}",
             step="cli.change",
             peer=self.address,
         )
 
 
-def ask_all(
+def query_nodes(
     addresses: list[str], path: str, /, **arguments: Any
 ) -> list[dict[str, Any] | MarjoramtideError]:
-    """Ask several nodes; return for each its answer, or the error where there is none."""
+    """Query several nodes; return each node's response, or the error."""
 
-    async def ask(address: str, gate: asyncio.Semaphore) -> dict[str, Any] | MarjoramtideError:
-        async with gate:
+    async def query(
+        address: str, semaphore: asyncio.Semaphore
+    ) -> dict[str, Any] | MarjoramtideError:
+        async with semaphore:
             try:
                 return await NodeClient(address).call("GET", path, arguments)
             except MarjoramtideError as error:
                 return error
 
-    async def ask_each() -> list[dict[str, Any] | MarjoramtideError]:
-        gate = asyncio.Semaphore(ASKED_AT_ONCE)
-        return await asyncio.gather(*(ask(address, gate) for address in addresses))
+    async def query_all() -> list[dict[str, Any] | MarjoramtideError]:
+        semaphore = asyncio.Semaphore(MAX_CONCURRENT_QUERIES)
+        return await asyncio.gather(*(query(address, semaphore) for address in addresses))
 
-    return asyncio.run(ask_each())
+    return asyncio.run(query_all())
--- a/src/marjoramtide/cli/_quarantine_commands.py
+++ b/src/marjoramtide/cli/_quarantine_commands.py
@@ -1,11 +1,11 @@
-"""``marjoramtide quarantine``: requests that are held back because backend servers end by them."""
+"""``marjoramtide quarantine``: requests that are held because they crash backend servers."""
 
 from typing import Any
 
 import attrs
 from fire.decorators import SetParseFns
 
-from marjoramtide.cli._node_client import NodeClient, ask_all
+from marjoramtide.cli._node_client import NodeClient, query_nodes
 from marjoramtide.cli._session import Session
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 
@@ -14,10 +14,10 @@
 
 @attrs.define(slots=True)
 class HeldRequest:
-    """One request that is held back, with what all nodes tell of it.
+    """A request in quarantine, aggregated over all nodes.
 
-    ``ends`` of servers are put down to it, ``wait_s`` is for how many seconds more it waits, and
-    ``refused`` how often it was refused, at all nodes together.
+    ``ends`` is the number of server crashes attributed to it, ``wait_s`` the remaining time in
+    quarantine in seconds, and ``refused`` how often it was rejected, at all nodes together.
     """
 
     fingerprint: str
@@ -27,38 +27,45 @@
     refused: int = 0
     nodes: list[str] = attrs.Factory(list)
 
-    def add(self, node: str, told: dict[str, Any]) -> None:
-        """Take in what one node tells of it."""
+    def add(self, node: str, report: dict[str, Any]) -> None:
+        """Add the report of one node."""
         self.nodes.append(node)
-        self.what = self.what or told["what"]
-        self.ends = max(self.ends, told["ends"])
-        self.wait_s = max(self.wait_s, told["wait_s"])
-        self.refused += told["refused"]
+        self.what = self.what or report["what"]
+        self.ends = max(self.ends, report["ends"])
+        self.wait_s = max(self.wait_s, report["wait_s"])
+        self.refused += report["refused"]
 
 
 class QuarantineCommands:
-    """Requests that are held back because backend servers ended while they ran them."""
+    """Manage the quarantine: requests that are held because they crashed backend servers."""
 
     def __init__(self, session: Session) -> None:
         self._session = session
 
     def list(self) -> None:
-        """Print what is held back, as all members tell it."""
-        held, silent = ask_held(self._session)
+        """Print the requests in quarantine, aggregated over all members."""
+        held, unreachable = fetch_held_requests(self._session)
         rows = [
-            (one.fingerprint, one.ends, one.wait_s, one.refused, len(one.nodes), one.what)
-            for one in held
+            (
+                request.fingerprint,
+                request.ends,
+                request.wait_s,
+                request.refused,
+                len(request.nodes),
+                request.what,
+            )
+            for request in held
         ]
-        told = {"held": [attrs.asdict(one) for one in held], "silent": silent}
-        self._session.output.table(told, rows, COLUMNS)
-        if silent:
-            self._session.output.progress(f"no answer from {', '.join(silent)}")
+        document = {"held": [attrs.asdict(request) for request in held], "silent": unreachable}
+        self._session.output.table(document, rows, COLUMNS)
+        if unreachable:
+            self._session.output.progress(f"no answer from {', '.join(unreachable)}")
 
     @SetParseFns(fingerprint=str)
     def release(self, fingerprint: str) -> None:
-        """Let a request run again at once, at all nodes."""
-        held, _ = ask_held(self._session)
-        found = next((one for one in held if one.fingerprint == str(fingerprint)), None)
+        """Release a request from quarantine at all nodes, effective at once."""
+        held, _ = fetch_held_requests(self._session)
+        found = next((request for request in held if request.fingerprint == str(fingerprint)), None)
         if found is None:
             raise MarjoramtideError(
                 ErrorCode.NOT_FOUND,
@@ -67,20 +74,20 @@
             )
         node = found.nodes[0]
         NodeClient(node).post("/quarantine/release", fingerprint=found.fingerprint)
-        told = {"released": found.fingerprint, "node": node}
-        self._session.output.result(told, f"{found.fingerprint} is released: {found.what}")
+        document = {"released": found.fingerprint, "node": node}
+        self._session.output.result(document, f"{found.fingerprint} is released: {found.what}")
 
 
-def ask_held(session: Session) -> tuple[list[HeldRequest], list[str]]:
-    """Return what the members hold back, and the addresses of those that did not answer."""
+def fetch_held_requests(session: Session) -> tuple[list[HeldRequest], list[str]]:
+    """Return the members' requests in quarantine, and the addresses that did not respond."""
     members = session.node.get("/members")["members"]
     addresses = [member["operators_address"] for member in members]
-    answers = ask_all(addresses, "/quarantine")
+    responses = query_nodes(addresses, "/quarantine")
     held: dict[str, HeldRequest] = {}
-    for address, answer in zip(addresses, answers, strict=True):
-        if isinstance(answer, dict):
-            for told in answer["held"]:
-                name = told["fingerprint"]
-                held.setdefault(name, HeldRequest(name)).add(address, told)
-    silent = [error.peer for error in answers if isinstance(error, MarjoramtideError)]
-    return sorted(held.values(), key=lambda one: -one.wait_s), silent
+    for address, response in zip(addresses, responses, strict=True):
+        if isinstance(response, dict):
+            for report in response["held"]:
+                fingerprint = report["fingerprint"]
+                held.setdefault(fingerprint, HeldRequest(fingerprint)).add(address, report)
+    unreachable = [error.peer for error in responses if isinstance(error, MarjoramtideError)]
+    return sorted(held.values(), key=lambda request: -request.wait_s), unreachable
--- a/src/marjoramtide/cli/_service_commands.py
+++ b/src/marjoramtide/cli/_service_commands.py
@@ -1,25 +1,25 @@
-"""``marjoramtide service``: the services that the tree describes."""
+"""``marjoramtide service``: the services of the settings tree."""
 
 from typing import Any
 
 from marjoramtide.cli._session import Session
-from marjoramtide.cli._settings_commands import WAIT_S, plain
+from marjoramtide.cli._settings_commands import WAIT_S, to_tree_value
 from marjoramtide.settings import parse_tree
 
 Edits = list[dict[str, Any]]
 
 
 class ServiceCommands:
-    """The services of the fleet."""
+    """Manage the services of the fleet."""
 
     def __init__(self, session: Session) -> None:
         self._session = session
 
     def list(self) -> None:
-        """Print the services with their host names, and how many nodes each has."""
+        """Print the services with their host names and numbers of nodes."""
         tree = parse_tree(self._session.node.get("/settings")["text"], [])
         members = self._session.node.get("/members")["members"]
-        told = [
+        services = [
             {
                 "service": name,
                 "hosts": tree.hosts(name),
@@ -27,8 +27,11 @@
             }
             for name in tree.services()
         ]
-        rows = [(one["service"], " ".join(one["hosts"]), one["nodes"]) for one in told]
-        self._session.output.table(told, rows, ("service", "hosts", "nodes"))
+        rows = [
+            (service["service"], " ".join(service["hosts"]), service["nodes"])
+            for service in services
+        ]
+        self._session.output.table(services, rows, ("service", "hosts", "nodes"))
 
     def create(
         self,
@@ -40,19 +43,19 @@
     ) -> None:
         """Create the service NAME, for example `create mapdesk --hosts tiles.example`.
 
-        Its other settings are inherited; set them by `settings set /services/NAME KEY VALUE`.
+        Its other settings are inherited; set them with `settings set /services/NAME KEY VALUE`.
         """
         path = f"/services/{name}"
         edits: Edits = [{"action": "create", "path": path}]
         if hosts:
-            names = [hosts] if isinstance(hosts, str) else plain(hosts)
+            names = [hosts] if isinstance(hosts, str) else to_tree_value(hosts)
             edits.append({"action": "set", "path": path, "key": "hosts", "value": names})
         self._change(edits, insist, wait_s, change_id)
 
     def remove(
         self, name: str, insist: bool = False, wait_s: float = WAIT_S, change_id: str = ""
     ) -> None:
-        """Remove the service NAME and all that any branch sets for it."""
+        """Remove the service NAME with all its branches."""
         tree = parse_tree(self._session.node.get("/settings")["text"], [])
         found = [
             str(branch)
--- a/src/marjoramtide/cli/_session.py
+++ b/src/marjoramtide/cli/_session.py
@@ -1,4 +1,4 @@
-"""What every command works with."""
+"""The context of a command: the node to query and the output."""
 
 import getpass
 import os
@@ -12,30 +12,30 @@
 from marjoramtide.cli._output import Output
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 
-NAMED = 5
+MAX_NAMED_NODES = 5
 
 
 @attrs.frozen(slots=True)
 class Session:
-    """The node to ask, and the way to print."""
+    """The node to query and the output."""
 
     address: str
     output: Output
 
     @property
     def node(self) -> NodeClient:
-        """Return the node to ask; raises ``bad-request`` where none is named."""
+        """Return the client of the node to query; raises ``bad-request`` if none is given."""
         if not self.address:
             raise MarjoramtideError(
                 ErrorCode.BAD_REQUEST,
-                f"no node to ask: give --node IP:PORT (an operators address) or set "
+                f"no node to query: give --node IP:PORT (an operators address) or set "
                 f"{NODE_VARIABLE}",
                 step="cli.node",
             )
         return NodeClient(self.address)
 
     def change(self, body: dict[str, Any], change_id: str = "") -> None:
-        """Make a change of the settings and show how it goes; exits by how it ended."""
+        """Make a change of the settings and print its progress; exits with its result."""
         change_id = str(change_id) or f"c{uuid.uuid4().hex}"
         body = {"change": change_id, "author": current_user()} | body
         self.output.progress(f"change {change_id}")
@@ -58,17 +58,17 @@
 
     def _show_progress(self, progress: dict[str, Any]) -> None:
         nodes = progress.get("nodes") or []
-        more = f" and {len(nodes) - NAMED} more" if len(nodes) > NAMED else ""
-        waiting = f"; waiting for {', '.join(nodes[:NAMED])}{more}" if nodes else ""
+        others = f" and {len(nodes) - MAX_NAMED_NODES} more" if len(nodes) > MAX_NAMED_NODES else ""
+        waiting = f"; waiting for {', '.join(nodes[:MAX_NAMED_NODES])}{others}" if nodes else ""
         message = progress.get("message", "")
         self.output.progress(message + waiting if message else "")
 
 
 def describe_outcome(outcome: dict[str, Any]) -> str:
-    """Return what became of a change, in a line."""
+    """Return the outcome of a change, in one line."""
     revision = outcome["revision"]
     if outcome["unchanged"]:
-        return f"unchanged: revision {revision} says this already"
+        return f"unchanged: revision {revision} has these settings already"
     notes = [
         note
         for note, holds in (
@@ -82,7 +82,7 @@
 
 
 def current_user() -> str:
-    """Return the operator's name for the history."""
+    """Return the operator's user name, for the history."""
     try:
         return os.environ.get("MARJORAMTIDE_AUTHOR") or getpass.getuser()
     except (KeyError, OSError):
--- a/src/marjoramtide/cli/_settings_commands.py
+++ b/src/marjoramtide/cli/_settings_commands.py
@@ -1,4 +1,4 @@
-"""``marjoramtide settings``: look at the tree and change it."""
+"""``marjoramtide settings``: show and change the settings tree."""
 
 import os
 import re
@@ -18,12 +18,12 @@
 from marjoramtide.settings import compare_trees, parse_branch, parse_tree
 
 WAIT_S = 30.0
-HEAD = "# marjoramtide settings, revision {}\n"
-HEAD_PATTERN = re.compile(r"# marjoramtide settings, revision (\d+)\n")
+REVISION_LINE = "# marjoramtide settings, revision {}\n"
+REVISION_LINE_PATTERN = re.compile(r"# marjoramtide settings, revision (\d+)\n")
 
 
 class SettingsCommands:
-    """The settings tree of the fleet."""
+    """Manage the settings tree of the fleet."""
 
     def __init__(self, session: Session) -> None:
         self._session = session
@@ -31,13 +31,15 @@
     def show(self, revision: int | None = None) -> None:
         """Print the whole tree, or an earlier revision of it.
 
-        The first line names the revision, so that the text can be edited and given to `apply`.
+        The first line states the revision, so that the text can be edited and passed to `apply`.
         """
         envelope = self._envelope(revision)
-        self._session.output.result(envelope, HEAD.format(envelope["revision"]) + envelope["text"])
+        self._session.output.result(
+            envelope, REVISION_LINE.format(envelope["revision"]) + envelope["text"]
+        )
 
     def get(self, branch: str, key: str = "") -> None:
-        """Print what BRANCH sets itself, or its value of KEY."""
+        """Print the values that BRANCH itself sets, or its value of KEY."""
         tree = parse_tree(self._envelope()["text"], [])
         own = tree.branches.get(parse_branch(str(branch)))
         if own is None or (key and key not in own):
@@ -47,7 +49,7 @@
         self._session.output.result(value, str(value) if key else tomlkit.dumps(own))
 
     def resolved(self, service: str, path: str = "/") -> None:
-        """Print the values in force on the asked node for a path, and where each comes from."""
+        """Print the values in force on the queried node for a path, with the origin of each."""
         found = self._session.node.get("/settings/resolved", service=service, path=path)
         rows = [
             (key, value, found["origins"][key]) for key, value in sorted(found["values"].items())
@@ -68,10 +70,10 @@
     ) -> None:
         """Set KEY to VALUE in BRANCH, for example `set /services/mapdesk timeout_ms 300`.
 
-        --create makes the branch first; --insist goes on although members can't be reached.
+        --create creates the branch first; --insist continues even if members can't be reached.
         """
         edits = [{"action": "create", "path": branch}] if create else []
-        edits.append({"action": "set", "path": branch, "key": key, "value": plain(value)})
+        edits.append({"action": "set", "path": branch, "key": key, "value": to_tree_value(value)})
         self._edit(edits, insist, wait_s, change_id)
 
     def unset(
@@ -82,17 +84,17 @@
         wait_s: float = WAIT_S,
         change_id: str = "",
     ) -> None:
-        """Remove KEY from BRANCH, or without KEY the whole branch."""
+        """Remove KEY from BRANCH, or the whole branch if KEY is omitted."""
         edit = {"action": "unset" if key else "remove", "path": branch, "key": key}
         self._edit([edit], insist, wait_s, change_id)
 
     def edit(self, insist: bool = False, wait_s: float = WAIT_S) -> None:
-        """Open the tree in $EDITOR and apply what is saved."""
+        """Open the tree in $EDITOR and apply the saved text."""
         envelope = self._envelope()
         descriptor, name = tempfile.mkstemp(prefix="marjoramtide-settings-", suffix=".toml")
         os.close(descriptor)
         file = Path(name)
-        file.write_text(HEAD.format(envelope["revision"]) + envelope["text"])
+        file.write_text(REVISION_LINE.format(envelope["revision"]) + envelope["text"])
         subprocess.run([*shlex.split(os.environ.get("EDITOR", "vi")), name], check=True)
         try:
             self._apply(file.read_text(), envelope["revision"], insist, wait_s, "")
@@ -109,39 +111,39 @@
         wait_s: float = WAIT_S,
         change_id: str = "",
     ) -> None:
-        """Make FILE (- for standard input) the tree, and wait until it is in force everywhere.
+        """Replace the tree by FILE (- for standard input), and wait until it is in force.
 
-        The revision that the file was made from is read from its first line, as `show` prints it,
-        or given by --base: what others changed since is kept, or refused as a conflict.
+        The base revision of the file is read from its first line, as printed by `show`, or given
+        by --base. Changes by others since that revision are merged, or rejected as a conflict.
         """
         text = read_file(file)
-        named = HEAD_PATTERN.match(text)
+        named = REVISION_LINE_PATTERN.match(text)
         if base is None and named:
             base = int(named.group(1))
         if base is None and self._envelope()["revision"] > 0:
             raise MarjoramtideError(
                 ErrorCode.BAD_REQUEST,
-                f"{file} doesn't say which revision it was made from; give --base",
+                f"{file} doesn't state its base revision; give --base",
                 step="cli.apply",
             )
         self._apply(text, base or 0, insist, wait_s, change_id)
 
     def diff(self, old: Any, new: Any = None) -> None:
-        """Print the edits that lead from the tree in force to OLD, or from OLD to NEW.
+        """Print the edits from the tree in force to OLD, or from OLD to NEW.
 
-        Each is a file or the number of a revision.
+        OLD and NEW are files or revision numbers.
         """
         first = self._envelope()["text"] if new is None else self._text(old)
         second = self._text(old if new is None else new)
         edits = compare_trees(parse_tree(first, []), parse_tree(second, []))
-        told = [
+        edit_fields = [
             {"action": str(edit.action), "path": edit.path, "key": edit.key, "value": edit.value}
             for edit in edits
         ]
-        self._session.output.result(told, "\n".join(map(str, edits)) or "no difference")
+        self._session.output.result(edit_fields, "\n".join(map(str, edits)) or "no difference")
 
     def history(self, count: int = 20) -> None:
-        """Print the last COUNT changes, the newest first."""
+        """Print the last COUNT changes, newest first."""
         recent = self._envelope()["recent"][::-1][:count]
         rows = [
             (
@@ -153,13 +155,13 @@
             )
             for entry in recent
         ]
-        heads = ("revision", "time", "author", "change", "branches")
-        self._session.output.table(recent, rows, heads)
+        headers = ("revision", "time", "author", "change", "branches")
+        self._session.output.table(recent, rows, headers)
 
     def rollback(
         self, revision: int, insist: bool = False, wait_s: float = WAIT_S, change_id: str = ""
     ) -> None:
-        """Make the text of an earlier REVISION the tree again, as a new revision."""
+        """Restore the text of an earlier REVISION, as a new revision."""
         body = {
             "base": self._envelope()["revision"],
             "rollback_to": revision,
@@ -176,7 +178,7 @@
         self._session.change(body, change_id)
 
     def _apply(self, text: str, base: int, insist: bool, wait_s: float, change_id: str) -> None:
-        text = HEAD_PATTERN.sub("", text, count=1)
+        text = REVISION_LINE_PATTERN.sub("", text, count=1)
         parse_tree(text)
         body = {"base": base, "text": text, "insist": insist, "wait_s": wait_s}
         self._session.change(body, change_id)
@@ -189,16 +191,16 @@
     def _text(self, source: Any) -> str:
         if isinstance(source, int):
             return str(self._envelope(source)["text"])
-        return HEAD_PATTERN.sub("", read_file(str(source)), count=1)
+        return REVISION_LINE_PATTERN.sub("", read_file(str(source)), count=1)
 
 
-def plain(value: Any) -> Any:
-    """Return a value of the command line as the tree takes it: tuples become lists."""
+def to_tree_value(value: Any) -> Any:
+    """Convert a command-line value for the tree: tuples become lists."""
     return list(value) if isinstance(value, tuple) else value
 
 
 def read_file(file: str) -> str:
-    """Read a text file, or standard input for ``-``; raises ``bad-request``."""
+    """Read a text file, or standard input for ``-``; raises ``bad-request`` if it is unreadable."""
     try:
         return sys.stdin.read() if file == "-" else Path(file).read_text(encoding="utf-8")
     except (OSError, UnicodeDecodeError) as error:
@@ -208,5 +210,5 @@
 
 
 def format_time(seconds: float) -> str:
-    """Return a time since the Unix epoch in UTC."""
+    """Format seconds since the Unix epoch as a UTC time."""
     return datetime.fromtimestamp(seconds, UTC).strftime("%Y-%m-%dT%H:%M:%SZ")
--- a/src/marjoramtide/cli/_workspace_commands.py
+++ b/src/marjoramtide/cli/_workspace_commands.py
@@ -1,4 +1,4 @@
-"""``marjoramtide workspaces``: who may call, how much they ask for, and who is refused."""
+"""``marjoramtide workspaces``: rate limits and usage of the callers' workspaces."""
 
 import sys
 from collections.abc import Sequence
@@ -6,7 +6,7 @@
 
 import attrs
 
-from marjoramtide.cli._node_client import ask_all
+from marjoramtide.cli._node_client import query_nodes
 from marjoramtide.cli._session import Session
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.settings import key_digest
@@ -22,17 +22,17 @@
     "short",
 )
 NODE_COLUMNS = ("node", "asked_per_s", "admitted", "refused", "short")
-# Of a limit, from which on a workspace is shown as near it.
-NEAR = 0.8
+# Share of the limit above which a workspace is marked as near its limit.
+NEAR_LIMIT_SHARE = 0.8
 
 
 @attrs.define(slots=True)
 class ShownWorkspace:
-    """One workspace, with what all nodes tell of it.
+    """A workspace with its usage, aggregated over all nodes.
 
-    ``keys`` are fingerprints; ``asked_per_s`` is what its callers ask for now, ``admitted`` and
-    ``refused`` what became of it since the nodes started. ``short`` counts the nodes beside whose
-    backend servers its requests wait behind those of others, since it has had its share.
+    ``keys`` are fingerprints; ``asked_per_s`` is the present request rate of its callers,
+    ``admitted`` and ``refused`` count requests since the nodes started. ``short`` counts the nodes
+    at which its requests wait behind those of others, since it has used up its fair share.
     """
 
     name: str
@@ -47,64 +47,69 @@
 
     @property
     def is_near_limit(self) -> bool:
-        return 0 < self.limit_per_s * NEAR <= self.asked_per_s
+        return 0 < self.limit_per_s * NEAR_LIMIT_SHARE <= self.asked_per_s
 
-    def add(self, node: str, told: dict[str, Any]) -> None:
-        """Take in what one node tells of it."""
-        self.nodes[node] = told
-        self.asked_per_s = round(self.asked_per_s + told["asked_per_s"], 1)
-        self.admitted += told["admitted"]
-        self.refused += told["refused"]
-        self.short += told["short"]
+    def add(self, node: str, usage: dict[str, Any]) -> None:
+        """Add the usage at one node."""
+        self.nodes[node] = usage
+        self.asked_per_s = round(self.asked_per_s + usage["asked_per_s"], 1)
+        self.admitted += usage["admitted"]
+        self.refused += usage["refused"]
+        self.short += usage["short"]
 
 
 class WorkspaceCommands:
-    """Workspaces, known by the keys of their callers; keys are shown by fingerprint only."""
+    """Show workspaces, which are identified by API keys; of a key only the fingerprint is shown."""
 
     def __init__(self, session: Session) -> None:
         self._session = session
 
     def list(self) -> None:
-        """Print all workspaces, those that ask for most of their limits first."""
-        found, silent = ask_workspaces(self._session)
-        found.sort(key=lambda one: -one.asked_per_s / (one.limit_per_s or float("inf")))
+        """Print all workspaces, ordered by the used share of their limits."""
+        found, unreachable = fetch_workspaces(self._session)
+        found.sort(
+            key=lambda workspace: -workspace.asked_per_s / (workspace.limit_per_s or float("inf"))
+        )
         rows = [
             (
-                one.name,
-                len(one.keys),
-                one.limit_per_s or "-",
-                one.burst or "-",
-                f"{one.asked_per_s}{' near' if one.is_near_limit else ''}",
-                one.admitted,
-                one.refused,
-                one.short,
+                workspace.name,
+                len(workspace.keys),
+                workspace.limit_per_s or "-",
+                workspace.burst or "-",
+                f"{workspace.asked_per_s}{' near' if workspace.is_near_limit else ''}",
+                workspace.admitted,
+                workspace.refused,
+                workspace.short,
             )
-            for one in found
+            for workspace in found
         ]
-        told = {"workspaces": [attrs.asdict(one) for one in found], "silent": silent}
-        self._session.output.table(told, rows, COLUMNS)
-        self._tell_silent(silent)
+        document = {
+            "workspaces": [attrs.asdict(workspace) for workspace in found],
+            "silent": unreachable,
+        }
+        self._session.output.table(document, rows, COLUMNS)
+        self._print_unreachable(unreachable)
 
     def show(self, name: str) -> None:
-        """Print one workspace: its keys' fingerprints, its limit, and what each node tells."""
-        found, silent = ask_workspaces(self._session)
-        one = next((each for each in found if each.name == str(name)), None)
-        if one is None:
+        """Print one workspace: the fingerprints of its keys, and its usage at each node."""
+        found, unreachable = fetch_workspaces(self._session)
+        workspace = next((each for each in found if each.name == str(name)), None)
+        if workspace is None:
             raise MarjoramtideError(
                 ErrorCode.NOT_FOUND,
-                f"there is no workspace {name!r}; see `marjoramtide workspaces list`",
+                f"no workspace {name!r}; see `marjoramtide workspaces list`",
                 step="cli.workspaces",
             )
         rows = [
-            (node, *(told[column] for column in NODE_COLUMNS[1:]))
-            for node, told in sorted(one.nodes.items())
+            (node, *(usage[column] for column in NODE_COLUMNS[1:]))
+            for node, usage in sorted(workspace.nodes.items())
         ]
-        self._session.output.progress(f"keys: {', '.join(one.keys) or 'none'}")
-        self._session.output.table(attrs.asdict(one), rows, NODE_COLUMNS)
-        self._tell_silent(silent)
+        self._session.output.progress(f"keys: {', '.join(workspace.keys) or 'none'}")
+        self._session.output.table(attrs.asdict(workspace), rows, NODE_COLUMNS)
+        self._print_unreachable(unreachable)
 
     def digest(self) -> None:
-        """Read a key from standard input and print what `key_digests` holds of it."""
+        """Read a key from standard input and print its digest for `key_digests`."""
         key = sys.stdin.readline().rstrip("\n")
         if not key:
             raise MarjoramtideError(
@@ -112,22 +117,24 @@
             )
         self._session.output.result({"digest": key_digest(key)}, key_digest(key))
 
-    def _tell_silent(self, silent: Sequence[str]) -> None:
-        if silent:
-            self._session.output.progress(f"no answer from {', '.join(silent)}")
+    def _print_unreachable(self, unreachable: Sequence[str]) -> None:
+        if unreachable:
+            self._session.output.progress(f"no answer from {', '.join(unreachable)}")
 
 
-def ask_workspaces(session: Session) -> tuple[list[ShownWorkspace], list[str]]:
-    """Return the workspaces as the members tell them, and the addresses of silent members."""
+def fetch_workspaces(session: Session) -> tuple[list[ShownWorkspace], list[str]]:
+    """Return the members' workspaces, and the addresses that did not respond."""
     members = session.node.get("/members")["members"]
     addresses = [member["operators_address"] for member in members]
-    answers = ask_all(addresses, "/workspaces")
+    responses = query_nodes(addresses, "/workspaces")
     found: dict[str, ShownWorkspace] = {}
-    for address, answer in zip(addresses, answers, strict=True):
-        if isinstance(answer, dict):
-            for told in answer["workspaces"]:
-                name = told["name"]
-                shown = ShownWorkspace(name, told["keys"], told["limit_per_s"], told["burst"])
-                found.setdefault(name, shown).add(address, told)
-    silent = [error.peer for error in answers if isinstance(error, MarjoramtideError)]
-    return list(found.values()), silent
+    for address, response in zip(addresses, responses, strict=True):
+        if isinstance(response, dict):
+            for usage in response["workspaces"]:
+                name = usage["name"]
+                workspace = ShownWorkspace(
+                    name, usage["keys"], usage["limit_per_s"], usage["burst"]
+                )
+                found.setdefault(name, workspace).add(address, usage)
+    unreachable = [error.peer for error in responses if isinstance(error, MarjoramtideError)]
+    return list(found.values()), unreachable
--- a/src/marjoramtide/cli/main.py
+++ b/src/marjoramtide/cli/main.py
@@ -1,4 +1,4 @@
-"""The operators' command line: ``marjoramtide COMMAND ... [--node IP:PORT] [--json]``."""
+"""The entry point of the command line: ``marjoramtide COMMAND ... [--node IP:PORT] [--json]``."""
 
 import os
 import sys
@@ -13,15 +13,15 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.settings import parse_address
 
-SWITCHES = ("--insist", "--create", "--release")
+BOOLEAN_FLAGS = ("--insist", "--create", "--release")
 USAGE_STEPS = ("cli.node", "cli.arguments")
 
 
-def take_session(arguments: list[str]) -> tuple[Session, list[str]]:
-    """Take ``--node`` and ``--json`` out of the arguments, wherever they stand."""
+def parse_global_options(arguments: list[str]) -> tuple[Session, list[str]]:
+    """Extract ``--node`` and ``--json`` from any position of the arguments."""
     address = os.environ.get(NODE_VARIABLE, "")
     as_json = False
-    rest: list[str] = []
+    command: list[str] = []
     words = iter(arguments)
     for word in words:
         if word == "--json":
@@ -31,13 +31,13 @@
         elif word.startswith("--node="):
             address = word.partition("=")[2]
         else:
-            # Fire would take the word after a switch for its value.
-            rest.append(f"{word}=True" if word in SWITCHES else word)
-    return Session(address, Output(as_json)), rest
+            # Fire would parse the word after a flag as its value.
+            command.append(f"{word}=True" if word in BOOLEAN_FLAGS else word)
+    return Session(address, Output(as_json)), command
 
 
 def check_address(address: str) -> None:
-    """Raise ``bad-request`` for an address that isn't IP:PORT."""
+    """Raise ``bad-request`` if the address isn't IP:PORT."""
     if not address:
         return
     try:
@@ -52,7 +52,7 @@
 
 def main() -> int:
     """Run one command and return its exit status."""
-    session, arguments = take_session(sys.argv[1:])
+    session, arguments = parse_global_options(sys.argv[1:])
     try:
         check_address(session.address)
         fire.Fire(Commands(session), command=arguments, name="marjoramtide")
--- a/src/marjoramtide/telemetry/_log_limit.py
+++ b/src/marjoramtide/telemetry/_log_limit.py
@@ -30,7 +30,7 @@
         self.now = now
         self.second = 0
         self.line_counts: Counter[LineKind] = Counter()
-        self.suppressed: Counter[LineKind] = Counter()
+        self.suppressed_counts: Counter[LineKind] = Counter()
 
     def __call__(
         self, logger: Any, method: str, event: MutableMapping[str, Any]
@@ -46,11 +46,11 @@
         self.line_counts[kind] += 1
         if self.line_counts[kind] <= MAX_LINES_PER_S:
             return event
-        self.suppressed[kind] += 1
+        self.suppressed_counts[kind] += 1
         raise structlog.DropEvent
 
     def summarise(self, log: Any) -> None:
         """Log the number of suppressed lines of each kind since the last call."""
-        suppressed, self.suppressed = self.suppressed, Counter()
-        for (name, code, step), count in suppressed.items():
+        suppressed_counts, self.suppressed_counts = self.suppressed_counts, Counter()
+        for (name, code, step), count in suppressed_counts.items():
             log.warning(SUMMARY_EVENT, suppressed=name, code=code, step=step, peer="", count=count)
