--- a/features/steps/server_ends_steps.py
+++ b/features/steps/server_ends_steps.py
@@ -149,7 +149,7 @@
 def given_silent(context: Any, seconds: float) -> None:
     node = seat(context, 1).node
     detector = node.serving.crash_monitor.detector
-    node.server.measurer.result_listener = None
+    node.server.health_checker.result_listener = None
     started_at = node.clock.monotonic() - seconds
     detector.last_response_at = started_at - 1
     detector.request_started(1, make_request("a", started_at))
@@ -160,10 +160,12 @@
     node = seat(context, 1).node
     now = node.clock.monotonic()
     if "stopped" in when:
-        node.freeze.thawed_at = now
+        node.freeze_detector.thawed_at = now
 
     async def note() -> None:
-        node.server.note_health(HealthCheckResult(BackendState.DOWN, is_reachable=False), now - 1)
+        node.server.record_health_check(
+            HealthCheckResult(BackendState.DOWN, is_reachable=False), now - 1
+        )
 
     run(context, note())
 
--- a/src/marjoramtide/daemon/_own_server.py
+++ b/src/marjoramtide/daemon/_own_server.py
@@ -1,11 +1,11 @@
-"""What a node knows of the backend server beside it."""
+"""The state of the local backend server as its node sees it."""
 
 from collections.abc import Callable
 
 import structlog
 
 from marjoramtide.clock import Clock, FreezeDetector
-from marjoramtide.daemon._own_statements import OwnStatements
+from marjoramtide.daemon._own_statements import ServerStatements
 from marjoramtide.errors import MarjoramtideError
 from marjoramtide.interface import Interface
 from marjoramtide.serving import (
@@ -24,15 +24,15 @@
 
 log = structlog.get_logger()
 
-# The backend server waits a second for the acknowledgement of its heartbeat.
+# The backend server waits 1 s for the acknowledgement of its heartbeat.
 IDENTITY_TIMEOUT_S = 0.3
 
 
-class OwnServer:
-    """Follows the backend server by its heartbeats, its health and its answers.
+class BackendServerMonitor:
+    """Monitors the backend server by its heartbeats, health checks and responses.
 
-    ``changed`` is called when it may take new work or may no longer, ``resized`` when the number of
-    its slots has changed.
+    ``on_readiness_changed`` is called when the server may have become ready or not ready for new
+    requests, ``on_slots_changed`` when the number of its slots has changed.
     """
 
     def __init__(
@@ -41,145 +41,155 @@
         transport: HttpTransport,
         interface: Interface,
         clock: Clock,
-        freeze: FreezeDetector,
+        freeze_detector: FreezeDetector,
         metrics: Metrics,
-        changed: Callable[[], None],
-        resized: Callable[[], None],
+        on_readiness_changed: Callable[[], None],
+        on_slots_changed: Callable[[], None],
     ) -> None:
         self.serving = serving
         self.transport = transport
         self.protocol = interface.backend
         self.clock = clock
-        self.freeze = freeze
-        self.changed = changed
-        self.resized = resized
-        self.measurer = HealthChecker(
-            transport, clock, metrics, self.state_changed, interface.backend, self.note_health
+        self.freeze_detector = freeze_detector
+        self.on_readiness_changed = on_readiness_changed
+        self.on_slots_changed = on_slots_changed
+        self.health_checker = HealthChecker(
+            transport,
+            clock,
+            metrics,
+            self.state_changed,
+            interface.backend,
+            self.record_health_check,
         )
-        self.measurer.preferred_check_at = serving.preferred_check_at
-        serving.health_checker = self.measurer
-        transport.on_response = self.note_reply
+        self.health_checker.preferred_check_at = serving.preferred_check_at
+        serving.health_checker = self.health_checker
+        transport.on_response = self.record_response
         transport.on_connection_refused = serving.crash_monitor.connection_refused
         self.registrar: Registrar | None = None
         if interface.registration_app is not None:
             self.registrar = Registrar(
-                serving.service, self.ask_identity, self.registration_changed
+                serving.service, self.read_identity, self.registration_changed
             )
         self.state: BackendState | None = None
-        # The last start that was registered, also once it has left.
-        self.served: Registration | None = None
+        # The incarnation that registered last, kept after it has left.
+        self.last_registration: Registration | None = None
         self.slots: int | None = None
-        self.statements = OwnStatements(clock, metrics, self.statements_changed)
-        serving.statement_listener = self.statements.told
+        self.statements = ServerStatements(clock, metrics, self.statements_changed)
+        serving.statement_listener = self.statements.record_peer_report
         self.cold_start_s = 0.0
-        self.cold_is_told = False
+        self.has_reported_cold_start = False
 
     @property
-    def is_known(self) -> bool:
-        """Tell whether anything was learned of the server."""
+    def is_state_known(self) -> bool:
+        """Tell whether the state of the server is known."""
         return self.state is not None
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the server says that it takes new work."""
+        """Tell whether the server is ready for new requests by all its signals."""
         is_registered = self.registrar is None or self.registrar.is_ready
-        is_able = self.state is BackendState.READY and is_registered
-        return is_able and not self.statements.said.leaving
+        is_healthy = self.state is BackendState.READY and is_registered
+        return is_healthy and not self.statements.tracker.leaving
 
     @property
     def refused_registrations(self) -> int:
-        """Return how many heartbeats and departures could not be read."""
+        """Return how many heartbeats and departures were rejected as malformed."""
         return self.registrar.rejected_count if self.registrar is not None else 0
 
     def configure(self, settings: RouteSettings) -> None:
-        """Go on by these settings of the server's service."""
+        """Apply the settings of the server's service."""
         self.transport.max_connections = settings.connections
         self.cold_start_s = settings.cold_start_s
-        self.measurer.configure(settings)
+        self.health_checker.configure(settings)
 
     def state_changed(self, state: BackendState) -> None:
         self.state = state
-        self.changed()
+        self.on_readiness_changed()
 
-    async def ask_identity(self) -> str:
-        """Read from the server who it is; empty where it doesn't say."""
+    async def read_identity(self) -> str:
+        """Read the instance from the health endpoint; empty if it can't be read or names none."""
         try:
-            answer = await self.transport.read(self.measurer.path, IDENTITY_TIMEOUT_S)
+            response = await self.transport.read(self.health_checker.path, IDENTITY_TIMEOUT_S)
         except (MarjoramtideError, TimeoutError) as error:
             log.info("daemon.identity_unknown", reason=str(error), step="daemon.identity")
             return ""
-        return self.protocol.read_health(answer).instance
+        return self.protocol.read_health(response).instance
 
-    def note_health(self, reading: HealthCheckResult, asked_at: float) -> None:
-        """Take in what the server's health says, or that it says nothing."""
-        # Given up because this process stood still, a look says nothing of the server.
-        is_late = not reading.is_reachable and self.freeze.was_frozen(self.clock.monotonic())
-        if self._is_of(reading.instance) and not is_late:
+    def record_health_check(self, result: HealthCheckResult, asked_at: float) -> None:
+        """Process the result of a health check, also of a failed one."""
+        # A check that timed out because this process was frozen says nothing about the server.
+        is_own_freeze = not result.is_reachable and self.freeze_detector.was_frozen(
+            self.clock.monotonic()
+        )
+        if self._is_current_instance(result.instance) and not is_own_freeze:
             self.serving.crash_monitor.note_health_check(
-                is_reachable=reading.is_reachable, asked_at=asked_at
+                is_reachable=result.is_reachable, asked_at=asked_at
             )
-        if reading.load is not None:
-            self.serving.note_load(reading.load)
-            if self.registrar is not None and reading.state is BackendState.READY:
-                self.registrar.note_discovered(reading.instance, reading.load.slots)
-        # After the server was found, since this may be the first word of its start.
-        if reading.cold_remaining_s is not None and self._is_of(reading.instance):
-            self.cold_is_told = True
-            self.serving.note_cold_start(reading.cold_remaining_s)
-        if reading.is_reachable and self._is_of(reading.instance):
-            self.statements.health(reading.statement, reading.malformed, asked_at)
-
-    def _is_of(self, instance: str) -> bool:
+        if result.load is not None:
+            self.serving.note_load(result.load)
+            if self.registrar is not None and result.state is BackendState.READY:
+                self.registrar.note_discovered(result.instance, result.load.slots)
+        # After the discovery above, since this may be the first response of a new incarnation.
+        if result.cold_remaining_s is not None and self._is_current_instance(result.instance):
+            self.has_reported_cold_start = True
+            self.serving.note_cold_start(result.cold_remaining_s)
+        if result.is_reachable and self._is_current_instance(result.instance):
+            self.statements.record_health(result.statement, result.malformed, asked_at)
+
+    def _is_current_instance(self, instance: str) -> bool:
         return instance in ("", self.transport.instance)
 
-    def note_reply(self, reading: ResponseMetadata, asked_at: float) -> None:
-        """Take in what the answer to a request says besides, which was sent at ``asked_at``."""
-        if reading.load is not None:
-            self.serving.note_load(reading.load)
-        if reading.verdict is ResponseVerdict.MISDIRECTED and self.registrar is not None:
-            self.registrar.note_misdirected(reading.instance)
-        elif self._is_of(reading.instance):
-            self.statements.answer(reading.statement, reading.malformed, asked_at)
+    def record_response(self, metadata: ResponseMetadata, asked_at: float) -> None:
+        """Process the metadata of a response to a request that was sent at ``asked_at``."""
+        if metadata.load is not None:
+            self.serving.note_load(metadata.load)
+        if metadata.verdict is ResponseVerdict.MISDIRECTED and self.registrar is not None:
+            self.registrar.note_misdirected(metadata.instance)
+        elif self._is_current_instance(metadata.instance):
+            self.statements.record_response(metadata.statement, metadata.malformed, asked_at)
 
     def statements_changed(self) -> None:
-        """Go on by what the server says that it takes.
+        """Apply the rate limit and the leaving state that the server has stated.
 
-        Failure: a server says in its answers that it leaves, while its heartbeats and its health go
-        on to say that it is ready, and it gets work until it is gone. Its own answers count first.
+        Failure: a server states in its responses that it is leaving, while its heartbeats and
+        health checks still report ready, and it gets requests until it is gone. Statements in
+        responses take precedence.
         """
-        said = self.statements.said
-        self.serving.note_statement(said.statement, said.since)
-        self.changed()
-        if said.leaving:
+        tracker = self.statements.tracker
+        self.serving.note_statement(tracker.statement, tracker.since)
+        self.on_readiness_changed()
+        if tracker.leaving:
             self.serving.reject_queued()
 
     def registration_changed(self) -> None:
-        """Go on by what the server has told of itself."""
+        """Apply a changed registration of the server."""
         assert self.registrar is not None
-        current = self.registrar.current
-        self.transport.instance = current.instance if current is not None else ""
-        if current is not None:
-            self._serve(current)
+        registration = self.registrar.current
+        self.transport.instance = registration.instance if registration is not None else ""
+        if registration is not None:
+            self._apply_registration(registration)
         elif self.registrar.has_departed:
             self.serving.crash_monitor.detector.server_leaving()
-        slots = current.slots if current is not None else None
+        slots = registration.slots if registration is not None else None
         if slots != self.slots:
             self.slots = slots
-            self.resized()
-        self.changed()
+            self.on_slots_changed()
+        self.on_readiness_changed()
         if not self.registrar.is_ready:
             self.serving.reject_queued()
 
-    def _serve(self, current: Registration) -> None:
-        is_same = self.served is not None and current.is_same_incarnation(self.served)
-        if self.served is not None and not is_same:
+    def _apply_registration(self, registration: Registration) -> None:
+        is_same = self.last_registration is not None and registration.is_same_incarnation(
+            self.last_registration
+        )
+        if self.last_registration is not None and not is_same:
             self.serving.server_replaced()
         if not is_same:
-            self.statements.begin(current.instance)
+            self.statements.reset(registration.instance)
             self.serving.note_statement(None, 0.0)
-        self.served = current
-        # The health's word is newer than a heartbeat's, but for another start.
-        if not (self.cold_is_told and is_same):
-            left_s = current.cold_remaining_s
-            # Of a start that has told nothing yet the worst is taken: that it has just begun.
+        self.last_registration = registration
+        # The health endpoint is more recent than a heartbeat, except for a new incarnation.
+        if not (self.has_reported_cold_start and is_same):
+            left_s = registration.cold_remaining_s
+            # An incarnation that has reported nothing is assumed to have started just now.
             self.serving.note_cold_start(self.cold_start_s if left_s is None else left_s)
--- a/src/marjoramtide/daemon/_own_statements.py
+++ b/src/marjoramtide/daemon/_own_statements.py
@@ -1,4 +1,4 @@
-"""What the backend server beside a node says that it takes."""
+"""The statements of the local backend server: its rate limit and whether it is leaving."""
 
 from collections.abc import Callable
 
@@ -13,69 +13,77 @@
 log = structlog.get_logger()
 
 
-class OwnStatements:
-    """Follows the statements of one start of a server after the other, and logs each change.
+class ServerStatements:
+    """Tracks the statements of the server's current incarnation, and logs each change.
 
-    ``changed`` is called when what holds has changed.
+    ``on_change`` is called when the rate limit or the leaving state has changed.
     """
 
-    def __init__(self, clock: Clock, metrics: Metrics, changed: Callable[[], None]) -> None:
+    def __init__(self, clock: Clock, metrics: Metrics, on_change: Callable[[], None]) -> None:
         self.clock = clock
         self.metrics = metrics
-        self.changed = changed
-        self.said = StatementTracker()
+        self.on_change = on_change
+        self.tracker = StatementTracker()
 
     @property
     def statement(self) -> ServerStatement:
-        """Return what the server says now, for operators."""
-        return self.said.statement or ServerStatement(self.said.instance)
+        """Return the statement in force, for operators."""
+        return self.tracker.statement or ServerStatement(self.tracker.instance)
 
-    def begin(self, instance: str) -> None:
-        """Go on with another start, which owes nothing of what the former one said."""
-        self.said = StatementTracker(instance)
+    def reset(self, instance: str) -> None:
+        """Discard the statements of the previous incarnation."""
+        self.tracker = StatementTracker(instance)
 
-    def answer(self, said: ServerStatement, malformed: tuple[str, ...], asked_at: float) -> None:
-        """Take in what the answer to a request says, which was sent at ``asked_at``."""
-        self._note_malformed(malformed)
-        self._take(lambda now: self.said.record_response(said, asked_at, now))
+    def record_response(
+        self, statement: ServerStatement, malformed: tuple[str, ...], asked_at: float
+    ) -> None:
+        """Record the statement in a response to a request that was sent at ``asked_at``."""
+        self._report_malformed(malformed)
+        self._update(lambda now: self.tracker.record_response(statement, asked_at, now))
 
-    def health(self, said: ServerStatement, malformed: tuple[str, ...], asked_at: float) -> None:
-        """Take in what an answer of its health says."""
-        self._note_malformed(malformed)
-        self._take(lambda now: self.said.record_health(said, asked_at, now))
+    def record_health(
+        self, statement: ServerStatement, malformed: tuple[str, ...], asked_at: float
+    ) -> None:
+        """Record the statement in a health check response."""
+        self._report_malformed(malformed)
+        self._update(lambda now: self.tracker.record_health(statement, asked_at, now))
 
-    def told(self, said: ServerStatement) -> None:
-        """Take in what another node has heard of this start."""
-        self._take(lambda now: self.said.record_peer_report(said, now), by_node=True)
+    def record_peer_report(self, statement: ServerStatement) -> None:
+        """Record a statement of this incarnation that another node reported."""
+        self._update(lambda now: self.tracker.record_peer_report(statement, now), by_node=True)
 
-    def _take(self, take: Callable[[float], None], *, by_node: bool = False) -> None:
-        rate, leaving = self.said.rate_per_s, self.said.leaving
-        take(self.clock.monotonic())
-        if (rate, leaving) == (self.said.rate_per_s, self.said.leaving):
+    def _update(self, record: Callable[[float], None], *, by_node: bool = False) -> None:
+        rate_before, leaving_before = self.tracker.rate_per_s, self.tracker.leaving
+        record(self.clock.monotonic())
+        if (rate_before, leaving_before) == (self.tracker.rate_per_s, self.tracker.leaving):
             return
-        if rate != self.said.rate_per_s:
+        if rate_before != self.tracker.rate_per_s:
             log.info(
-                "serving.rate_named" if self.said.rate_per_s is not None else "serving.rate_ended",
-                instance=self.said.instance,
-                rate_per_s=self.said.rate_per_s,
-                before=rate,
+                (
+                    "serving.rate_named"
+                    if self.tracker.rate_per_s is not None
+                    else "serving.rate_ended"
+                ),
+                instance=self.tracker.instance,
+                rate_per_s=self.tracker.rate_per_s,
+                before=rate_before,
                 by_node=by_node,
             )
-        if leaving != self.said.leaving:
+        if leaving_before != self.tracker.leaving:
             log.info(
-                "serving.leaving" if self.said.leaving else "serving.leaving_ended",
-                instance=self.said.instance,
+                "serving.leaving" if self.tracker.leaving else "serving.leaving_ended",
+                instance=self.tracker.instance,
                 by_node=by_node,
             )
-        self.changed()
+        self.on_change()
 
-    def _note_malformed(self, malformed: tuple[str, ...]) -> None:
-        for each in malformed:
+    def _report_malformed(self, malformed: tuple[str, ...]) -> None:
+        for problem in malformed:
             self.metrics.count("serving.statements_malformed")
             log.warning(
                 "serving.statement_malformed",
                 code=ErrorCode.BACKEND_FAILED,
                 step="serving.read",
-                instance=self.said.instance,
-                reason=each,
+                instance=self.tracker.instance,
+                reason=problem,
             )
--- a/src/marjoramtide/serving/_service.py
+++ b/src/marjoramtide/serving/_service.py
@@ -285,7 +285,7 @@
             with self.tracer.span("serving", request.trace) as span:
                 if span is not None:
                     # Spans of the backend server for this request become children of this span.
-                    execution.request = attrs.evolve(request, trace=span.header())
+                    execution.request = attrs.evolve(request, trace=span.traceparent())
                 answer = await self.send(execution)
                 if span is not None:
                     span.attributes |= {"status": answer.status, "urgent": request.urgent}
