--- a/bench/evacuation/_evacuation_network.py
+++ b/bench/evacuation/_evacuation_network.py
@@ -64,15 +64,15 @@
         self.sent_bytes += len(cbor2.dumps(fields)) + ENVELOPE_BYTES
         if self.rng.random() >= self.loss:
             delay_s = self.rng.uniform(*DELAY_S)
-            self.loop.call_later(delay_s, self.nodes[target].take, fields, str(sender))
+            self.loop.call_later(delay_s, self.nodes[target].merge_state, fields, str(sender))
 
     async def ask_on(self, number: int) -> None:
         """Ask others for the settings, one after another; news goes both ways."""
         await asyncio.sleep(self.rng.uniform(0, ASKED_S[1]))
         while True:
             other = self.rng.choice([each for each in range(len(self.nodes)) if each != number])
-            self.nodes[other].take(self.nodes[number].told(), str(number))
-            self.nodes[number].take(self.nodes[other].told(), str(other))
+            self.nodes[other].merge_state(self.nodes[number].local_state(), str(number))
+            self.nodes[number].merge_state(self.nodes[other].local_state(), str(other))
             await asyncio.sleep(self.rng.uniform(*ASKED_S))
 
     def evacuate(self, name: str, watchers: Iterable[int]) -> None:
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -66,7 +66,7 @@
 from marjoramtide.quota._messages import QuotaAsk, QuotaGrant
 from marjoramtide.quota._messages import unpack as unpack_quota
 from marjoramtide.settings import decode_envelope, parse_tree
-from marjoramtide.settings.sync._peer_settings import decode_answer
+from marjoramtide.settings.sync._peer_settings import decode_pull_response
 from marjoramtide.store import Answer, Meaning, StoredObject
 from standins.mesh import Mesh, MeshNode, make_plan
 from standins.raw_caller import read_answer
@@ -289,7 +289,7 @@
     message = decode(data)
     if not isinstance(message, ReplyMessage):
         raise MalformedError("no answer")
-    decode_answer(MEMBER, message.body)
+    decode_pull_response(MEMBER, message.body)
 
 
 def read_headers(data: bytes) -> None:
--- a/bench/model/_model_node.py
+++ b/bench/model/_model_node.py
@@ -29,7 +29,7 @@
     ServerLoad,
     ServingService,
 )
-from marjoramtide.settings import Place, RouteSettings
+from marjoramtide.settings import Locality, RouteSettings
 from marjoramtide.telemetry import Metrics, Tracer
 
 
@@ -53,7 +53,7 @@
         self.clock = LoopClock(asyncio.get_running_loop())
         self.server = server
         self.directory = ModelDirectory(member, failed)
-        self.view = make_view(text, Place(member.region, member.data_centre), self.clock)
+        self.view = make_view(text, Locality(member.region, member.data_centre), self.clock)
         self.metrics = Metrics()
         tracer = Tracer(member.node, self.clock, rng)
         self.statements = StatementTracker(member.node)
--- a/bench/model/_model_settings.py
+++ b/bench/model/_model_settings.py
@@ -8,7 +8,7 @@
 
 from bench.model._deployment import Deployment
 from marjoramtide.clock import Clock, FreezeDetector
-from marjoramtide.settings import Envelope, Freshness, Place, TreeSettingsView, parse_tree
+from marjoramtide.settings import Envelope, Freshness, Locality, TreeSettingsView, parse_tree
 
 BASE_TREE = Path(__file__).resolve().parents[2] / "deploy" / "base-tree.toml"
 HOST = "callers"
@@ -47,7 +47,7 @@
     return json.dumps(base | bounds | dict(changes) | {"services": services})
 
 
-def make_view(text: str, place: Place, clock: Clock) -> TreeSettingsView:
+def make_view(text: str, place: Locality, clock: Clock) -> TreeSettingsView:
     """Return the settings in force at one node; raises ``bad-settings``."""
     view = TreeSettingsView(place, Freshness(clock, FreezeDetector(clock)))
     envelope = Envelope(1, HOST, "first", HOST, 0.0, "", [], text)
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -19,8 +19,8 @@
 from marjoramtide.settings import (
     Envelope,
     Freshness,
+    Locality,
     NodeSettings,
-    Place,
     TreeSettingsView,
     parse_tree,
 )
@@ -140,7 +140,7 @@
     callers = platform_interface(NodeSettings(**tomllib.loads(filled))).callers
     clock = ManualClock()
     tracer = Tracer("node", clock, random.Random(1))
-    view = TreeSettingsView(Place(), Freshness(clock, FreezeDetector(clock)))
+    view = TreeSettingsView(Locality(), Freshness(clock, FreezeDetector(clock)))
     text = '[services.shop]\nhosts = ["shop.example"]\n'
     view.install(Envelope(1, "x", "first", "x", 0.0, "", [], text), parse_tree(text))
     context.requests = [
--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -85,7 +85,7 @@
             state = MemberState.DRAINING if drained else MemberState.READY
             node.member = attrs.evolve(node.member, state=state)
 
-        directory = node.service.maker.directory
+        directory = node.service.change_coordinator.directory
         evacuations = self.evacuations(node)
         return NodeHandle(
             settings=node.service,
@@ -110,7 +110,7 @@
         return make_evacuations(
             NodeStore(node),
             "evacuations/",
-            node.service.maker.directory,
+            node.service.change_coordinator.directory,
             lambda fields, readers: None,
             self.clock,
             random.Random(1),
--- a/features/steps/pace_steps.py
+++ b/features/steps/pace_steps.py
@@ -16,7 +16,7 @@
 from marjoramtide.policy.pace import Pace
 from marjoramtide.policy.pace._stretches import DurationHistory
 from marjoramtide.serving import ServerLoad, ServingService
-from marjoramtide.settings import Freshness, Place, TreeSettingsView
+from marjoramtide.settings import Freshness, Locality, TreeSettingsView
 from marjoramtide.telemetry import Metrics, Tracer
 
 NOW = 100.0
@@ -104,7 +104,7 @@
 @given("a serving node whose server was undisturbed for {seconds:d} s")
 def given_serving(context: Any, seconds: int) -> None:
     clock = context.clock = ManualClock()
-    view = TreeSettingsView(Place(), Freshness(clock, FreezeDetector(clock)))
+    view = TreeSettingsView(Locality(), Freshness(clock, FreezeDetector(clock)))
     tracer = Tracer("node", clock, random.Random(SEED))
     # Nothing is sent, so no claims are needed.
     context.serving = ServingService("s", SilentTransport(), None, view, clock, Metrics(), tracer)
--- a/features/steps/platform_workspaces_steps.py
+++ b/features/steps/platform_workspaces_steps.py
@@ -67,7 +67,7 @@
             ],
         )
         await fleet.settle()
-        await fleet.wait_for(lambda: all(each.node.view.vouches_for_keys for each in fleet.seats))
+        await fleet.wait_for(lambda: all(each.node.view.can_accept_keys for each in fleet.seats))
 
     run(context, begin())
 
--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -23,7 +23,7 @@
 )
 from marjoramtide.settings import NodeSettings, RouteSettings, SettingsView
 from marjoramtide.settings._freshness import Freshness
-from marjoramtide.settings._place import Place
+from marjoramtide.settings._locality import Locality
 from marjoramtide.settings._tree_view import TreeSettingsView
 from marjoramtide.telemetry import Metrics, Tracer
 
@@ -143,7 +143,7 @@
 
 @given("its service is no longer in the settings")
 def given_no_service(context: Any) -> None:
-    context.serving.classifier.view = TreeSettingsView(Place("r", "d"), cast(Freshness, None))
+    context.serving.classifier.view = TreeSettingsView(Locality("r", "d"), cast(Freshness, None))
 
 
 @then("a booking that reaches it is refused as not run")
--- a/features/steps/settings_tree_steps.py
+++ b/features/steps/settings_tree_steps.py
@@ -13,7 +13,7 @@
     SCHEMA,
     Envelope,
     Freshness,
-    Place,
+    Locality,
     RouteSettings,
     TreeSettingsView,
     parse_tree,
@@ -26,7 +26,7 @@
 def view_of(text: str, region: str = "r", data_centre: str = "d") -> TreeSettingsView:
     clock = ManualClock()
     freshness = Freshness(clock, FreezeDetector(clock))
-    view = TreeSettingsView(Place(region, data_centre), freshness)
+    view = TreeSettingsView(Locality(region, data_centre), freshness)
     view.install(Envelope(1, "lineage", "change", "author", 0.0, "", [], text), parse_tree(text))
     return view
 
--- a/src/marjoramtide/daemon/_gauges.py
+++ b/src/marjoramtide/daemon/_gauges.py
@@ -32,7 +32,7 @@
         "quarantine.held": len(node.quarantine.policy.held(now)),
         "quarantine.suspects": len(node.quarantine.policy),
         "workspaces": len(node.view.workspaces),
-        "settings.vouches_for_keys": node.view.vouches_for_keys,
+        "settings.vouches_for_keys": node.view.can_accept_keys,
         "quota.pools": len(node.quotas.pools.pools),
         "evacuations": len(node.evacuations.in_force),
         "store.epoch": node.store.epoch,
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -105,7 +105,7 @@
         )
         self.view = self.settings_service.view
         follower = self.settings_service.follower
-        self.evacuations = follower.side_news = make_evacuations(
+        self.evacuations = follower.piggybacked_state = make_evacuations(
             self.store,
             interface.evacuations,
             self.membership,
@@ -113,7 +113,7 @@
             self.clock,
             rng,
             follower.is_watcher,
-            interface.tree.is_ours,
+            interface.tree.is_writable,
             self.evacuations_changed,
         )
         self.claim_gate = IdempotencyKeyDispatcher(self.claims, self.view, self.clock)
--- a/src/marjoramtide/daemon/_node_news.py
+++ b/src/marjoramtide/daemon/_node_news.py
@@ -64,7 +64,7 @@
         if is_quarantine_news(fields):
             self.quarantine.take(member, fields)
         elif is_store_news(fields):
-            self.evacuations.take(fields, member.node)
+            self.evacuations.merge_state(fields, member.node)
         elif is_quota_message(fields):
             self.quotas.take(member, fields)
         elif is_claim_news(fields):
--- a/src/marjoramtide/evacuation/_evacuation_service.py
+++ b/src/marjoramtide/evacuation/_evacuation_service.py
@@ -17,7 +17,7 @@
 from marjoramtide.evacuation._store_news import StoreNews, unpack_store_news
 from marjoramtide.membership import Directory, Member
 from marjoramtide.policy import EvacuationSnapshot, EvacuationState
-from marjoramtide.settings.sync import SideNews
+from marjoramtide.settings.sync import PiggybackedState
 from marjoramtide.store import ObjectStore
 
 log = structlog.get_logger()
@@ -32,7 +32,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class EvacuationService(SideNews):
+class EvacuationService(PiggybackedState):
     """Knows which data centres are evacuated, and lets the other nodes know.
 
     The nodes that watch the store tell all others, who tell whoever asks them. A node that starts
@@ -86,11 +86,11 @@
         self.timers = [timer for timer in self.timers if timer.when() > loop.time()]
         self.timers.append(loop.call_later(TOLD_AGAIN_S, self._publish))
 
-    def told(self) -> list[Any]:
+    def local_state(self) -> list[Any]:
         news = StoreNews(self.store.epoch, self.policy.snapshot(self.clock.monotonic()))
         return news.pack()
 
-    def take(self, fields: list[Any], source: str) -> None:
+    def merge_state(self, fields: list[Any], source: str) -> None:
         try:
             news = unpack_store_news(fields)
         except MalformedError as error:
@@ -110,7 +110,7 @@
     def _publish(self) -> None:
         own = self.directory.self_member.node
         others = [member for member in self.directory.members() if member.node != own]
-        self.publish(self.told(), others)
+        self.publish(self.local_state(), others)
 
     def _take(self, told: EvacuationSnapshot, source: str) -> bool:
         now = self.clock.monotonic()
--- a/src/marjoramtide/ingress/_authenticator.py
+++ b/src/marjoramtide/ingress/_authenticator.py
@@ -71,12 +71,12 @@
             if self.nested_calls.may_have_parent(request):
                 raise unverified("the run that made this call is not known to this node")
             raise unauthenticated("no key")
-        workspace = self.view.workspaces.holder(key)
+        workspace = self.view.workspaces.find_by_key(key)
         if workspace is None:
-            if not self.view.knows_all_keys:
+            if not self.view.can_reject_unknown_keys:
                 raise unverified("this node may not have learned of this key yet")
             raise unauthenticated(f"unknown key {key_fingerprint(key_digest(key))}")
-        if not self.view.vouches_for_keys:
+        if not self.view.can_accept_keys:
             raise unverified("this node can't know whether this key was revoked")
         return workspace
 
@@ -86,8 +86,8 @@
             key = read_caller_key(http_request, self.scheme)
         except MarjoramtideError:
             return None
-        known = self.view.workspaces.holder(key) if key else None
-        return known if self.view.vouches_for_keys else None
+        known = self.view.workspaces.find_by_key(key) if key else None
+        return known if self.view.can_accept_keys else None
 
 
 def unverified(reason: str) -> NotRunError:
--- a/src/marjoramtide/platform/_configuration.py
+++ b/src/marjoramtide/platform/_configuration.py
@@ -24,7 +24,7 @@
 
     key = KIND + "main"
     may_be_absent = False
-    is_ours = False
+    is_writable = False
 
     def __init__(self, base: dict[str, Any]) -> None:
         self.base = base
--- a/src/marjoramtide/settings/__init__.py
+++ b/src/marjoramtide/settings/__init__.py
@@ -9,13 +9,13 @@
 from marjoramtide.settings._envelope import Envelope, RecentChange, decode_envelope
 from marjoramtide.settings._freshness import Freshness
 from marjoramtide.settings._level import Level
+from marjoramtide.settings._locality import Locality
 from marjoramtide.settings._node_settings import (
     NodeSettings,
     check_address,
     load_node_settings,
     parse_address,
 )
-from marjoramtide.settings._place import Place
 from marjoramtide.settings._resolved import Resolved
 from marjoramtide.settings._route_settings import RouteSettings
 from marjoramtide.settings._schema import DEFAULTS, SCHEMA
@@ -39,8 +39,8 @@
     "Envelope",
     "Freshness",
     "Level",
+    "Locality",
     "NodeSettings",
-    "Place",
     "RecentChange",
     "Resolved",
     "RouteSettings",
--- a/src/marjoramtide/settings/_freshness.py
+++ b/src/marjoramtide/settings/_freshness.py
@@ -23,7 +23,7 @@
     freeze: FreezeDetector
     bound_s: float = DEFAULT_BOUND_S
     caught_up_at: float | None = None
-    unreadable: int = 0
+    unreadable_revision: int = 0
     proven_at: float | None = None
 
     def prove(self, at: float) -> None:
@@ -37,7 +37,7 @@
     @property
     def proof_age_s(self) -> float:
         """Return for how long the settings may have been replaced without this node's knowing."""
-        if self.proven_at is None or self.unreadable:
+        if self.proven_at is None or self.unreadable_revision:
             return math.inf
         return self.clock.monotonic() - self.proven_at
 
@@ -66,7 +66,7 @@
         """
         now = self.clock.monotonic()
         self.freeze.was_frozen(now)
-        if self.caught_up_at is None or self.unreadable:
+        if self.caught_up_at is None or self.unreadable_revision:
             return False
         if self.caught_up_at < self.freeze.thawed_at:
             return False
--- a/src/marjoramtide/settings/_place.py
+++ b/src/marjoramtide/settings/_locality.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen(slots=True)
-class Place:
+class Locality:
     """A region and a data centre; both empty for a place that the tree doesn't name."""
 
     region: str = ""
--- a/src/marjoramtide/settings/_resolved.py
+++ b/src/marjoramtide/settings/_resolved.py
@@ -6,7 +6,7 @@
 import attrs
 
 from marjoramtide.settings._branch import Branch
-from marjoramtide.settings._place import Place
+from marjoramtide.settings._locality import Locality
 from marjoramtide.settings._schema import DEFAULTS
 
 DEFAULT = "default"
@@ -18,7 +18,7 @@
 )
 
 
-def precedence(place: Place, service: str, route: str | None) -> Iterator[Branch]:
+def precedence(place: Locality, service: str, route: str | None) -> Iterator[Branch]:
     """Yield the branches that apply, the least specific first; later ones override earlier ones."""
     region, data_centre = place.region, place.data_centre
     wheres = [("", ""), (region, ""), (region, data_centre)]
--- a/src/marjoramtide/settings/_settings_view.py
+++ b/src/marjoramtide/settings/_settings_view.py
@@ -37,12 +37,12 @@
 
     @property
     @abstractmethod
-    def vouches_for_keys(self) -> bool:
+    def can_accept_keys(self) -> bool:
         """Tell whether no key in force here can have been taken away for longer than allowed."""
 
     @property
     @abstractmethod
-    def knows_all_keys(self) -> bool:
+    def can_reject_unknown_keys(self) -> bool:
         """Tell whether a key that isn't in force here is none, but for one added just now."""
 
     @abstractmethod
--- a/src/marjoramtide/settings/_tree.py
+++ b/src/marjoramtide/settings/_tree.py
@@ -18,8 +18,8 @@
     Branch,
 )
 from marjoramtide.settings._level import Level
+from marjoramtide.settings._locality import Locality
 from marjoramtide.settings._path_key import PATH
-from marjoramtide.settings._place import Place
 from marjoramtide.settings._resolved import Resolved, precedence
 from marjoramtide.settings._schema import SCHEMA
 from marjoramtide.settings._workspaces import key_fingerprint
@@ -62,12 +62,12 @@
         found = self.own_routes(service) | {"/"}
         return sorted(found, key=lambda prefix: (-len(prefix), prefix))
 
-    def places(self) -> list[Place]:
+    def places(self) -> list[Locality]:
         """Return the places that the tree names, and the one for all others."""
         return [
-            Place(),
+            Locality(),
             *(
-                Place(branch.region, branch.data_centre)
+                Locality(branch.region, branch.data_centre)
                 for branch in self.branches
                 if branch.level in (Level.REGION, Level.DATA_CENTRE)
             ),
@@ -84,7 +84,7 @@
                 chain = [(each, self.branches.get(each, {})) for each in (Branch(), branch)]
                 yield branch.workspace, Resolved.of(chain).values
 
-    def resolve(self, place: Place, service: str = "", route: str | None = None) -> Resolved:
+    def resolve(self, place: Locality, service: str = "", route: str | None = None) -> Resolved:
         """Return the values in force for a service and route prefix at ``place``."""
         chain = [
             (branch, self.branches[branch])
@@ -102,7 +102,7 @@
         }
 
 
-def parse_tree(text: str, places: Collection[Place] | None = None) -> SettingsTree:
+def parse_tree(text: str, places: Collection[Locality] | None = None) -> SettingsTree:
     """Read and check the text of a tree: TOML, or the same tables as JSON.
 
     JSON is what an adapter writes that makes the tree from another system's configuration: reading
@@ -232,7 +232,7 @@
             yield f"{branch}: there is no /services/{branch.service}{nearest}"
 
 
-def _check_resolved(tree: SettingsTree, places: Collection[Place] | None) -> Iterator[str]:
+def _check_resolved(tree: SettingsTree, places: Collection[Locality] | None) -> Iterator[str]:
     """Check values against each other in every combination of place, service and route."""
     checked = tree.places() if places is None else places
     targets: list[tuple[str, str | None]] = [("", None)]
--- a/src/marjoramtide/settings/_tree_view.py
+++ b/src/marjoramtide/settings/_tree_view.py
@@ -8,7 +8,7 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.settings._envelope import Envelope
 from marjoramtide.settings._freshness import Freshness
-from marjoramtide.settings._place import Place
+from marjoramtide.settings._locality import Locality
 from marjoramtide.settings._resolved import Resolved
 from marjoramtide.settings._route_settings import RouteSettings
 from marjoramtide.settings._settings_view import SettingsView
@@ -36,7 +36,7 @@
     ``install`` is called by the task that owns the settings; everyone else reads.
     """
 
-    def __init__(self, place: Place, freshness: Freshness) -> None:
+    def __init__(self, place: Locality, freshness: Freshness) -> None:
         self.place = place
         self.freshness = freshness
         self.envelope: Envelope | None = None
@@ -70,12 +70,12 @@
         return self.freshness.is_current
 
     @property
-    def vouches_for_keys(self) -> bool:
+    def can_accept_keys(self) -> bool:
         bound_s = self.own_values["revocation_s"]
         return not bound_s or self.freshness.proof_age_s <= bound_s
 
     @property
-    def knows_all_keys(self) -> bool:
+    def can_reject_unknown_keys(self) -> bool:
         return not self.own_values["revocation_s"] or self.freshness.proof_age_s <= KEYS_KNOWN_S
 
     def service_for_host(self, host: str) -> str | None:
--- a/src/marjoramtide/settings/_workspaces.py
+++ b/src/marjoramtide/settings/_workspaces.py
@@ -26,7 +26,7 @@
     def __iter__(self) -> Iterator[WorkspaceSettings]:
         return iter(self.by_name.values())
 
-    def holder(self, key: str) -> WorkspaceSettings | None:
+    def find_by_key(self, key: str) -> WorkspaceSettings | None:
         """Return the workspace that a key opens, ``None`` where it opens none.
 
         By its digest: how long a look-up takes tells nothing of how much of a key was right.
--- a/src/marjoramtide/settings/sync/_adopter.py
+++ b/src/marjoramtide/settings/sync/_adopter.py
@@ -45,7 +45,7 @@
         except MarjoramtideError as error:
             # Serving on by the older revision would be serving by settings that are no longer in
             # force. The node says so and stops taking callers' requests until it can read one.
-            self.view.freshness.unreadable = envelope.revision
+            self.view.freshness.unreadable_revision = envelope.revision
             log.error(
                 "settings.unreadable",
                 source=source,
@@ -54,7 +54,7 @@
             )
             return False
         self.view.install(envelope, tree)
-        self.view.freshness.unreadable = 0
+        self.view.freshness.unreadable_revision = 0
         self.directory.set_settings(envelope.revision, envelope.digest)
         log.info(
             "settings.in_force",
--- a/src/marjoramtide/settings/sync/_follower.py
+++ b/src/marjoramtide/settings/sync/_follower.py
@@ -15,7 +15,7 @@
 from marjoramtide.settings.sync._adopter import Adopter
 from marjoramtide.settings.sync._backoff import backoff
 from marjoramtide.settings.sync._peer_settings import PeerAnswer, PeerSettings
-from marjoramtide.settings.sync._side_news import NoSideNews, SideNews
+from marjoramtide.settings.sync._piggybacked_state import NoPiggybackedState, PiggybackedState
 from marjoramtide.settings.sync._tree_store import READ_TIMEOUT_S, StoredTree, TreeStore
 from marjoramtide.settings.sync._watchers import choose_watchers
 
@@ -71,10 +71,10 @@
     missed: bool = False
     peers_answered: bool = False
     doubtful_rounds: int = 0
-    store_answers: bool | None = None
+    store_reachable: bool | None = None
     ask_store_from: float = float("-inf")
     gossiped: asyncio.Event = attrs.field(factory=asyncio.Event)
-    side_news: SideNews = attrs.field(factory=NoSideNews)
+    piggybacked_state: PiggybackedState = attrs.field(factory=NoPiggybackedState)
 
     @property
     def freshness(self) -> Freshness:
@@ -161,12 +161,12 @@
         try:
             stored = await self._read_store()
         except MarjoramtideError as error:
-            self.store_answers = False
+            self.store_reachable = False
             if self._can_go_on():
                 self._leave_store_alone(UNANSWERED_PAUSE_S)
             log.info("settings.store", error=str(error), code=error.code)
             return False
-        self.store_answers = True
+        self.store_reachable = True
         if stored is None:
             # No tree: true of a fleet that has none yet, but also what a stale read says.
             self._leave_store_alone(ABSENT_PAUSE_S)
@@ -203,7 +203,7 @@
         reading = self.trees.read(self._store_patience_s())
         if self.view.is_current:
             return await reading
-        stored, _ = await asyncio.gather(reading, self.side_news.read_store())
+        stored, _ = await asyncio.gather(reading, self.piggybacked_state.read_store())
         await self._hear_others()
         return stored
 
@@ -237,11 +237,11 @@
     async def ask(self, members: list[Member]) -> bool:
         """Pull from these members; return whether one that is current answered."""
         asked_at = self.clock.monotonic()
-        news = self.side_news.told()
+        news = self.piggybacked_state.local_state()
         answers = await self.peers.pull_from(members, self.view.revision, news)
         for answer in answers:
             if answer.news:
-                self.side_news.take(list(answer.news), answer.node)
+                self.piggybacked_state.merge_state(list(answer.news), answer.node)
         level = [
             answer
             for answer in answers
@@ -324,7 +324,7 @@
                 spent = self.clock.monotonic() - began
                 await self.clock.sleep(max(0.0, SHORTEST_WATCH_S - spent))
             except MarjoramtideError as error:
-                self.store_answers = False
+                self.store_reachable = False
                 log.info("settings.watch", error=str(error), code=error.code)
                 await self.clock.sleep(next(waits))
 
@@ -336,7 +336,7 @@
         or a gap in its history) is missed for one watch at most.
         """
         stored, since = await self.trees.read_with_position()
-        self.store_answers = True
+        self.store_reachable = True
         if stored:
             self.adopter.adopt(stored.envelope, "store")
         await self._write_lost(stored)
@@ -372,7 +372,7 @@
         an old one, the write fails.
         """
         mine = self.view.envelope
-        if mine is None or not self.trees.source.is_ours:
+        if mine is None or not self.trees.source.is_writable:
             return
         if stored is None or stored.envelope.lineage == mine.lineage:
             held = stored.envelope.revision if stored else 0
--- a/src/marjoramtide/settings/sync/_own_tree_source.py
+++ b/src/marjoramtide/settings/sync/_own_tree_source.py
@@ -13,7 +13,7 @@
 
     key = TREE_KEY
     may_be_absent = True
-    is_ours = True
+    is_writable = True
 
     async def read(self, store: ObjectStore, timeout: float) -> tuple[StoredObject | None, int]:
         try:
--- a/src/marjoramtide/settings/sync/_peer_settings.py
+++ b/src/marjoramtide/settings/sync/_peer_settings.py
@@ -80,7 +80,7 @@
         raw = await self.channel.ask(
             member.peer_address, PULL, body, timeout=PULL_TIMEOUT_S, small=is_small
         )
-        return decode_answer(member, raw)
+        return decode_pull_response(member, raw)
 
     async def pull_from(
         self, members: Iterable[Member], have: int, news: Sequence[Any] = ()
@@ -181,7 +181,7 @@
     }
 
 
-def decode_answer(member: Member, raw: dict[str, Any]) -> PeerAnswer:
+def decode_pull_response(member: Member, raw: dict[str, Any]) -> PeerAnswer:
     """Read the answer to a pull; raises ``bad-frame`` where it isn't one."""
     try:
         packed = raw["envelope"]
--- a/src/marjoramtide/settings/sync/_side_news.py
+++ b/src/marjoramtide/settings/sync/_piggybacked_state.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 
-class SideNews(ABC):
+class PiggybackedState(ABC):
     """News that a node must have before it serves, and that travels with answers on settings."""
 
     @abstractmethod
@@ -12,22 +12,22 @@
         """Read the news in the store; raises ``MarjoramtideError`` as the store does."""
 
     @abstractmethod
-    def told(self) -> list[Any]:
+    def local_state(self) -> list[Any]:
         """Return the news as it travels."""
 
     @abstractmethod
-    def take(self, fields: list[Any], source: str) -> None:
+    def merge_state(self, fields: list[Any], source: str) -> None:
         """Take in the news of another node; what can't be read changes nothing."""
 
 
-class NoSideNews(SideNews):
+class NoPiggybackedState(PiggybackedState):
     """For a node that has none to learn."""
 
     async def read_store(self) -> None:
         return None
 
-    def told(self) -> list[Any]:
+    def local_state(self) -> list[Any]:
         return []
 
-    def take(self, fields: list[Any], source: str) -> None:
+    def merge_state(self, fields: list[Any], source: str) -> None:
         return None
--- a/src/marjoramtide/settings/sync/_service.py
+++ b/src/marjoramtide/settings/sync/_service.py
@@ -13,8 +13,8 @@
 from marjoramtide.settings._edit import EditAction, parse_edits
 from marjoramtide.settings._envelope import Envelope
 from marjoramtide.settings._freshness import Freshness
+from marjoramtide.settings._locality import Locality
 from marjoramtide.settings._node_settings import NodeSettings
-from marjoramtide.settings._place import Place
 from marjoramtide.settings._tree import check_value
 from marjoramtide.settings._tree_view import TreeSettingsView
 from marjoramtide.settings.sync._adopter import Adopter
@@ -55,7 +55,7 @@
     view: TreeSettingsView
     follower: Follower
     prover: Prover
-    maker: ChangeMaker
+    change_coordinator: ChangeMaker
     own_freeze: FreezeDetector | None = None
     changes: set["asyncio.Task[ChangeOutcome]"] = attrs.field(factory=set)
 
@@ -77,20 +77,20 @@
         The change goes on when the operator's connection breaks: given up half-way, a write whose
         answer was lost would stay unresolved. Asking again with the same change id tells its end.
         """
-        if not self.follower.trees.source.is_ours:
+        if not self.follower.trees.source.is_writable:
             raise MarjoramtideError(
                 ErrorCode.BAD_SETTINGS,
                 "the settings of this fleet are written by another system; change them there",
                 step="settings.change",
             )
-        task = asyncio.create_task(self.maker.make(request, report))
+        task = asyncio.create_task(self.change_coordinator.make(request, report))
         self.changes.add(task)
         task.add_done_callback(self.changes.discard)
         return await asyncio.shield(task)
 
     async def envelope_at(self, revision: int) -> Envelope:
         """Return an earlier revision; raises ``not-found`` or what the store raises."""
-        found = await self.maker.envelope_at(revision)
+        found = await self.change_coordinator.envelope_at(revision)
         if found is None:
             raise MarjoramtideError(
                 ErrorCode.NOT_FOUND, "there is no revision 0", step="settings.history"
@@ -99,11 +99,11 @@
 
     async def answer_pull(self, body: dict[str, Any]) -> dict[str, Any]:
         """Answer another node that asks what is in force here."""
-        node = self.maker.directory.self_member.node
+        node = self.change_coordinator.directory.self_member.node
         have = int(body.get("have", 0))
         if heard := read_news(body):
-            self.follower.side_news.take(list(heard), "a node that asked")
-        news = self.follower.side_news.told()
+            self.follower.piggybacked_state.merge_state(list(heard), "a node that asked")
+        news = self.follower.piggybacked_state.local_state()
         return encode_answer(
             node,
             self.view.envelope,
@@ -151,17 +151,17 @@
     """
     rng = rng or random.Random()
     detector = freeze or FreezeDetector(clock)
-    place = Place(node_settings.region, node_settings.data_centre)
+    place = Locality(node_settings.region, node_settings.data_centre)
     view = TreeSettingsView(place, Freshness(clock, detector))
     trees = TreeStore(store, clock, rng, source or OwnTreeSource())
     peers = PeerSettings(directory, control_channel, rng)
     adopter = Adopter(view, directory)
     follower = Follower(view, adopter, trees, peers, directory, clock, rng)
-    maker = ChangeMaker(view, adopter, trees, peers, directory, clock)
+    coordinator = ChangeMaker(view, adopter, trees, peers, directory, clock)
     prover = Prover(view, follower, clock, rng)
-    service = SettingsService(view, follower, prover, maker, None if freeze else detector)
+    service = SettingsService(view, follower, prover, coordinator, None if freeze else detector)
     control_channel.answer(PULL, service.answer_pull)
     control_channel.answer(PREPARE, service.answer_prepare)
     directory.on_change(follower.member_changed)
-    directory.on_change(maker.member_changed)
+    directory.on_change(coordinator.member_changed)
     return service
--- a/src/marjoramtide/settings/sync/_tree_source.py
+++ b/src/marjoramtide/settings/sync/_tree_source.py
@@ -15,7 +15,7 @@
     may_be_absent: bool
     """Whether a fleet without any tree is a sound one, whose nodes know all there is to know."""
 
-    is_ours: bool
+    is_writable: bool
     """Whether nodes write the object; else they only follow what another system writes there."""
 
     @abstractmethod
