--- a/src/marjoramtide/settings/__init__.py
+++ b/src/marjoramtide/settings/__init__.py
@@ -16,7 +16,7 @@
     load_node_settings,
     parse_address,
 )
-from marjoramtide.settings._resolved import Resolved
+from marjoramtide.settings._resolved_values import Resolved
 from marjoramtide.settings._route_settings import RouteSettings
 from marjoramtide.settings._schema import DEFAULTS, SCHEMA
 from marjoramtide.settings._settings_view import SettingsView
--- a/src/marjoramtide/settings/_tree.py
+++ b/src/marjoramtide/settings/_tree.py
@@ -20,7 +20,7 @@
 from marjoramtide.settings._level import Level
 from marjoramtide.settings._locality import Locality
 from marjoramtide.settings._path_key import PATH
-from marjoramtide.settings._resolved import Resolved, precedence
+from marjoramtide.settings._resolved_values import Resolved, precedence
 from marjoramtide.settings._schema import SCHEMA
 from marjoramtide.settings._workspaces import key_fingerprint
 
--- a/src/marjoramtide/settings/_tree_view.py
+++ b/src/marjoramtide/settings/_tree_view.py
@@ -9,7 +9,7 @@
 from marjoramtide.settings._envelope import Envelope
 from marjoramtide.settings._freshness import Freshness
 from marjoramtide.settings._locality import Locality
-from marjoramtide.settings._resolved import Resolved
+from marjoramtide.settings._resolved_values import Resolved
 from marjoramtide.settings._route_settings import RouteSettings
 from marjoramtide.settings._settings_view import SettingsView
 from marjoramtide.settings._tree import SettingsTree
--- a/src/marjoramtide/settings/sync/_change_maker.py
+++ b/src/marjoramtide/settings/sync/_change_coordinator.py
@@ -9,12 +9,12 @@
 from marjoramtide.membership import Directory, Member, MemberState
 from marjoramtide.settings._envelope import Envelope
 from marjoramtide.settings._tree_view import TreeSettingsView
-from marjoramtide.settings.sync._adopter import Adopter
 from marjoramtide.settings.sync._change_outcome import ChangeOutcome
 from marjoramtide.settings.sync._change_request import ChangeRequest
 from marjoramtide.settings.sync._draft import Draft, make_draft, make_envelope
 from marjoramtide.settings.sync._peer_settings import PeerSettings
 from marjoramtide.settings.sync._progress import Progress, Report
+from marjoramtide.settings.sync._revision_applier import Adopter
 from marjoramtide.settings.sync._tree_store import HISTORY_KEPT, StoredTree, TreeStore
 
 STALE_READS = 5
--- a/src/marjoramtide/settings/sync/_follower.py
+++ b/src/marjoramtide/settings/sync/_follower.py
@@ -12,10 +12,10 @@
 from marjoramtide.membership import Directory, Member
 from marjoramtide.settings._freshness import Freshness
 from marjoramtide.settings._tree_view import TreeSettingsView
-from marjoramtide.settings.sync._adopter import Adopter
 from marjoramtide.settings.sync._backoff import backoff
 from marjoramtide.settings.sync._peer_settings import PeerAnswer, PeerSettings
 from marjoramtide.settings.sync._piggybacked_state import NoPiggybackedState, PiggybackedState
+from marjoramtide.settings.sync._revision_applier import Adopter
 from marjoramtide.settings.sync._tree_store import READ_TIMEOUT_S, StoredTree, TreeStore
 from marjoramtide.settings.sync._watchers import choose_watchers
 
--- a/src/marjoramtide/settings/sync/_service.py
+++ b/src/marjoramtide/settings/sync/_service.py
@@ -17,8 +17,7 @@
 from marjoramtide.settings._node_settings import NodeSettings
 from marjoramtide.settings._tree import check_value
 from marjoramtide.settings._tree_view import TreeSettingsView
-from marjoramtide.settings.sync._adopter import Adopter
-from marjoramtide.settings.sync._change_maker import ChangeMaker
+from marjoramtide.settings.sync._change_coordinator import ChangeMaker
 from marjoramtide.settings.sync._change_outcome import ChangeOutcome
 from marjoramtide.settings.sync._change_request import ChangeRequest
 from marjoramtide.settings.sync._follower import Follower
@@ -31,7 +30,8 @@
     read_news,
 )
 from marjoramtide.settings.sync._progress import Progress, Report
-from marjoramtide.settings.sync._prover import Prover
+from marjoramtide.settings.sync._proof_renewer import Prover
+from marjoramtide.settings.sync._revision_applier import Adopter
 from marjoramtide.settings.sync._tree_source import TreeSource
 from marjoramtide.settings.sync._tree_store import TreeStore
 from marjoramtide.store import ObjectStore
