--- a/features/steps/settings_change_steps.py
+++ b/features/steps/settings_change_steps.py
@@ -28,7 +28,7 @@
         (context.other_request, context.other.result()),
     ):
         accepted = isinstance(told, ChangeOutcome)
-        assert accepted == bool(stored(context).contains(request.change)), (request, told)
+        assert accepted == bool(stored(context).find_change(request.change)), (request, told)
         assert accepted or told.code == "branch-conflict", told
 
 
@@ -113,7 +113,7 @@
 def then_accepted(context: Any, revision: int) -> None:
     assert isinstance(context.told, ChangeOutcome), context.told
     assert context.told.revision == revision, context.told
-    assert stored(context).contains(context.request.change)
+    assert stored(context).find_change(context.request.change)
 
 
 @then("the laggards are {name}")
@@ -128,13 +128,13 @@
     assert context.told.code == code, context.told
     assert words.strip('"') in context.told.message, context.told
     tree = context.fleet.store.objects[TREE]
-    assert not decode_envelope(tree.value).contains(context.request.change)
+    assert not decode_envelope(tree.value).find_change(context.request.change)
 
 
 @then("what the operator was told is what the tree says")
 def then_truth(context: Any) -> None:
     context.fleet.pass_time(10)
-    entry = stored(context).contains(context.request.change)
+    entry = stored(context).find_change(context.request.change)
     assert isinstance(context.told, ChangeOutcome) == bool(entry), (context.told, entry)
 
 
--- a/src/marjoramtide/settings/__init__.py
+++ b/src/marjoramtide/settings/__init__.py
@@ -1,6 +1,6 @@
 """Settings: the node's own file, and the tree that all nodes share.
 
-The parts that talk to the store and to other nodes are in ``marjoramtide.settings.sync``.
+Distribution between the store and the nodes is in ``marjoramtide.settings.sync``.
 """
 
 from marjoramtide.settings._branch import Branch, parse_branch
@@ -16,7 +16,7 @@
     load_node_settings,
     parse_address,
 )
-from marjoramtide.settings._resolved_values import Resolved
+from marjoramtide.settings._resolved_values import ResolvedValues
 from marjoramtide.settings._route_settings import RouteSettings
 from marjoramtide.settings._schema import DEFAULTS, SCHEMA
 from marjoramtide.settings._settings_view import SettingsView
@@ -42,7 +42,7 @@
     "Locality",
     "NodeSettings",
     "RecentChange",
-    "Resolved",
+    "ResolvedValues",
     "RouteSettings",
     "SettingsTree",
     "SettingsView",
--- a/src/marjoramtide/settings/_branch.py
+++ b/src/marjoramtide/settings/_branch.py
@@ -1,4 +1,4 @@
-"""The path of a branch in the settings tree."""
+"""Branches of the settings tree and their paths."""
 
 import re
 
@@ -9,12 +9,12 @@
 
 NAME = re.compile(r"[a-z0-9]([a-z0-9.-]{0,61}[a-z0-9])?")
 NAME_RULE = "1 to 63 of a-z, 0-9, '-' and '.', beginning and ending with a letter or a digit"
-# Other systems name workspaces, too, and backend servers are told the name as it is.
+# Workspaces may be named by other systems, and backend servers receive the name unchanged.
 WORKSPACE_NAME = re.compile(r"[A-Za-z0-9]([A-Za-z0-9._@:+-]{0,126}[A-Za-z0-9])?")
 WORKSPACE_NAME_RULE = (
     "1 to 128 of A-Z, a-z, 0-9 and '._@:+-', beginning and ending with a letter or a digit"
 )
-FORMS = (
+PATH_FORMS = (
     "/, /workspaces/W, /regions/R, /regions/R/data_centres/D, or one of these but the second "
     "followed by services/S or services/S/routes/PREFIX"
 )
@@ -22,7 +22,7 @@
 
 @attrs.frozen(slots=True)
 class Branch:
-    """A place in the tree; the empty string or ``None`` stands for "any".
+    """A node of the settings tree; the empty string or ``None`` stands for "any".
 
     ``Branch(region="viti-west", service="mapdesk", route="/tiles")`` is written
     ``/regions/viti-west/services/mapdesk/routes/tiles``.
@@ -48,7 +48,7 @@
 
     @property
     def keys(self) -> tuple[str, ...]:
-        """Return the TOML keys that lead to this branch."""
+        """Return the TOML keys on the way from the root to this branch."""
         if self.workspace:
             return ("workspaces", self.workspace)
         parts: tuple[str, ...] = ()
@@ -80,7 +80,7 @@
 
 
 def parse_branch(path: str) -> Branch:
-    """Read a path such as ``/services/mapdesk``; raises ``bad-settings`` for any other form."""
+    """Parse a path such as ``/services/mapdesk``; raises ``bad-settings`` if it is malformed."""
     parts = path.removeprefix("/").split("/") if path.strip("/") else []
     if len(parts) == 2 and parts[0] == "workspaces":
         return _parse_workspace(path, parts[1])
@@ -101,7 +101,7 @@
     if parts or not path.startswith("/"):
         raise MarjoramtideError(
             ErrorCode.BAD_SETTINGS,
-            f"{path!r} is not a branch; allowed: {FORMS}",
+            f"{path!r} is not a branch; allowed: {PATH_FORMS}",
             step="settings.path",
         )
     return Branch(**found)
--- a/src/marjoramtide/settings/_choice_key.py
+++ b/src/marjoramtide/settings/_choice_key.py
@@ -1,4 +1,4 @@
-"""A key whose value is one of a few words."""
+"""A key with an enumerated value."""
 
 from typing import Any
 
--- a/src/marjoramtide/settings/_edit.py
+++ b/src/marjoramtide/settings/_edit.py
@@ -1,4 +1,4 @@
-"""One step of a change of the settings tree."""
+"""A single edit of the settings tree."""
 
 from enum import StrEnum
 from typing import Any
@@ -12,7 +12,7 @@
 
 
 class EditAction(StrEnum):
-    """What an edit does: two act on a key, two on a whole branch."""
+    """The kind of an edit: two act on a key, two on a whole branch."""
 
     SET = "set"
     UNSET = "unset"
@@ -24,7 +24,7 @@
 class Edit:
     """Set or unset ``key`` in a branch, or create or remove the branch itself.
 
-    ``path`` is a branch such as ``/services/mapdesk``; a removed branch takes all inside it along.
+    ``path`` is a branch such as ``/services/mapdesk``; removing a branch removes its descendants.
     """
 
     action: EditAction
@@ -39,13 +39,13 @@
     def __str__(self) -> str:
         if self.action is EditAction.SET:
             spec = SCHEMA.get(self.key)
-            shown = repr(self.value) if spec is None else spec.shown(self.value)
+            shown = repr(self.value) if spec is None else spec.describe_value(self.value)
             return f"set {self.path} {self.key} = {shown}"
         return " ".join(part for part in (self.action, self.path, self.key) if part)
 
 
 def parse_edits(raw: Any) -> list[Edit]:
-    """Read edits from plain maps, as they come from operators and other nodes."""
+    """Parse edits from plain maps, as operators and other nodes send them."""
     try:
         edits = cattrs.structure(raw, list[Edit])
     except (ValueError, TypeError, cattrs.BaseValidationError) as error:
--- a/src/marjoramtide/settings/_editing.py
+++ b/src/marjoramtide/settings/_editing.py
@@ -1,7 +1,7 @@
-"""Edits of the tree: applied to its text, found by comparison, and checked for conflicts.
+"""Edits of the tree: applying them to its text, computing them, and finding conflicts.
 
-The library that edits TOML is imported where it is used: a node that only follows what others write
-never needs it, and starts by as much sooner.
+The TOML editing library is imported where it is used: a node that only follows changes of others
+never needs it and starts faster without it.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from marjoramtide.settings._branch import Branch
 from marjoramtide.settings._edit import Edit, EditAction
 from marjoramtide.settings._schema import SCHEMA
-from marjoramtide.settings._tree import SettingsTree, bad_settings, check_value, nearest_name
+from marjoramtide.settings._tree import SettingsTree, bad_settings, check_value, did_you_mean
 
 if TYPE_CHECKING:
     import tomlkit
@@ -22,10 +22,10 @@
 
 
 def apply_edits(text: str, edits: Iterable[Edit]) -> str:
-    """Return ``text`` with the edits made; comments and order stay.
+    """Return ``text`` with the edits applied; comments and order are preserved.
 
-    Raises ``not-found`` where a branch or key to change isn't there, ``bad-settings`` for a key or
-    value that isn't allowed or a branch to create that is there already.
+    Raises ``not-found`` if the branch or key to change doesn't exist, ``bad-settings`` for an
+    invalid key or value, or if the branch to create exists already.
     """
     import tomlkit
 
@@ -36,16 +36,16 @@
 
 
 def edit_tree(tree: SettingsTree, edits: Iterable[Edit]) -> SettingsTree:
-    """Return what the tree is once the edits are made; the text must say the same."""
+    """Return the tree that results from the edits; the edited text must parse to the same."""
     branches = {branch: dict(values) for branch, values in tree.branches.items()}
     for edit in edits:
         branch = edit.branch
         if edit.action is EditAction.REMOVE:
-            for gone in SettingsTree(branches).descendants(branch):
-                del branches[gone]
+            for removed in SettingsTree(branches).descendants(branch):
+                del branches[removed]
         elif edit.action is EditAction.CREATE:
-            for place in (*branch.ancestors, branch):
-                branches.setdefault(place, {})
+            for ancestor in (*branch.ancestors, branch):
+                branches.setdefault(ancestor, {})
         elif edit.action is EditAction.SET:
             branches[branch][edit.key] = SCHEMA[edit.key].normalise(edit.value)
         else:
@@ -54,12 +54,12 @@
 
 
 def compare_trees(old: SettingsTree, new: SettingsTree) -> list[Edit]:
-    """Return the edits that lead from one tree to another."""
-    gone = [branch for branch in old.branches if branch not in new.branches]
+    """Return the edits that turn one tree into another."""
+    removed = [branch for branch in old.branches if branch not in new.branches]
     edits = [
         Edit(EditAction.REMOVE, str(branch))
-        for branch in gone
-        if not any(parent in gone for parent in branch.ancestors)
+        for branch in removed
+        if not any(parent in removed for parent in branch.ancestors)
     ]
     for branch, values in new.branches.items():
         before = old.branches.get(branch)
@@ -74,16 +74,16 @@
 ) -> list[str]:
     """Return the branches that ``edits`` touch and that changed between ``base`` and ``current``.
 
-    An edit rests on the branch as its author saw it. Where someone else changed the same branch
-    meanwhile, making the edit on top would silently combine two decisions that nobody took
-    together; where a branch around it was removed, it would bring that branch back.
+    An edit is based on the branch as its author saw it. If the branch was changed concurrently,
+    rebasing the edit would silently combine two changes that nobody reviewed together; if a branch
+    that contains it was removed, rebasing would bring that branch back.
     """
     return list(
-        dict.fromkeys(edit.path for edit in edits if not _rests_on_same(base, current, edit))
+        dict.fromkeys(edit.path for edit in edits if not _is_branch_unchanged(base, current, edit))
     )
 
 
-def _rests_on_same(base: SettingsTree, current: SettingsTree, edit: Edit) -> bool:
+def _is_branch_unchanged(base: SettingsTree, current: SettingsTree, edit: Edit) -> bool:
     branch = edit.branch
     if any(
         parent in base.branches and parent not in current.branches for parent in branch.ancestors
@@ -169,4 +169,4 @@
     parent: Any = document
     for key in parents:
         parent = parent.get(key, {})
-    return nearest_name(last, list(parent))
+    return did_you_mean(last, list(parent))
--- a/src/marjoramtide/settings/_envelope.py
+++ b/src/marjoramtide/settings/_envelope.py
@@ -1,4 +1,4 @@
-"""One revision of the settings tree, as it is stored and passed between nodes."""
+"""One revision of the settings tree, as it is stored and sent between nodes."""
 
 import hashlib
 import json
@@ -9,14 +9,14 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 
 FORMAT = 1
-RECENT_KEPT = 100
-MAX_BYTES = 1_000_000
-DIGEST_CHARACTERS = 16
+MAX_RECENT_CHANGES = 100
+MAX_ENVELOPE_BYTES = 1_000_000
+DIGEST_LENGTH = 16
 
 
 @attrs.frozen(slots=True)
 class RecentChange:
-    """What operators want to know of a revision, kept for the last ``RECENT_KEPT`` of them."""
+    """Summary of a change for operators, kept for the last ``MAX_RECENT_CHANGES`` revisions."""
 
     revision: int
     change: str
@@ -27,11 +27,11 @@
 
 @attrs.frozen(slots=True)
 class Envelope:
-    """A revision: its TOML text, and what places it among the others.
+    """A revision: its TOML text, and its position among the other revisions.
 
-    ``lineage`` is drawn when the first revision is written; two trees with different lineages have
-    nothing to do with each other. ``change`` is the id of the change that made this revision,
-    ``time`` is in seconds since the Unix epoch, ``parent`` the digest of the revision before.
+    ``lineage`` is a random id drawn when the first revision is written; revisions of different
+    lineages are unrelated. ``change`` is the id of the change that made this revision, ``time`` is
+    in seconds since the Unix epoch, ``parent`` the digest of the previous revision.
     """
 
     revision: int
@@ -46,28 +46,28 @@
 
     @property
     def digest(self) -> str:
-        """Return a short hash of all that defines the revision."""
+        """Return a short hash of everything that defines the revision."""
         parts = [self.lineage, str(self.revision), self.change, self.parent, self.text]
-        return hashlib.sha256("\0".join(parts).encode()).hexdigest()[:DIGEST_CHARACTERS]
+        return hashlib.sha256("\0".join(parts).encode()).hexdigest()[:DIGEST_LENGTH]
 
-    def contains(self, change: str) -> "RecentChange | None":
-        """Return the entry of a change that is part of this revision."""
+    def find_change(self, change: str) -> "RecentChange | None":
+        """Return the entry of a change if it is part of this revision."""
         return next((entry for entry in self.recent if entry.change == change), None)
 
     def encode(self) -> bytes:
-        """Return the stored form; raises ``bad-settings`` where it outgrows the store's limit."""
+        """Return the stored form; raises ``bad-settings`` if it exceeds the size limit."""
         encoded = json.dumps(attrs.asdict(self), separators=(",", ":")).encode()
-        if len(encoded) > MAX_BYTES:
+        if len(encoded) > MAX_ENVELOPE_BYTES:
             raise MarjoramtideError(
                 ErrorCode.BAD_SETTINGS,
-                f"the tree takes {len(encoded)} bytes; allowed: {MAX_BYTES}",
+                f"the tree takes {len(encoded)} bytes; allowed: {MAX_ENVELOPE_BYTES}",
                 step="settings.encode",
             )
         return encoded
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Read the stored form; raises ``bad-settings`` where it isn't one that this version knows."""
+    """Parse the stored form; raises ``bad-settings`` if this version can't read it."""
     try:
         return read_as(Envelope, read_json(data))
     except MalformedError as error:
--- a/src/marjoramtide/settings/_key_spec.py
+++ b/src/marjoramtide/settings/_key_spec.py
@@ -1,4 +1,4 @@
-"""The interface of every entry of the schema."""
+"""The interface of all entries of the schema."""
 
 from abc import ABC, abstractmethod
 from typing import Any
@@ -7,34 +7,34 @@
 
 from marjoramtide.settings._level import Level
 
-EVERYWHERE = frozenset(Level) - {Level.WORKSPACE}
-NOT_ON_ROUTES = EVERYWHERE - {Level.ROUTE}
-NODE_WIDE = frozenset({Level.ROOT, Level.REGION, Level.DATA_CENTRE})
-WORKSPACES = frozenset({Level.ROOT, Level.WORKSPACE})
+ROUTING_LEVELS = frozenset(Level) - {Level.WORKSPACE}
+LEVELS_ABOVE_ROUTE = ROUTING_LEVELS - {Level.ROUTE}
+NODE_LEVELS = frozenset({Level.ROOT, Level.REGION, Level.DATA_CENTRE})
+WORKSPACE_LEVELS = frozenset({Level.ROOT, Level.WORKSPACE})
 
 
 @attrs.frozen(slots=True, kw_only=True)
 class KeySpec(ABC):
-    """What one key means, where it may stand and which values it takes."""
+    """The meaning of a key, the levels on which it can be set, and its valid values."""
 
     name: str
     meaning: str
     group: str
-    levels: frozenset[Level] = EVERYWHERE
+    levels: frozenset[Level] = ROUTING_LEVELS
 
     @property
     @abstractmethod
     def allowed(self) -> str:
-        """Say in words which values are allowed."""
+        """Describe the valid values."""
 
     @abstractmethod
     def accepts(self, value: Any) -> bool:
-        """Tell whether ``value`` is allowed."""
+        """Tell whether ``value`` is valid."""
 
-    def shown(self, value: Any) -> str:
-        """Return a value that isn't accepted as an error names it."""
+    def describe_value(self, value: Any) -> str:
+        """Return ``value`` as error messages and edits show it."""
         return repr(value)
 
     def normalise(self, value: Any) -> Any:
-        """Return an accepted value in the type that the code reads."""
+        """Convert a valid value to the type that the code uses."""
         return value
--- a/src/marjoramtide/settings/_level.py
+++ b/src/marjoramtide/settings/_level.py
@@ -1,10 +1,10 @@
-"""How specific a branch of the settings tree is."""
+"""Levels of the settings tree."""
 
 from enum import StrEnum
 
 
 class Level(StrEnum):
-    """What a branch describes."""
+    """The kind of a branch."""
 
     ROOT = "root"
     REGION = "region"
--- a/src/marjoramtide/settings/_node_settings.py
+++ b/src/marjoramtide/settings/_node_settings.py
@@ -12,7 +12,7 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.settings._branch import NAME, NAME_RULE
 
-PLACE_KEYS = ("service", "region", "data_centre")
+NAME_KEYS = ("service", "region", "data_centre")
 ADDRESS_KEYS = ("callers", "peers", "gossip", "operators", "backend")
 OPTIONAL_ADDRESS_KEYS = ("statsd", "metrics", "readiness", "registration")
 LOG_LEVELS = ("debug", "info", "warning", "error")
@@ -22,7 +22,7 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Split ``IP:PORT``; raises ``ValueError`` for names, since nodes talk by IP number."""
+    """Split ``IP:PORT``; raises ``ValueError`` for host names: nodes use IP addresses."""
     host, _, port = text.rpartition(":")
     ipaddress.ip_address(host.strip("[]"))
     if not 0 <= int(port) <= 65535:
@@ -31,7 +31,7 @@
 
 
 def check_address(_: Any, attribute: "attrs.Attribute[Any]", value: str) -> None:
-    """Raise ``ValueError``, which names the attribute, unless a value is ``IP:PORT``."""
+    """Raise ``ValueError`` that names the attribute unless its value is ``IP:PORT``."""
     try:
         parse_address(value)
     except ValueError as error:
@@ -40,15 +40,16 @@
 
 @attrs.frozen(slots=True)
 class NodeSettings:
-    """What a node is told at start: who it is, where it listens, and the way to the store.
-
-    All addresses are ``IP:PORT`` and explicit; nothing is bound to a wildcard unless it is written
-    here. ``key`` is shared by all nodes of a fleet and authenticates peers and datagrams.
-    ``interface`` names what the node speaks with callers, backend servers and the store.
-    ``metrics`` is where counters and histograms are served, besides ``statsd``.
-    ``base_tree`` is a TOML file over which another system's configuration is laid; ``readiness``
-    and ``registration`` are the addresses for whoever runs the machines and for the backend server,
-    and ``bounds`` are figures of theirs as ``name=value``, where the interface has such.
+    """The configuration of a node at start: its identity, its listeners, and its store.
+
+    All addresses are explicit ``IP:PORT``; nothing is bound to a wildcard address unless it is
+    written here. ``key`` is shared by all nodes of a fleet and authenticates peers and datagrams.
+    ``interface`` selects the protocols towards callers, backend servers and the store. ``metrics``
+    is the address where counters and histograms are served, in addition to ``statsd``.
+    ``base_tree`` is a TOML file that another system's configuration overlays. ``readiness`` and
+    ``registration`` are the listeners for the platform that runs the machines and for the backend
+    server, and ``bounds`` are limits that the platform sets, as ``name=value``, if the interface
+    has them.
     """
 
     service: str
@@ -82,9 +83,9 @@
 
 
 def load_node_settings(path: str) -> NodeSettings:
-    """Read and check a node's TOML file.
+    """Read and validate a node's TOML file.
 
-    Raises ``bad-settings`` that names every key that is wrong, its value and what is allowed.
+    Raises ``bad-settings`` that names every invalid key, its value and what is allowed.
     """
     step = "settings.load"
     try:
@@ -97,7 +98,7 @@
 
 
 def _problems(raw: dict[str, Any]) -> Iterator[str]:
-    """Yield what is wrong with the values of a node's file."""
+    """Yield the problems of a node's file."""
     known = {field.name: field for field in attrs.fields(NodeSettings)}
     for name in raw.keys() - known.keys():
         close = difflib.get_close_matches(name, known, n=1)
@@ -112,17 +113,19 @@
 
 
 def _problem(name: str, value: Any) -> str:
-    """Return what is wrong with one value, if anything; the key itself is never printed."""
+    """Return the problem of one value, or an empty string; the shared key is never printed."""
     if name == "stop_grace_s":
-        number = isinstance(value, int | float) and not isinstance(value, bool)
-        right = number and 0 <= value <= MAX_STOP_GRACE_S
-        return "" if right else f"{name} = {value!r}; allowed: seconds from 0 to {MAX_STOP_GRACE_S}"
+        is_number = isinstance(value, int | float) and not isinstance(value, bool)
+        in_range = is_number and 0 <= value <= MAX_STOP_GRACE_S
+        return (
+            "" if in_range else f"{name} = {value!r}; allowed: seconds from 0 to {MAX_STOP_GRACE_S}"
+        )
     if name == "bounds":
-        sound = isinstance(value, list) and all(isinstance(text, str) for text in value)
-        return "" if sound else f"bounds = {value!r}; allowed: a list of strings"
+        is_string_list = isinstance(value, list) and all(isinstance(text, str) for text in value)
+        return "" if is_string_list else f"bounds = {value!r}; allowed: a list of strings"
     if not isinstance(value, str):
         return f"{name}{'' if name == 'key' else f' = {value!r}'}; allowed: a string"
-    if name in PLACE_KEYS and not NAME.fullmatch(value):
+    if name in NAME_KEYS and not NAME.fullmatch(value):
         return f"{name} = {value!r}; allowed: {NAME_RULE}"
     if name in ADDRESS_KEYS or (name in OPTIONAL_ADDRESS_KEYS and value):
         try:
--- a/src/marjoramtide/settings/_path_key.py
+++ b/src/marjoramtide/settings/_path_key.py
@@ -1,4 +1,4 @@
-"""A key whose value is the path part of a URL."""
+"""A key whose value is the path of a URL."""
 
 import re
 from typing import Any
@@ -12,7 +12,7 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class PathKey(KeySpec):
-    """A URL path, or the empty string where ``optional`` is true."""
+    """A URL path, or the empty string if ``optional`` is true."""
 
     optional: bool = False
 
--- a/src/marjoramtide/settings/_route_settings.py
+++ b/src/marjoramtide/settings/_route_settings.py
@@ -5,7 +5,7 @@
 
 @attrs.frozen(slots=True)
 class RouteSettings:
-    """Every value that serving one request depends on.
+    """All values that the handling of one request depends on.
 
     Units are in the names: ``_ms`` milliseconds, ``_s`` seconds, ``_bytes`` bytes; budgets and
     shares are fractions of 1. A route is the longest configured path prefix that matches.
@@ -33,30 +33,30 @@
     queue_limit: int = 40
     limiter: str = "adaptive"  # adaptive | fixed | knee
     min_limit: int = 0  # 0: half of the slots
-    # Cold backend servers
+    # Cold start of backend servers
     cold_start_s: float = 0.0
-    cold_per_s: float = 0.0  # 0: not known, as many as there are slots for
+    cold_per_s: float = 0.0  # 0: not known, limited by slots only
     cold_excess: float = 1.0
     cold_slack: float = 0.0
-    # Choice of a backend server
+    # Selection of a backend server
     selector: str = "predicted"
     choices: int = 3
     ejection_cap: float = 0.34
     slow_start_s: float = 10.0
-    spill_over: float = 1.0  # how much slower, in network hops, another data centre may seem
-    # Second tries
+    spill_over: float = 1.0  # penalty of another data centre, in network hops
+    # Retries and hedged requests
     max_attempts: int = 3
     max_asks: int = 0  # 0: as many as max_attempts
-    second_try_ratio: float = 0.0  # 0: not bounded for all nodes together
+    second_try_ratio: float = 0.0  # 0: no limit for all nodes together
     second_tries_per_s: float = 0.0
     retry_budget: float = 0.1
     rejection_budget: float = 0.5
     hedge_budget: float = 0.02
     hedge_quantile: float = 0.95
-    # Requests that end backend servers
-    quarantine_after: int = 2  # ends of backend servers; 0: never
+    # Quarantine of requests that crash backend servers
+    quarantine_after: int = 2  # crashes of backend servers; 0: never
     quarantine_s: float = 60.0
-    # Measuring a backend server
+    # Health checks
     health_path: str = "/health"
     measuring_per_s: float = 1.0
     measuring_share: float = 0.005
--- a/src/marjoramtide/settings/_schema.py
+++ b/src/marjoramtide/settings/_schema.py
@@ -1,4 +1,4 @@
-"""Every key of the settings tree: the one table that checks and the reference page come from."""
+"""The schema of the settings tree: validation and the reference page are derived from it."""
 
 from typing import Any
 
@@ -7,7 +7,12 @@
 from marjoramtide.settings._choice_key import ChoiceKey
 from marjoramtide.settings._digests_key import DigestsKey
 from marjoramtide.settings._hosts_key import HostsKey
-from marjoramtide.settings._key_spec import NODE_WIDE, NOT_ON_ROUTES, WORKSPACES, KeySpec
+from marjoramtide.settings._key_spec import (
+    LEVELS_ABOVE_ROUTE,
+    NODE_LEVELS,
+    WORKSPACE_LEVELS,
+    KeySpec,
+)
 from marjoramtide.settings._level import Level
 from marjoramtide.settings._number_key import NumberKey
 from marjoramtide.settings._path_key import PathKey
@@ -18,16 +23,16 @@
 REQUESTS = "Requests"
 CALLERS = "Callers and workspaces"
 CAPACITY = "Capacity of one backend server"
-COLD = "Cold backend servers"
-CHOICE = "Choice of a backend server"
-SECOND_TRIES = "Second tries"
+COLD_START = "Cold backend servers"
+SELECTION = "Choice of a backend server"
+RETRIES = "Second tries"
 QUARANTINE = "Requests that end backend servers"
-MEASURING = "Measuring a backend server"
+HEALTH_CHECKS = "Measuring a backend server"
 CLAIMS = "Claims for requests with an Idempotency-Key"
 TELEMETRY = "Telemetry"
 NODES = "Nodes"
 
-_TABLE: tuple[KeySpec, ...] = (
+_KEY_SPECS: tuple[KeySpec, ...] = (
     HostsKey(
         name="hosts",
         group=REQUESTS,
@@ -120,14 +125,14 @@
     ChoiceKey(
         name="workspace_priority",
         group=CALLERS,
-        levels=WORKSPACES,
+        levels=WORKSPACE_LEVELS,
         choices=("route", "urgent", "routine"),
         meaning="The class of the workspace's requests: as the route has it, or fixed.",
     ),
     NumberKey(
         name="workspace_rank",
         group=CALLERS,
-        levels=WORKSPACES,
+        levels=WORKSPACE_LEVELS,
         minimum=-1,
         maximum=1000,
         meaning="The rank of the workspace's requests in place of the route's; -1 leaves it to "
@@ -136,36 +141,36 @@
     NumberKey(
         name="requests_per_s",
         group=CALLERS,
-        levels=WORKSPACES,
+        levels=WORKSPACE_LEVELS,
         minimum=0,
         maximum=10_000_000,
-        fraction=True,
+        allows_fraction=True,
         meaning="Requests a second that all nodes together admit for the workspace; 0 stands for "
         "no limit.",
     ),
     NumberKey(
         name="request_burst",
         group=CALLERS,
-        levels=WORKSPACES,
+        levels=WORKSPACE_LEVELS,
         minimum=0,
         maximum=10_000_000,
-        fraction=True,
+        allows_fraction=True,
         meaning="Requests that are admitted at once besides.",
     ),
     NumberKey(
         name="revocation_s",
         group=CALLERS,
-        levels=NODE_WIDE,
+        levels=NODE_LEVELS,
         minimum=0,
         maximum=3600,
-        fraction=True,
+        allows_fraction=True,
         meaning="Seconds after which a key that was taken away opens nothing at any node, also at "
         "one that can't hear of it, which refuses all keys then; 0 leaves it to `freshness_s`.",
     ),
     NumberKey(
         name="slots",
         group=CAPACITY,
-        levels=NOT_ON_ROUTES,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=1,
         maximum=10_000,
         meaning="Requests that a backend server runs at the same time.",
@@ -173,7 +178,7 @@
     NumberKey(
         name="urgent_slots",
         group=CAPACITY,
-        levels=NOT_ON_ROUTES,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=9_999,
         meaning="Slots that only urgent requests may take; fewer than `slots`.",
@@ -181,7 +186,7 @@
     NumberKey(
         name="connections",
         group=CAPACITY,
-        levels=NOT_ON_ROUTES,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=1,
         maximum=100_000,
         meaning="Connections that a backend server takes; not fewer than `slots`.",
@@ -189,7 +194,7 @@
     NumberKey(
         name="queue_limit",
         group=CAPACITY,
-        levels=NOT_ON_ROUTES,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=100_000,
         meaning="Requests that may wait beside a backend server.",
@@ -197,7 +202,7 @@
     ChoiceKey(
         name="limiter",
         group=CAPACITY,
-        levels=NOT_ON_ROUTES,
+        levels=LEVELS_ABOVE_ROUTE,
         choices=("adaptive", "fixed", "knee"),
         meaning="Whether the number of slots in use follows the times observed, is fixed, or stays "
         "below where the backend server becomes slow because it is nearly full.",
@@ -205,7 +210,7 @@
     NumberKey(
         name="min_limit",
         group=CAPACITY,
-        levels=NOT_ON_ROUTES,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=10_000,
         meaning="What the adaptive limit never falls below, not more than `slots`; 0 stands for "
@@ -213,45 +218,45 @@
     ),
     NumberKey(
         name="cold_start_s",
-        group=COLD,
-        levels=NOT_ON_ROUTES,
+        group=COLD_START,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=3600,
-        fraction=True,
+        allows_fraction=True,
         meaning="Seconds for which a backend server is cold after its start.",
     ),
     NumberKey(
         name="cold_per_s",
-        group=COLD,
-        levels=NOT_ON_ROUTES,
+        group=COLD_START,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=100_000,
-        fraction=True,
+        allows_fraction=True,
         meaning="Requests a second that a cold backend server is given; 0 where it takes as many "
         "as it has slots for.",
     ),
     NumberKey(
         name="cold_excess",
-        group=COLD,
-        levels=NOT_ON_ROUTES,
+        group=COLD_START,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=1,
         maximum=100,
-        fraction=True,
+        allows_fraction=True,
         meaning="How many times `cold_per_s` may reach a cold backend server in any second.",
     ),
     NumberKey(
         name="cold_slack",
-        group=COLD,
-        levels=NOT_ON_ROUTES,
+        group=COLD_START,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=100_000,
-        fraction=True,
+        allows_fraction=True,
         meaning="Requests that may reach a cold backend server in any second besides.",
     ),
     ChoiceKey(
         name="selector",
-        group=CHOICE,
-        levels=NOT_ON_ROUTES,
+        group=SELECTION,
+        levels=LEVELS_ABOVE_ROUTE,
         choices=(
             "predicted",
             "forecast",
@@ -265,50 +270,50 @@
     ),
     NumberKey(
         name="choices",
-        group=CHOICE,
-        levels=NOT_ON_ROUTES,
+        group=SELECTION,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=1,
         maximum=20,
         meaning="Backend servers that are compared for each request.",
     ),
     NumberKey(
         name="ejection_cap",
-        group=CHOICE,
-        levels=NOT_ON_ROUTES,
+        group=SELECTION,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=1,
-        fraction=True,
+        allows_fraction=True,
         meaning="The largest share of a service's backend servers that may be set aside as failing "
         "or slow.",
     ),
     NumberKey(
         name="slow_start_s",
-        group=CHOICE,
-        levels=NOT_ON_ROUTES,
+        group=SELECTION,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=3600,
-        fraction=True,
+        allows_fraction=True,
         meaning="Seconds over which a started backend server is given its full share.",
     ),
     NumberKey(
         name="spill_over",
-        group=CHOICE,
-        levels=NOT_ON_ROUTES,
+        group=SELECTION,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=1000,
-        fraction=True,
+        allows_fraction=True,
         meaning="How much slower, in network hops, another data centre may seem.",
     ),
     NumberKey(
         name="max_attempts",
-        group=SECOND_TRIES,
+        group=RETRIES,
         minimum=1,
         maximum=100,
         meaning="Backend servers that are sent one request at most.",
     ),
     NumberKey(
         name="max_asks",
-        group=SECOND_TRIES,
+        group=RETRIES,
         minimum=0,
         maximum=100,
         meaning="Nodes that are asked at most for one request, those included that refused before "
@@ -316,57 +321,57 @@
     ),
     NumberKey(
         name="second_try_ratio",
-        group=SECOND_TRIES,
+        group=RETRIES,
         minimum=0,
         maximum=1,
-        fraction=True,
+        allows_fraction=True,
         meaning="What all nodes together may send to a service beyond the first try of each "
         "request, as a share of its requests; 0 where the budgets below alone count.",
     ),
     NumberKey(
         name="second_tries_per_s",
-        group=SECOND_TRIES,
+        group=RETRIES,
         minimum=0,
         maximum=100_000,
-        fraction=True,
+        allows_fraction=True,
         meaning="Second tries a second that all nodes together may send to a service besides.",
     ),
     NumberKey(
         name="retry_budget",
-        group=SECOND_TRIES,
+        group=RETRIES,
         minimum=0,
         maximum=1,
-        fraction=True,
+        allows_fraction=True,
         meaning="Retries, as a share of requests.",
     ),
     NumberKey(
         name="rejection_budget",
-        group=SECOND_TRIES,
+        group=RETRIES,
         minimum=0,
         maximum=1,
-        fraction=True,
+        allows_fraction=True,
         meaning="Second tries after a backend server refused a request, as a share of requests.",
     ),
     NumberKey(
         name="hedge_budget",
-        group=SECOND_TRIES,
+        group=RETRIES,
         minimum=0,
         maximum=1,
-        fraction=True,
+        allows_fraction=True,
         meaning="Hedged requests, as a share of requests; idempotent ones only.",
     ),
     NumberKey(
         name="hedge_quantile",
-        group=SECOND_TRIES,
+        group=RETRIES,
         minimum=0.5,
         maximum=0.9999,
-        fraction=True,
+        allows_fraction=True,
         meaning="The quantile of observed times after which a request is hedged.",
     ),
     NumberKey(
         name="quarantine_after",
         group=QUARANTINE,
-        levels=NOT_ON_ROUTES,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=16,
         meaning="Backend servers that have ended while they ran one request, and none of which has "
@@ -375,36 +380,36 @@
     NumberKey(
         name="quarantine_s",
         group=QUARANTINE,
-        levels=NOT_ON_ROUTES,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=1,
         maximum=3600,
-        fraction=True,
+        allows_fraction=True,
         meaning="Seconds for which such a request is held back at first; each further end makes it "
         "four times longer, up to an hour.",
     ),
     PathKey(
         name="health_path",
-        group=MEASURING,
-        levels=NOT_ON_ROUTES,
+        group=HEALTH_CHECKS,
+        levels=LEVELS_ABOVE_ROUTE,
         optional=True,
         meaning="The backend server's health endpoint.",
     ),
     NumberKey(
         name="measuring_per_s",
-        group=MEASURING,
-        levels=NOT_ON_ROUTES,
+        group=HEALTH_CHECKS,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=100,
-        fraction=True,
+        allows_fraction=True,
         meaning="Measuring calls a second that each backend server receives at most.",
     ),
     NumberKey(
         name="measuring_share",
-        group=MEASURING,
-        levels=NOT_ON_ROUTES,
+        group=HEALTH_CHECKS,
+        levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=100,
-        fraction=True,
+        allows_fraction=True,
         meaning="Measuring calls, as a share of the requests that a backend server can do; above 1 "
         "where it answers them without a slot.",
     ),
@@ -413,7 +418,7 @@
         group=CLAIMS,
         minimum=1,
         maximum=31_536_000,
-        fraction=True,
+        allows_fraction=True,
         meaning="Seconds for which an Idempotency-Key is remembered.",
     ),
     ChoiceKey(
@@ -428,13 +433,13 @@
         group=TELEMETRY,
         minimum=0,
         maximum=1,
-        fraction=True,
+        allows_fraction=True,
         meaning="The share of requests that are traced.",
     ),
     NumberKey(
         name="max_head_bytes",
         group=NODES,
-        levels=NODE_WIDE,
+        levels=NODE_LEVELS,
         minimum=1024,
         maximum=1 << 20,
         meaning="The largest request head, in bytes.",
@@ -442,7 +447,7 @@
     NumberKey(
         name="max_line_bytes",
         group=NODES,
-        levels=NODE_WIDE,
+        levels=NODE_LEVELS,
         minimum=1024,
         maximum=1 << 20,
         meaning="The longest request line or header field, in bytes.",
@@ -450,7 +455,7 @@
     NumberKey(
         name="head_timeout_ms",
         group=NODES,
-        levels=NODE_WIDE,
+        levels=NODE_LEVELS,
         minimum=100,
         maximum=600_000,
         meaning="Milliseconds in which a caller must send a request's head once it has begun.",
@@ -458,7 +463,7 @@
     NumberKey(
         name="idle_timeout_ms",
         group=NODES,
-        levels=NODE_WIDE,
+        levels=NODE_LEVELS,
         minimum=100,
         maximum=3_600_000,
         meaning="Milliseconds for which a caller's connection may stay without a request.",
@@ -466,24 +471,24 @@
     NumberKey(
         name="freshness_s",
         group=NODES,
-        levels=NODE_WIDE,
+        levels=NODE_LEVELS,
         minimum=2,
         maximum=60,
-        fraction=True,
+        allows_fraction=True,
         meaning="Seconds after which a node that hears neither the store nor any other node stops "
         "taking callers' requests.",
     ),
     NumberKey(
         name="watchers",
         group=NODES,
-        levels=NODE_WIDE,
+        levels=NODE_LEVELS,
         minimum=1,
         maximum=9,
         meaning="Nodes of a data centre that watch the settings in the store.",
     ),
 )
 
-SCHEMA: dict[str, KeySpec] = {spec.name: spec for spec in _TABLE}
+SCHEMA: dict[str, KeySpec] = {spec.name: spec for spec in _KEY_SPECS}
 
 NODE_DEFAULTS = {
     "max_head_bytes": 32 * 1024,
--- a/src/marjoramtide/settings/_settings_view.py
+++ b/src/marjoramtide/settings/_settings_view.py
@@ -1,4 +1,4 @@
-"""The shared settings in force, as the other parts of a node read them."""
+"""The shared settings in force, as the other packages read them."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable, Mapping
@@ -9,7 +9,7 @@
 
 
 class SettingsView(ABC):
-    """The tree in force on this node, resolved for this node's place in it."""
+    """The tree in force on this node, resolved for its locality."""
 
     @property
     @abstractmethod
@@ -19,15 +19,15 @@
     @property
     @abstractmethod
     def node_values(self) -> Mapping[str, Any]:
-        """Return the values that hold for a node as a whole, by key."""
+        """Return the values that apply to the node as a whole, by key."""
 
     @property
     @abstractmethod
     def is_current(self) -> bool:
-        """Tell whether this node may answer callers.
+        """Tell whether this node may serve callers.
 
-        False where it has been cut off from the store and every peer for longer than the bound, or
-        was frozen and has not caught up: it can't know what is in force.
+        False if it has been cut off from the store and every peer for longer than ``freshness_s``,
+        or was frozen and has not caught up: it can't know what is in force.
         """
 
     @property
@@ -38,16 +38,18 @@
     @property
     @abstractmethod
     def can_accept_keys(self) -> bool:
-        """Tell whether no key in force here can have been taken away for longer than allowed."""
+        """Tell whether a key in force here can't have been revoked ``revocation_s`` or longer
+        ago.
+        """
 
     @property
     @abstractmethod
     def can_reject_unknown_keys(self) -> bool:
-        """Tell whether a key that isn't in force here is none, but for one added just now."""
+        """Tell whether a key that isn't in force here is invalid, unless it was added just now."""
 
     @abstractmethod
     def service_for_host(self, host: str) -> str | None:
-        """Return the service that a ``Host`` header names, or ``None``."""
+        """Return the service that a ``Host`` header selects, or ``None``."""
 
     @abstractmethod
     def route(self, service: str, path: str) -> RouteSettings:
--- a/src/marjoramtide/settings/_tree_view.py
+++ b/src/marjoramtide/settings/_tree_view.py
@@ -1,4 +1,4 @@
-"""The settings tree as one node reads it."""
+"""The settings tree, resolved for one node."""
 
 from collections.abc import Callable
 from typing import Any
@@ -9,18 +9,18 @@
 from marjoramtide.settings._envelope import Envelope
 from marjoramtide.settings._freshness import Freshness
 from marjoramtide.settings._locality import Locality
-from marjoramtide.settings._resolved_values import Resolved
+from marjoramtide.settings._resolved_values import ResolvedValues
 from marjoramtide.settings._route_settings import RouteSettings
 from marjoramtide.settings._settings_view import SettingsView
 from marjoramtide.settings._tree import SettingsTree
 from marjoramtide.settings._workspaces import Workspaces, make_workspaces
 
-# Within this time a key that was added is in force everywhere, in seconds.
-KEYS_KNOWN_S = 2.0
+# An added key is in force on all nodes within this time, in seconds.
+KEY_PROPAGATION_S = 2.0
 ROUTE_KEYS = frozenset(field.name for field in attrs.fields(RouteSettings))
 
 
-def matches(prefix: str, path: str) -> bool:
+def prefix_covers(prefix: str, path: str) -> bool:
     """Tell whether a route prefix covers ``path``: whole segments only.
 
     ``/tiles`` covers ``/tiles``, ``/tiles/7`` and ``/tiles?z=7`` but not ``/tilesets``.
@@ -31,22 +31,22 @@
 
 
 class TreeSettingsView(SettingsView):
-    """Resolves the tree for this node's place once for each revision, so that reads are look-ups.
+    """Resolves the tree for the node's locality once per revision, so that reads are look-ups.
 
-    ``install`` is called by the task that owns the settings; everyone else reads.
+    Only the task that applies revisions calls ``install``; all others read.
     """
 
-    def __init__(self, place: Locality, freshness: Freshness) -> None:
-        self.place = place
+    def __init__(self, locality: Locality, freshness: Freshness) -> None:
+        self.locality = locality
         self.freshness = freshness
         self.envelope: Envelope | None = None
         self.tree = SettingsTree({})
-        self.own_values: dict[str, Any] = Resolved.of([]).values
+        self.resolved_node_values: dict[str, Any] = ResolvedValues.from_chain([]).values
         self.routes: dict[str, list[tuple[str, RouteSettings]]] = {}
         self.hosts: dict[str, str] = {}
-        self.held_workspaces = Workspaces()
-        # Services that refuse a path which no route of theirs covers.
-        self.closed: set[str] = set()
+        self.current_workspaces = Workspaces()
+        # Services that refuse a path which none of their routes covers.
+        self.strict_services: set[str] = set()
         self.listeners: list[Callable[[int], None]] = []
 
     @property
@@ -59,11 +59,11 @@
 
     @property
     def node_values(self) -> dict[str, Any]:
-        return self.own_values
+        return self.resolved_node_values
 
     @property
     def workspaces(self) -> Workspaces:
-        return self.held_workspaces
+        return self.current_workspaces
 
     @property
     def is_current(self) -> bool:
@@ -71,12 +71,15 @@
 
     @property
     def can_accept_keys(self) -> bool:
-        bound_s = self.own_values["revocation_s"]
-        return not bound_s or self.freshness.proof_age_s <= bound_s
+        max_age_s = self.resolved_node_values["revocation_s"]
+        return not max_age_s or self.freshness.proof_age_s <= max_age_s
 
     @property
     def can_reject_unknown_keys(self) -> bool:
-        return not self.own_values["revocation_s"] or self.freshness.proof_age_s <= KEYS_KNOWN_S
+        return (
+            not self.resolved_node_values["revocation_s"]
+            or self.freshness.proof_age_s <= KEY_PROPAGATION_S
+        )
 
     def service_for_host(self, host: str) -> str | None:
         service = self.hosts.get(host)
@@ -94,7 +97,7 @@
                 ErrorCode.UNKNOWN_SERVICE, f"no service {service!r}", step="settings.route"
             ) from None
         return next(
-            (settings for prefix, settings in routes if matches(prefix, path)), routes[-1][1]
+            (settings for prefix, settings in routes if prefix_covers(prefix, path)), routes[-1][1]
         )
 
     def find(self, host: str, path: str) -> RouteSettings:
@@ -107,7 +110,7 @@
                 step="settings.route",
             )
         settings = self.route(service, path)
-        if settings.route == "/" and service in self.closed:
+        if settings.route == "/" and service in self.strict_services:
             raise MarjoramtideError(
                 ErrorCode.UNKNOWN_SERVICE,
                 f"no route of {service!r} covers {path[:100]!r}",
@@ -118,13 +121,13 @@
     def on_change(self, listener: Callable[[int], None]) -> None:
         self.listeners.append(listener)
 
-    def resolved(self, service: str, path: str) -> tuple[str, Resolved]:
+    def resolved(self, service: str, path: str) -> tuple[str, ResolvedValues]:
         """Return the route prefix that covers ``path``, and its values with their origins."""
         prefix = self.route(service, path).route
-        return prefix, self.tree.resolve(self.place, service, prefix)
+        return prefix, self.tree.resolve(self.locality, service, prefix)
 
     def install(self, envelope: Envelope, tree: SettingsTree) -> None:
-        """Put a checked revision into force and tell the listeners."""
+        """Put a validated revision into force and notify the listeners."""
         routes = {
             service: [
                 (prefix, self._route_settings(tree, service, prefix))
@@ -133,19 +136,19 @@
             for service in tree.services()
         }
         self.hosts = {host: service for service in routes for host in tree.hosts(service)}
-        self.closed = {
+        self.strict_services = {
             service
             for service, found in routes.items()
-            if found[-1][1].unmatched == "refuse" and "/" not in tree.own_routes(service)
+            if found[-1][1].unmatched == "refuse" and "/" not in tree.declared_routes(service)
         }
-        self.held_workspaces = make_workspaces(tree.workspaces())
-        self.own_values = tree.resolve(self.place).values
+        self.current_workspaces = make_workspaces(tree.workspaces())
+        self.resolved_node_values = tree.resolve(self.locality).values
         self.envelope, self.tree, self.routes = envelope, tree, routes
-        self.freshness.bound_s = self.node_values["freshness_s"]
+        self.freshness.max_age_s = self.node_values["freshness_s"]
         for listener in self.listeners:
             listener(envelope.revision)
 
     def _route_settings(self, tree: SettingsTree, service: str, prefix: str) -> RouteSettings:
-        resolved = tree.resolve(self.place, service, prefix)
+        resolved = tree.resolve(self.locality, service, prefix)
         values = {key: value for key, value in resolved.values.items() if key in ROUTE_KEYS}
         return RouteSettings(**values | {"service": service, "route": prefix})
--- a/src/marjoramtide/settings/_workspace_settings.py
+++ b/src/marjoramtide/settings/_workspace_settings.py
@@ -5,12 +5,11 @@
 
 @attrs.frozen(slots=True)
 class WorkspaceSettings:
-    """What holds for the callers of one workspace, whichever route they use.
+    """The settings that apply to the callers of one workspace on every route.
 
-    ``key_digests`` are of the keys that open it. ``workspace_priority`` and ``workspace_rank`` go
-    before those of the route; ``route`` and -1 leave them to it. All nodes together admit
-    ``requests_per_s`` of its requests, and ``request_burst`` besides; 0 a second stands for no
-    limit.
+    ``key_digests`` are the digests of its API keys. ``workspace_priority`` and ``workspace_rank``
+    override those of the route; ``route`` and -1 leave them to the route. ``requests_per_s`` is the
+    limit of all nodes together, with a burst of ``request_burst``; 0 stands for no limit.
     """
 
     name: str
--- a/src/marjoramtide/settings/_workspaces.py
+++ b/src/marjoramtide/settings/_workspaces.py
@@ -1,4 +1,4 @@
-"""The workspaces of a settings tree, and whom a key belongs to."""
+"""The workspaces of a settings tree, and the owners of API keys."""
 
 import hashlib
 from collections.abc import Iterable, Iterator
@@ -8,14 +8,14 @@
 
 from marjoramtide.settings._workspace_settings import WorkspaceSettings
 
-DIGEST_KIND = "sha256:"
-FINGERPRINT_CHARACTERS = 12
+DIGEST_PREFIX = "sha256:"
+FINGERPRINT_LENGTH = 12
 WORKSPACE_KEYS = frozenset(field.name for field in attrs.fields(WorkspaceSettings)) - {"name"}
 
 
 @attrs.frozen(slots=True, repr=False)
 class Workspaces:
-    """Looks workspaces up by their names and by callers' keys."""
+    """Finds workspaces by name and by API key."""
 
     by_name: dict[str, WorkspaceSettings] = attrs.Factory(dict)
     by_digest: dict[str, WorkspaceSettings] = attrs.Factory(dict)
@@ -27,25 +27,25 @@
         return iter(self.by_name.values())
 
     def find_by_key(self, key: str) -> WorkspaceSettings | None:
-        """Return the workspace that a key opens, ``None`` where it opens none.
+        """Return the workspace that an API key belongs to, or ``None``.
 
-        By its digest: how long a look-up takes tells nothing of how much of a key was right.
+        Looked up by its digest, so that the duration reveals nothing about a partially right key.
         """
         return self.by_digest.get(key_digest(key))
 
 
 def key_digest(key: str) -> str:
-    """Return the digest by which the settings tree holds a caller's key."""
-    return DIGEST_KIND + hashlib.sha256(key.encode(errors="surrogateescape")).hexdigest()
+    """Return the digest that the settings tree stores for an API key."""
+    return DIGEST_PREFIX + hashlib.sha256(key.encode(errors="surrogateescape")).hexdigest()
 
 
 def key_fingerprint(digest: str) -> str:
-    """Return the beginning of a digest, by which operators tell keys from each other."""
-    return digest.removeprefix(DIGEST_KIND)[:FINGERPRINT_CHARACTERS]
+    """Return a prefix of a digest by which operators tell keys apart."""
+    return digest.removeprefix(DIGEST_PREFIX)[:FINGERPRINT_LENGTH]
 
 
 def make_workspaces(resolved: Iterable[tuple[str, dict[str, Any]]]) -> Workspaces:
-    """Return the workspaces by their names and resolved values."""
+    """Return the workspaces from their names and resolved values."""
     found = [
         WorkspaceSettings(name, **{key: values[key] for key in WORKSPACE_KEYS})
         for name, values in resolved
--- a/src/marjoramtide/settings/reference.py
+++ b/src/marjoramtide/settings/reference.py
@@ -1,4 +1,4 @@
-"""Writes the operators' settings reference from the schema.
+"""Generates the operators' settings reference from the schema.
 
 ``python -m marjoramtide.settings.reference > docs/operators/settings-reference.md``
 """
@@ -7,11 +7,11 @@
 from collections.abc import Iterator
 from typing import Any
 
-from marjoramtide.settings._key_spec import EVERYWHERE, KeySpec
+from marjoramtide.settings._key_spec import ROUTING_LEVELS, KeySpec
 from marjoramtide.settings._level import Level
 from marjoramtide.settings._schema import DEFAULTS, SCHEMA
 
-HEAD = """\
+PAGE_HEADER = """\
 # Settings reference
 
 Generated from the schema by `python -m marjoramtide.settings.reference`; don't edit it by hand.
@@ -28,7 +28,7 @@
 
 
 def _lines() -> Iterator[str]:
-    yield HEAD
+    yield PAGE_HEADER
     for group, specs in itertools.groupby(SCHEMA.values(), key=lambda spec: spec.group):
         yield f"## {group}"
         yield ""
@@ -42,7 +42,7 @@
     default = _toml(DEFAULTS[spec.name]) if spec.name in DEFAULTS else "the service's name"
     levels = (
         "all"
-        if spec.levels == EVERYWHERE
+        if spec.levels == ROUTING_LEVELS
         else ", ".join(level for level in Level if level in spec.levels)
     )
     return f"| `{spec.name}` | {default} | {spec.allowed} | {levels} | {spec.meaning} |"
--- a/src/marjoramtide/settings/sync/_change_outcome.py
+++ b/src/marjoramtide/settings/sync/_change_outcome.py
@@ -1,4 +1,4 @@
-"""What became of an accepted change."""
+"""The result of an accepted change."""
 
 import attrs
 
@@ -7,8 +7,8 @@
 class ChangeOutcome:
     """The revision that contains the change, and the members where it isn't in force yet.
 
-    ``rebased`` is true where others changed different branches meanwhile, ``repeated`` where the
-    change had been accepted before, ``unchanged`` where the tree says this already.
+    ``rebased`` is true if other branches were changed concurrently, ``repeated`` if the same change
+    was accepted before, ``unchanged`` if the tree has the requested content already.
     """
 
     change: str
--- a/src/marjoramtide/settings/sync/_change_request.py
+++ b/src/marjoramtide/settings/sync/_change_request.py
@@ -1,4 +1,4 @@
-"""A change that an operator asks for."""
+"""A change requested by an operator."""
 
 import uuid
 
@@ -9,11 +9,11 @@
 
 @attrs.frozen(slots=True, kw_only=True)
 class ChangeRequest:
-    """Edits, a whole new text, or an earlier revision to go back to.
+    """Edits, a complete new text, or an earlier revision to roll back to.
 
-    ``base`` is the revision that the operator looked at. ``change`` names this change for good: a
-    repetition with the same one is the same change, never a second one. ``insist`` goes on although
-    members can't be reached; ``wait_s`` is for how many seconds to wait until it is in force.
+    ``base`` is the revision that the operator saw. ``change`` is the idempotency key of the change:
+    a request that repeats it is the same change, never a second one. ``insist`` proceeds although
+    members can't be reached; ``wait_s`` is how many seconds to wait until the change is in force.
     """
 
     author: str
--- a/src/marjoramtide/settings/sync/_draft.py
+++ b/src/marjoramtide/settings/sync/_draft.py
@@ -1,4 +1,4 @@
-"""The next revision of the tree, worked out from a request."""
+"""The next revision of the tree, computed from a request."""
 
 import uuid
 
@@ -12,16 +12,16 @@
     conflicting_branches,
     edit_tree,
 )
-from marjoramtide.settings._envelope import RECENT_KEPT, Envelope, RecentChange
+from marjoramtide.settings._envelope import MAX_RECENT_CHANGES, Envelope, RecentChange
 from marjoramtide.settings._tree import parse_tree
 from marjoramtide.settings.sync._change_request import ChangeRequest
 
 
 @attrs.frozen(slots=True)
 class Draft:
-    """A checked new text and the edits that lead to it.
+    """A validated new text and the edits that lead to it.
 
-    ``rebased`` is true where it rests on a later revision than the operator looked at.
+    ``rebased`` is true if it is based on a later revision than the operator saw.
     """
 
     text: str
@@ -32,12 +32,12 @@
 def make_draft(
     request: ChangeRequest, base: Envelope | None, current: Envelope | None, target: str | None
 ) -> Draft:
-    """Work out the text that ``request`` makes of ``current``.
+    """Compute the text that results from applying ``request`` to ``current``.
 
-    ``base`` is the revision that the operator looked at, ``target`` the whole text asked for.
-    Raises ``branch-conflict`` where others changed a branch that the request touches since
-    ``base``, ``bad-settings`` or ``not-found`` where the result or an edit isn't allowed. Nothing
-    but processor time is used, so that it can run in a thread.
+    ``base`` is the revision that the operator saw, ``target`` the complete text requested, if any.
+    Raises ``branch-conflict`` where a branch that the request touches was changed since ``base``,
+    ``bad-settings`` or ``not-found`` where the result or an edit is invalid. It is pure
+    computation, so that it can run in a thread.
     """
     base_tree = parse_tree(base.text if base else "", [])
     edits = request.edits
@@ -54,7 +54,7 @@
     if parse_tree(edited) != edit_tree(current_tree, edits):
         raise MarjoramtideError(
             ErrorCode.INTERNAL,
-            "the edited text doesn't say what the edits ask for; edit the whole text instead",
+            "the edited text doesn't match the edits; replace the whole text instead",
             step="settings.edit",
         )
     return Draft(edited, edits, rebased)
@@ -75,7 +75,7 @@
         author=request.author,
         time=time,
         parent=current.digest if current else "",
-        recent=[*earlier, entry][-RECENT_KEPT:],
+        recent=[*earlier, entry][-MAX_RECENT_CHANGES:],
         text=draft.text,
     )
 
@@ -84,12 +84,12 @@
     touched: list[str], base: Envelope | None, current: Envelope | None
 ) -> MarjoramtideError:
     since = base.revision if base else 0
-    others = [
+    other_changes = [
         f"revision {entry.revision} by {entry.author}"
         for entry in (current.recent if current else [])
         if entry.revision > since and set(entry.branches) & set(touched)
     ]
-    by = f" ({', '.join(others)})" if others else ""
+    by = f" ({', '.join(other_changes)})" if other_changes else ""
     return MarjoramtideError(
         ErrorCode.BRANCH_CONFLICT,
         f"changed by others since revision {since}: {', '.join(touched)}{by}; nothing was written",
--- a/src/marjoramtide/settings/sync/_follower.py
+++ b/src/marjoramtide/settings/sync/_follower.py
@@ -1,4 +1,4 @@
-"""Keeps one node's settings level with what is in force."""
+"""Keeps one node's settings up to date with what is in force."""
 
 import asyncio
 import contextlib
@@ -13,67 +13,68 @@
 from marjoramtide.settings._freshness import Freshness
 from marjoramtide.settings._tree_view import TreeSettingsView
 from marjoramtide.settings.sync._backoff import backoff
-from marjoramtide.settings.sync._peer_settings import PeerAnswer, PeerSettings
+from marjoramtide.settings.sync._peer_settings import PeerSettingsClient, PullResponse
 from marjoramtide.settings.sync._piggybacked_state import NoPiggybackedState, PiggybackedState
-from marjoramtide.settings.sync._revision_applier import Adopter
+from marjoramtide.settings.sync._revision_applier import RevisionApplier
 from marjoramtide.settings.sync._tree_store import READ_TIMEOUT_S, StoredTree, TreeStore
 from marjoramtide.settings.sync._watchers import choose_watchers
 
-CHECKS_IN_BOUND = 4
+CHECKS_PER_MAX_AGE = 4
 CATCH_UP_PEERS = 3
-DOUBTFUL_ROUNDS = 5
+MAX_INCONCLUSIVE_ROUNDS = 5
 WATCH_WAIT_S = 30.0
 PAUSE_STEP_S = 0.2
-ROLE_CHECK_S = 1.0
-FIRST_WATCH_S = 2.0
-SHORTEST_WATCH_S = 1.0
-# How long after a change all nodes that watch but the first one leave the store alone, in seconds.
-NEXT_CHANGE_S = 0.6
-# How long the store is not asked again by a node that has just heard that there is no tree yet, in
-# seconds. Peers are asked meanwhile, and gossip tells of the first that finds one: a fleet that
-# waits for its first tree would otherwise make up to ten calls a second and node.
-ABSENT_PAUSE_S = 1.0
-# How long a node that isn't current waits for the store in one round, in seconds, and how long it
-# then leaves the store alone and goes by its peers.
-STORE_PATIENCE_S = 0.5
-# For a read that is made again soon, and that other nodes make as well, in seconds.
+WATCHER_ROLE_POLL_S = 1.0
+FIRST_WATCH_DELAY_S = 2.0
+MIN_WATCH_INTERVAL_S = 1.0
+# How long after a change every watcher but the primary one leaves the store alone, in seconds.
+SECONDARY_WATCH_PAUSE_S = 0.6
+# How long a node doesn't read the store after it found no tree there, in seconds. Peers are asked
+# meanwhile, and gossip reports the first node that finds a tree: a fleet that waits for its first
+# tree would otherwise make up to ten calls a second and node.
+ABSENT_TREE_PAUSE_S = 1.0
+# Timeout of one store read for a node that isn't current but has peers' responses, in seconds.
+# After a failed read, such a node leaves the store alone for ``STORE_FAILURE_PAUSE_S``.
+SHORT_STORE_TIMEOUT_S = 0.5
+# Timeout of a read that renews the proof, in seconds; it is soon retried, also by other nodes.
 PROOF_TIMEOUT_S = 0.6
-UNANSWERED_PAUSE_S = 2.0
-PULL_MOST_S = 5.0
-# Of the peers that have a change, so many are asked for it, one after the other, each so long after
-# the one before in seconds: an answer takes some milliseconds.
-PULLED_FROM = 3
-NEXT_PULL_S = 0.2
-# For how long a node that starts looks for others before it goes by a store that may have come back
-# from a copy, in seconds, and between two looks. They are found within 0.4 s where any are there.
-MEET_S = 1.0
-MEET_CHECK_S = 0.05
+STORE_FAILURE_PAUSE_S = 2.0
+PULL_MAX_BACKOFF_S = 5.0
+# A newer revision is requested from this many of the peers that have it, each after a delay in
+# seconds behind the previous one; a response takes some milliseconds.
+PULL_FANOUT = 3
+PULL_STAGGER_S = 0.2
+# How long a starting node looks for other nodes before it relies on a store that may have been
+# restored from a backup, and the poll interval, in seconds. Members are discovered within 0.4 s if
+# there are any.
+DISCOVERY_TIMEOUT_S = 1.0
+DISCOVERY_POLL_S = 0.05
 
 log = structlog.get_logger()
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Follower:
-    """Three loops: catch up and stay fresh, watch the store where chosen, pull what gossip names.
+    """Runs three loops: freshness checks, the store watch on watchers, pulls of gossiped revisions.
 
-    ``missed`` is true while the last round found nobody, ``peers_answered`` where any peer answered
-    it; ``doubtful_rounds`` counts rounds whose answers weren't enough to go on. ``store_answers``
-    is ``None`` on a node that had no reason to ask the store yet.
+    ``last_check_failed`` is true if the last check caught up with nobody, ``peers_responded`` if
+    any peer responded to it; ``inconclusive_rounds`` counts checks whose responses were not
+    sufficient. ``store_reachable`` is ``None`` until this node has first called the store.
     """
 
     view: TreeSettingsView
-    adopter: Adopter
+    applier: RevisionApplier
     trees: TreeStore
-    peers: PeerSettings
+    peers: PeerSettingsClient
     directory: Directory
     clock: Clock
     rng: random.Random
-    missed: bool = False
-    peers_answered: bool = False
-    doubtful_rounds: int = 0
+    last_check_failed: bool = False
+    peers_responded: bool = False
+    inconclusive_rounds: int = 0
     store_reachable: bool | None = None
-    ask_store_from: float = float("-inf")
-    gossiped: asyncio.Event = attrs.field(factory=asyncio.Event)
+    store_paused_until: float = float("-inf")
+    newer_revision_reported: asyncio.Event = attrs.field(factory=asyncio.Event)
     piggybacked_state: PiggybackedState = attrs.field(factory=NoPiggybackedState)
 
     @property
@@ -81,271 +82,271 @@
         return self.view.freshness
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow the settings until cancelled."""
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.stay_fresh())
             tasks.create_task(self.watch())
-            tasks.create_task(self.pull_gossiped())
+            tasks.create_task(self.pull_newer_revisions())
 
     def member_changed(self, member: Member) -> None:
-        """Take note of a member that reports more than this node has."""
+        """Wake the pull loop if a member reports a newer revision than this node has."""
         if member.revision > self.view.revision:
-            self.gossiped.set()
+            self.newer_revision_reported.set()
 
-    # Staying fresh
+    # Freshness checks
 
     async def stay_fresh(self) -> None:
-        """Ask someone several times within the bound; while not current, at short intervals."""
+        """Check several times within the freshness limit; while not current, at short intervals."""
         waits = backoff(self.rng)
         while True:
             if await self.check() and self.view.is_current:
                 waits = backoff(self.rng)
-                wait = self.freshness.bound_s / CHECKS_IN_BOUND
+                wait = self.freshness.max_age_s / CHECKS_PER_MAX_AGE
                 await self._pause(wait * (0.75 + self.rng.random() / 4))
                 while self.view.is_current and self.freshness.age_s < wait / 2:
-                    # Whoever renews the proof has asked meanwhile.
+                    # The proof renewer has caught up meanwhile.
                     await self._pause(wait / 2)
             else:
                 await self.clock.sleep(next(waits))
 
     async def _pause(self, seconds: float) -> None:
-        """Wait in short steps, at most until this node finds that it isn't current any more.
+        """Sleep in short steps, ending early if this node stops being current.
 
-        A node that was frozen refuses callers until it has asked again, so it asks at once. Looking
-        at the clock in each step is also what finds a freeze in which no request arrived.
+        A node that was frozen refuses callers until it has caught up, so it checks at once. Reading
+        the clock in each step also detects a freeze during which no request arrived.
         """
         until = self.clock.monotonic() + seconds
         while self.clock.monotonic() < until and self.view.is_current:
             await self.clock.sleep(PAUSE_STEP_S)
 
     async def check(self) -> bool:
-        """Make one round of questions; return whether this node has caught up by it.
+        """Run one freshness check; return whether this node has caught up by it.
 
-        While fresh, one peer is asked, several after a round that found nobody. A node that isn't
-        current (at start, cut off, frozen) asks several, those that report most first. The store is
-        asked only if no peer that is current answers, so that neither a fleet that restarts nor one
-        that lost its other region falls upon it.
+        A current node asks one peer, or several after a failed check. A node that isn't current (at
+        start, partitioned, frozen) asks several, those with the newest revisions first. The store
+        is read only if no current peer responds, so that neither a restarting fleet nor one that
+        lost its other region overloads it.
         """
         asked_at = self.clock.monotonic()
         was_current = self.view.is_current
-        count = 1 if was_current and not self.missed else CATCH_UP_PEERS
-        found = await self._ask_peers(count) or await self._ask_store()
-        if not (found or was_current):
-            found = self._goes_on()
-        self.missed = not found
-        if found:
-            self.doubtful_rounds = 0
-            self.freshness.caught_up(asked_at)
-        return found
-
-    def _goes_on(self) -> bool:
-        """Tell whether a node goes on by the answers of peers that aren't current themselves.
-
-        A node that was frozen must not be told that all is well by another that was frozen with it:
-        it would serve callers by settings replaced long ago. So such answers are not enough. But
-        where a whole region was stopped, or started while the store is down, nobody is current, and
-        waiting for someone who is would never end: after several rounds, each with other peers, the
-        node goes on with the highest revision that it was given.
+        count = 1 if was_current and not self.last_check_failed else CATCH_UP_PEERS
+        has_caught_up = await self._pull_from_peers(count) or await self._apply_stored_tree()
+        if not (has_caught_up or was_current):
+            has_caught_up = self._accepts_stale_peers()
+        self.last_check_failed = not has_caught_up
+        if has_caught_up:
+            self.inconclusive_rounds = 0
+            self.freshness.record_caught_up(asked_at)
+        return has_caught_up
+
+    def _accepts_stale_peers(self) -> bool:
+        """Tell whether to accept the responses of peers that aren't current themselves.
+
+        Normally they are not sufficient: two nodes that were frozen together would confirm each
+        other and serve callers by settings replaced long ago. But where a whole region was stopped,
+        or started while the store is down, no node is current, and waiting for one would never end.
+        So after several rounds, each with other peers, the node accepts the newest revision it has
+        seen.
         """
-        self.doubtful_rounds += self.peers_answered
-        if self.doubtful_rounds < DOUBTFUL_ROUNDS or not self.view.revision:
+        self.inconclusive_rounds += self.peers_responded
+        if self.inconclusive_rounds < MAX_INCONCLUSIVE_ROUNDS or not self.view.revision:
             return False
-        log.warning("settings.going_on", revision=self.view.revision)
+        log.warning("settings.stale_peers_accepted", revision=self.view.revision)
         return True
 
-    async def _ask_store(self) -> bool:
-        """Read the tree; return whether the answer shows what is in force."""
-        if self.clock.monotonic() < self.ask_store_from:
+    async def _apply_stored_tree(self) -> bool:
+        """Read the tree; return whether the result shows what is in force."""
+        if self.clock.monotonic() < self.store_paused_until:
             return False
         asked_at = self.clock.monotonic()
         try:
-            stored = await self._read_store()
+            stored = await self._read_tree_and_state()
         except MarjoramtideError as error:
             self.store_reachable = False
-            if self._can_go_on():
-                self._leave_store_alone(UNANSWERED_PAUSE_S)
+            if self._can_rely_on_peers():
+                self._pause_store_reads(STORE_FAILURE_PAUSE_S)
             log.info("settings.store", error=str(error), code=error.code)
             return False
         self.store_reachable = True
         if stored is None:
-            # No tree: true of a fleet that has none yet, but also what a stale read says.
-            self._leave_store_alone(ABSENT_PAUSE_S)
+            # The fleet may have no tree yet, but a stale read looks the same.
+            self._pause_store_reads(ABSENT_TREE_PAUSE_S)
             return self.view.revision == 0 and self.trees.source.may_be_absent
-        level = self.adopter.adopt(stored.envelope, "store")
-        # An answer older than what is in force here is a stale one: it proves nothing.
-        level = level and stored.envelope.revision >= self.view.revision
-        if level:
-            self._prove_by_store(stored, asked_at)
-        return level
-
-    def _can_go_on(self) -> bool:
-        """Tell whether this node isn't current, and has peers' answers to go on by."""
-        return bool(self.view.revision) and not self.view.is_current and self.peers_answered
-
-    def _store_patience_s(self) -> float:
-        """Return how long one read of the store may take.
-
-        Failure: all nodes are stopped for a moment while the store answers nothing. None of them is
-        current, each waits for the store in each of its rounds, and the fleet refuses everything
-        for as long as five calls take to time out. A node that has nothing to go on by waits.
+        is_up_to_date = self.applier.apply(stored.envelope, "store")
+        # A result older than what is in force here is stale and proves nothing.
+        is_up_to_date = is_up_to_date and stored.envelope.revision >= self.view.revision
+        if is_up_to_date:
+            self._record_store_proof(stored, asked_at)
+        return is_up_to_date
+
+    def _can_rely_on_peers(self) -> bool:
+        """Tell whether this node isn't current but has settings and responses of peers."""
+        return bool(self.view.revision) and not self.view.is_current and self.peers_responded
+
+    def _store_read_timeout_s(self) -> float:
+        """Return the timeout of one store read.
+
+        Failure: all nodes are frozen for a moment while the store hangs. None of them is current,
+        each waits for the store in each of its rounds, and the fleet refuses everything until five
+        calls have timed out. A node without settings or responses of peers uses the full timeout.
         """
-        return STORE_PATIENCE_S if self._can_go_on() else READ_TIMEOUT_S
+        return SHORT_STORE_TIMEOUT_S if self._can_rely_on_peers() else READ_TIMEOUT_S
 
-    def _leave_store_alone(self, seconds: float) -> None:
-        """Ask the store no more for about so many seconds."""
-        self.ask_store_from = self.clock.monotonic() + seconds * (0.5 + self.rng.random())
+    def _pause_store_reads(self, seconds: float) -> None:
+        """Don't read the store for about this many seconds."""
+        self.store_paused_until = self.clock.monotonic() + seconds * (0.5 + self.rng.random())
 
-    async def _read_store(self) -> StoredTree | None:
-        """Return the tree, and learn what else a node must know that isn't current.
+    async def _read_tree_and_state(self) -> StoredTree | None:
+        """Return the tree; a node that isn't current also reads the piggybacked state.
 
-        That is read at the same time, since callers wait for both.
+        Both are read concurrently, since callers wait for them.
         """
-        reading = self.trees.read(self._store_patience_s())
+        reading = self.trees.read(self._store_read_timeout_s())
         if self.view.is_current:
             return await reading
         stored, _ = await asyncio.gather(reading, self.piggybacked_state.read_store())
-        await self._hear_others()
+        await self._wait_for_peers()
         return stored
 
-    async def _hear_others(self) -> None:
-        """Hear what others have in force before this node serves by what the store holds.
+    async def _wait_for_peers(self) -> None:
+        """Learn what other nodes have in force before this node serves by what the store holds.
 
-        Failure: the store has come back from a copy that lacks the newest settings, or all of them,
-        and a node that starts serves callers by older ones than all others do. A store that tells
-        of its epochs may lack something; whoever is there knows better.
+        Failure: the store was restored from a backup that lacks the newest settings, or all of
+        them, and a starting node serves callers by older settings than all others. A store with an
+        epoch may have been restored; other nodes, if there are any, have what it lacks.
         """
         if not self.trees.store.epoch or self.view.revision:
             return
-        until = self.clock.monotonic() + MEET_S
-        while not await self._ask_peers(CATCH_UP_PEERS) and not self.peers_answered:
+        until = self.clock.monotonic() + DISCOVERY_TIMEOUT_S
+        while not await self._pull_from_peers(CATCH_UP_PEERS) and not self.peers_responded:
             if self.clock.monotonic() >= until:
                 return
-            await self.clock.sleep(MEET_CHECK_S)
+            await self.clock.sleep(DISCOVERY_POLL_S)
 
-    async def _ask_peers(self, count: int) -> bool:
-        """Pull from ``count`` peers; return whether one that is current answered."""
-        candidates = self.peers.others()
+    async def _pull_from_peers(self, count: int) -> bool:
+        """Pull from ``count`` peers; return whether a current one responded."""
+        candidates = self.peers.other_members()
         candidates.sort(key=lambda member: member.revision <= self.view.revision)
-        return await self.ask(candidates[:count])
+        return await self.pull_and_apply(candidates[:count])
 
-    async def ask_any(self, count: int) -> None:
-        """Pull from some peers, and catch up where one that is current answers."""
+    async def pull_from_any(self, count: int) -> None:
+        """Pull from ``count`` peers; a response of a current one counts as catching up."""
         asked_at = self.clock.monotonic()
-        if await self._ask_peers(count):
-            self.freshness.caught_up(asked_at)
+        if await self._pull_from_peers(count):
+            self.freshness.record_caught_up(asked_at)
 
-    async def ask(self, members: list[Member]) -> bool:
-        """Pull from these members; return whether one that is current answered."""
+    async def pull_and_apply(self, members: list[Member]) -> bool:
+        """Pull from these members and apply the result; return whether a current one responded."""
         asked_at = self.clock.monotonic()
-        news = self.piggybacked_state.local_state()
-        answers = await self.peers.pull_from(members, self.view.revision, news)
-        for answer in answers:
-            if answer.news:
-                self.piggybacked_state.merge_state(list(answer.news), answer.node)
-        level = [
-            answer
-            for answer in answers
-            if answer.envelope is None or self.adopter.adopt(answer.envelope, answer.node)
+        local_state = self.piggybacked_state.local_state()
+        responses = await self.peers.pull_from(members, self.view.revision, local_state)
+        for response in responses:
+            if response.piggybacked:
+                self.piggybacked_state.merge_state(list(response.piggybacked), response.node)
+        applied = [
+            response
+            for response in responses
+            if response.envelope is None or self.applier.apply(response.envelope, response.node)
         ]
-        self.peers_answered = bool(level)
-        for answer in level:
-            self._take_proof(answer, asked_at)
-        return any(answer.current for answer in level)
+        self.peers_responded = bool(applied)
+        for response in applied:
+            self._accept_peer_proof(response, asked_at)
+        return any(response.is_current for response in applied)
 
-    def _take_proof(self, answer: PeerAnswer, asked_at: float) -> None:
-        """Take over a peer's proof, older by all the time since it was asked.
+    def _accept_peer_proof(self, response: PullResponse, asked_at: float) -> None:
+        """Adopt a peer's proof, aged by the time since the request was sent.
 
-        Whoever has it from another states the age that it has there, so that nodes which only hear
-        each other see their proofs grow old together.
+        A node that got its proof from another reports the age it has there, so that the proofs of
+        nodes which only reach each other expire together.
         """
-        if answer.proof_age_s is not None and answer.revision == self.view.revision:
-            self.freshness.prove(asked_at - answer.proof_age_s)
+        if response.proof_age_s is not None and response.revision == self.view.revision:
+            self.freshness.record_proof(asked_at - response.proof_age_s)
 
-    async def read_proof(self) -> None:
-        """Read the store for what is in force; raises what the store does."""
+    async def renew_proof_from_store(self) -> None:
+        """Read the store to renew the proof; raises the store's errors."""
         asked_at = self.clock.monotonic()
         stored = await self.trees.read(PROOF_TIMEOUT_S)
-        if stored is None or not self.adopter.adopt(stored.envelope, "store"):
+        if stored is None or not self.applier.apply(stored.envelope, "store"):
             return
         if stored.envelope.revision >= self.view.revision:
-            self.freshness.caught_up(asked_at)
-            self._prove_by_store(stored, asked_at)
+            self.freshness.record_caught_up(asked_at)
+            self._record_store_proof(stored, asked_at)
 
-    def _prove_by_store(self, stored: StoredTree, asked_at: float) -> None:
-        """Take what was read for a proof, unless some member has more in force than the store.
+    def _record_store_proof(self, stored: StoredTree, asked_at: float) -> None:
+        """Count a store read as proof, unless some member has a newer revision in force.
 
-        Such a store has come back from a copy.
+        Such a store has been restored from a backup.
         """
         known = max((member.revision for member in self.directory.members()), default=0)
         if stored.envelope.revision >= known:
-            self.freshness.prove(asked_at)
+            self.freshness.record_proof(asked_at)
 
     # Watching the store
 
     def is_watcher(self) -> bool:
-        """Tell whether this node is one of those of its data centre that watch the store."""
-        return self.directory.self_member.node in self.watchers_here()
+        """Tell whether this node is one of the watchers of its data centre."""
+        return self.directory.self_member.node in self.local_watchers()
 
-    def watchers_here(self) -> list[str]:
-        """Return the nodes of this data centre that watch the store, in their order."""
+    def local_watchers(self) -> list[str]:
+        """Return the nodes of this data centre that watch the store, by priority."""
         here = self.directory.self_member
-        neighbours = [
+        local_members = [
             member
             for member in self.directory.members()
             if (member.region, member.data_centre) == (here.region, here.data_centre)
         ]
-        return choose_watchers(neighbours, self.view.node_values["watchers"])
+        return choose_watchers(local_members, self.view.node_values["watchers"])
 
-    def is_first_watcher(self) -> bool:
-        """Tell whether this node is the first of all that watch, as far as it knows them."""
+    def is_primary_watcher(self) -> bool:
+        """Tell whether this node is the primary watcher among the members it knows."""
         members = self.directory.members()
         return choose_watchers(members, 1) == [self.directory.self_member.node]
 
     async def watch(self) -> None:
-        """Watch the store while chosen; the choice is looked at again after each watch.
+        """Watch the store while chosen as a watcher; the choice is made again after each watch.
 
-        A node that has just started knows no others yet and would choose itself. It waits first,
-        so that a fleet that restarts doesn't hold a watch for each of its nodes.
+        A node that has just started knows no others yet and would choose itself. It waits first, so
+        that a restarting fleet doesn't hold a watch for each of its nodes.
         """
-        await self.clock.sleep(FIRST_WATCH_S)
+        await self.clock.sleep(FIRST_WATCH_DELAY_S)
         waits = backoff(self.rng)
         while True:
             if not self.is_watcher():
-                await self.clock.sleep(ROLE_CHECK_S)
+                await self.clock.sleep(WATCHER_ROLE_POLL_S)
                 continue
             try:
                 began = self.clock.monotonic()
                 has_changed = await self.watch_once()
                 waits = backoff(self.rng)
                 if has_changed:
-                    await self._let_first_go_on()
+                    await self._defer_to_primary()
                     continue
                 # A store that ends watches at once must not be read in a tight loop.
                 spent = self.clock.monotonic() - began
-                await self.clock.sleep(max(0.0, SHORTEST_WATCH_S - spent))
+                await self.clock.sleep(max(0.0, MIN_WATCH_INTERVAL_S - spent))
             except MarjoramtideError as error:
                 self.store_reachable = False
                 log.info("settings.watch", error=str(error), code=error.code)
                 await self.clock.sleep(next(waits))
 
     async def watch_once(self) -> bool:
-        """Read the tree, then take changes as they come until the watch ends.
+        """Read the tree, then apply changes from one watch until it ends.
 
-        That is with the first change where another node goes first; returns whether it was so.
-        Each watch begins with a read, so that what a watch missed without saying so (a lapsed one,
-        or a gap in its history) is missed for one watch at most.
+        On all but the primary watcher it ends with the first change; returns whether that was so.
+        Each watch begins with a read, so that a change that a watch missed silently (a dead watch,
+        or a gap in its history) is missed for the duration of one watch at most.
         """
         stored, since = await self.trees.read_with_position()
         self.store_reachable = True
         if stored:
-            self.adopter.adopt(stored.envelope, "store")
-        await self._write_lost(stored)
+            self.applier.apply(stored.envelope, "store")
+        await self._restore_lost_tree(stored)
         source = self.trees.source
         try:
             async for event in self.trees.store.watch(source.key, since, wait=WATCH_WAIT_S):
                 if event.stored and event.key == source.key:
-                    self.adopter.adopt(source.decode(event.stored), "watch")
-                    if not self.is_first_watcher():
+                    self.applier.apply(source.decode(event.stored), "watch")
+                    if not self.is_primary_watcher():
                         return True
         except MarjoramtideError as error:
             if error.code is not ErrorCode.NOT_FOUND:
@@ -353,66 +354,66 @@
             log.info("settings.watch_gap", since=since)
         return False
 
-    async def _let_first_go_on(self) -> None:
-        """Leave what changes next to the first node that watches; it tells the others by gossip.
+    async def _defer_to_primary(self) -> None:
+        """Leave further changes to the primary watcher, which spreads them by gossip.
 
-        Changes come in quick succession at times, and each would cost a call of every node that
-        watches. Where the first one does not reach the store, the others are later by this pause.
-        The next watch begins with what the store holds by then. Failure: the first node was lost
-        amid 18 changes; the others went on with their watches where they were, took what had queued
-        up one by one, each with a pause, and served callers by versions of seconds before.
+        Changes sometimes come in quick succession, and each would cost a call of every watcher. If
+        the primary one doesn't reach the store, the others lag by this pause; their next watch
+        begins with the store's current content. Failure: the primary watcher was lost amid 18
+        changes; the others resumed their watches at their old positions, took the queued changes
+        one by one with a pause after each, and served callers by versions that were seconds old.
         """
-        await self.clock.sleep(NEXT_CHANGE_S * self.rng.uniform(0.75, 1.25))
+        await self.clock.sleep(SECONDARY_WATCH_PAUSE_S * self.rng.uniform(0.75, 1.25))
 
-    async def _write_lost(self, stored: StoredTree | None) -> None:
-        """Write the tree in force again where the store has come back from a copy without it.
+    async def _restore_lost_tree(self, stored: StoredTree | None) -> None:
+        """Write the tree in force again if the store was restored from a backup without it.
 
-        Failure: a change that operators were told is in force everywhere is gone with the next
-        restart of the fleet. The version that was read is the condition: where the answer was only
-        an old one, the write fails.
+        Failure: a change that operators were told is in force everywhere is lost with the next
+        restart of the fleet. The write is conditional on the version that was read, so it fails if
+        that read was merely stale.
         """
-        mine = self.view.envelope
-        if mine is None or not self.trees.source.is_writable:
+        current = self.view.envelope
+        if current is None or not self.trees.source.is_writable:
             return
-        if stored is None or stored.envelope.lineage == mine.lineage:
+        if stored is None or stored.envelope.lineage == current.lineage:
             held = stored.envelope.revision if stored else 0
-            if held < mine.revision:
-                log.warning("settings.written_again", revision=mine.revision, held=held)
-                await self.trees.write_again(stored, mine)
+            if held < current.revision:
+                log.warning("settings.tree_restored", revision=current.revision, held=held)
+                await self.trees.overwrite_older(stored, current)
 
-    # Pulling what gossip names
+    # Pulling gossiped revisions
 
-    async def pull_gossiped(self) -> None:
-        """Pull from a peer whenever gossip tells of a higher revision."""
+    async def pull_newer_revisions(self) -> None:
+        """Pull from a peer whenever gossip reports a newer revision."""
         while True:
-            await self.gossiped.wait()
-            self.gossiped.clear()
-            for wait in backoff(self.rng, most_s=PULL_MOST_S):
-                ahead = self.peers.ahead(self.view.revision)
+            await self.newer_revision_reported.wait()
+            self.newer_revision_reported.clear()
+            for wait in backoff(self.rng, max_s=PULL_MAX_BACKOFF_S):
+                ahead = self.peers.members_ahead(self.view.revision)
                 if not ahead:
                     break
-                await self._pull_change(ahead[:PULLED_FROM])
-                if self.peers.ahead(self.view.revision):
+                await self._pull_from_first(ahead[:PULL_FANOUT])
+                if self.peers.members_ahead(self.view.revision):
                     await self.clock.sleep(wait)
 
-    async def _pull_change(self, ahead: list[Member]) -> None:
-        """Take a change from whichever of these peers answers first.
+    async def _pull_from_first(self, ahead: list[Member]) -> None:
+        """Apply the newer revision from whichever of these peers responds first.
 
-        Failure: the one that is asked has a link full of bodies, or its instance is slow. Whoever
-        waits for its answer alone runs requests by the version before for a second more.
+        Failure: the one peer that was asked had a link full of bodies, or its instance was slow,
+        and the node that waited for it ran requests by the previous revision for a second longer.
         """
-        have = self.view.revision
+        own_revision = self.view.revision
 
-        async def pull(place: int, member: Member) -> PeerAnswer:
-            await self.clock.sleep(place * NEXT_PULL_S)
-            return await self.peers.pull(member, have, [])
+        async def pull(position: int, member: Member) -> PullResponse:
+            await self.clock.sleep(position * PULL_STAGGER_S)
+            return await self.peers.pull(member, own_revision, [])
 
         pulls = [asyncio.create_task(pull(*each)) for each in enumerate(ahead)]
         try:
-            for answered in asyncio.as_completed(pulls):
+            for completed in asyncio.as_completed(pulls):
                 with contextlib.suppress(MarjoramtideError):
-                    answer = await answered
-                    if answer.envelope and self.adopter.adopt(answer.envelope, answer.node):
+                    response = await completed
+                    if response.envelope and self.applier.apply(response.envelope, response.node):
                         return
         finally:
             for each in pulls:
--- a/src/marjoramtide/settings/sync/_own_tree_source.py
+++ b/src/marjoramtide/settings/sync/_own_tree_source.py
@@ -1,4 +1,4 @@
-"""The tree as our own command line writes it."""
+"""The tree as marjoramtide's own command line writes it."""
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.settings._envelope import Envelope, decode_envelope
@@ -9,7 +9,7 @@
 
 
 class OwnTreeSource(TreeSource):
-    """An envelope under one key."""
+    """Reads the tree from an envelope under one key."""
 
     key = TREE_KEY
     may_be_absent = True
--- a/src/marjoramtide/settings/sync/_piggybacked_state.py
+++ b/src/marjoramtide/settings/sync/_piggybacked_state.py
@@ -1,27 +1,27 @@
-"""What a node learns together with the settings."""
+"""State that nodes exchange together with the settings."""
 
 from abc import ABC, abstractmethod
 from typing import Any
 
 
 class PiggybackedState(ABC):
-    """News that a node must have before it serves, and that travels with answers on settings."""
+    """State that a node must have before it serves, exchanged in pull requests and responses."""
 
     @abstractmethod
     async def read_store(self) -> None:
-        """Read the news in the store; raises ``MarjoramtideError`` as the store does."""
+        """Read the state from the store; raises ``MarjoramtideError`` as the store does."""
 
     @abstractmethod
     def local_state(self) -> list[Any]:
-        """Return the news as it travels."""
+        """Return this node's state in its serialized form."""
 
     @abstractmethod
     def merge_state(self, fields: list[Any], source: str) -> None:
-        """Take in the news of another node; what can't be read changes nothing."""
+        """Merge the state of another node; unreadable state is ignored."""
 
 
 class NoPiggybackedState(PiggybackedState):
-    """For a node that has none to learn."""
+    """Used on a node that has no such state."""
 
     async def read_store(self) -> None:
         return None
--- a/src/marjoramtide/settings/sync/_progress.py
+++ b/src/marjoramtide/settings/sync/_progress.py
@@ -1,4 +1,4 @@
-"""What an operator is told while a change is made."""
+"""Progress reports to the operator while a change is made."""
 
 from collections.abc import Callable
 
@@ -7,11 +7,11 @@
 
 @attrs.frozen(slots=True)
 class Progress:
-    """A step under way, in words for people, with the nodes it concerns."""
+    """A step in progress: a human-readable message and the nodes it concerns."""
 
     step: str
     message: str
     nodes: tuple[str, ...] = ()
 
 
-Report = Callable[[Progress], None]
+ProgressCallback = Callable[[Progress], None]
--- a/src/marjoramtide/settings/sync/_proof_renewer.py
+++ b/src/marjoramtide/settings/sync/_proof_renewer.py
@@ -1,4 +1,4 @@
-"""Keeps a node's proof of its settings young where keys are taken away within a bounded time."""
+"""Renews the proof that a node's settings are the newest, so that revoked keys expire in time."""
 
 import random
 
@@ -12,122 +12,124 @@
 
 log = structlog.get_logger()
 
-STEP_S = 0.1
-# How soon a node notices that settings need proofs, in seconds.
-NOT_NEEDED_S = 0.5
-# For how long a store that is away is left alone, as a share of the bound.
+MIN_CHECK_INTERVAL_S = 0.1
+# Poll interval while the settings need no proofs, in seconds.
+DISABLED_POLL_S = 0.5
+# How long an unavailable store is left alone, as a share of the maximum age.
 STORE_PAUSE_SHARE = 0.15
-# Ages of the proof, in seconds, and as shares of the bound where that is short: from when on the
-# first watcher reads the store, the others ask it, and a node asks whoever may help.
-READ_AT_S, READ_AT_SHARE = 0.9, 0.18
-ASKED_AT_S, ASKED_AT_SHARE = 1.6, 0.32
-HELP_AT_S, HELP_AT_SHARE = 2.2, 0.44
+# Ages of the proof from which the primary watcher reads the store, other nodes ask the watchers,
+# and a node falls back to any peer; in seconds, and as shares of the maximum age for short ones.
+PRIMARY_READ_AGE_S, PRIMARY_READ_AGE_SHARE = 0.9, 0.18
+ASK_WATCHERS_AGE_S, ASK_WATCHERS_AGE_SHARE = 1.6, 0.32
+FALLBACK_AGE_S, FALLBACK_AGE_SHARE = 2.2, 0.44
 # How much older the proof of each further watcher must be before it reads the store itself.
-NEXT_READER_S = 0.3
-# How long a node waits that nobody has helped, in seconds.
-PAUSE_S = 0.4
-# How often all nodes together read the store where no watcher has helped them.
-READS_PER_S = 8.0
-HELPERS = 3
+WATCHER_STAGGER_S = 0.3
+# Pause after a renewal that failed, in seconds.
+FAILED_RENEWAL_PAUSE_S = 0.4
+# Store reads a second of all nodes together where no watcher could renew the proof.
+FALLBACK_READS_PER_S = 8.0
+FALLBACK_PEERS = 3
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Prover:
-    """Renews the proof: watchers of the store read it, the others ask the watchers.
+class ProofRenewer:
+    """Renews the proof: watchers read the store, other nodes ask the watchers.
 
-    ``read_again_at`` is when this node may read the store though it is no watcher.
+    ``next_fallback_read_at`` is when this node may read the store although it is no watcher.
     """
 
     view: TreeSettingsView
     follower: Follower
     clock: Clock
     rng: random.Random
-    read_again_at: float = 0.0
+    next_fallback_read_at: float = 0.0
 
     @property
-    def bound_s(self) -> float:
-        """Return how old a proof may become; 0 where none is needed."""
+    def max_proof_age_s(self) -> float:
+        """Return the maximum age of a proof in seconds; 0 if none is needed."""
         return float(self.view.node_values["revocation_s"])
 
     async def run(self) -> None:
         """Renew the proof whenever it is due, until cancelled."""
         self.view.on_change(self.settings_changed)
         while True:
-            await self.clock.sleep(self._pause_s())
-            if self.bound_s and self.view.revision and not await self.renew():
-                await self.clock.sleep(PAUSE_S * self.rng.uniform(0.75, 1.25))
+            await self.clock.sleep(self._next_check_s())
+            if self.max_proof_age_s and self.view.revision and not await self.renew():
+                await self.clock.sleep(FAILED_RENEWAL_PAUSE_S * self.rng.uniform(0.75, 1.25))
 
     def settings_changed(self, revision: int) -> None:
-        """Look for a store that is away as often as a short bound needs it.
+        """Have the store client probe an unavailable store often enough for a short maximum age.
 
-        Failure: the store is back, and keys are refused for as long as every watcher leaves it
-        alone, since all of them have called it in vain for a while.
+        Failure: the store is available again, but keys are refused until the pauses of all watchers
+        end, since their calls had failed for a while.
         """
-        if self.bound_s:
-            self.follower.trees.store.ask_again_within(STORE_PAUSE_SHARE * self.bound_s)
-
-    def _pause_s(self) -> float:
-        """Return after how many seconds to look whether the proof is due."""
-        if not self.bound_s:
-            return NOT_NEEDED_S
-        due_s = min(READ_AT_S, READ_AT_SHARE * self.bound_s)
+        if self.max_proof_age_s:
+            self.follower.trees.store.ask_again_within(STORE_PAUSE_SHARE * self.max_proof_age_s)
+
+    def _next_check_s(self) -> float:
+        """Return the delay until the next check whether the proof is due."""
+        if not self.max_proof_age_s:
+            return DISABLED_POLL_S
+        due_s = min(PRIMARY_READ_AGE_S, PRIMARY_READ_AGE_SHARE * self.max_proof_age_s)
         left_s = due_s - self.view.freshness.proof_age_s
-        return max(STEP_S, left_s) * self.rng.uniform(0.75, 1.25)
+        return max(MIN_CHECK_INTERVAL_S, left_s) * self.rng.uniform(0.75, 1.25)
 
     async def renew(self) -> bool:
-        """Ask for a younger proof where that is due; return whether it is young enough then."""
-        if self._reads_store():
-            await self._read_store()
-        if not self._is_older(ASKED_AT_S, ASKED_AT_SHARE):
+        """Renew the proof if it is due; return whether it is recent enough afterwards."""
+        if self._is_turn_to_read():
+            await self._renew_from_store()
+        if not self._is_older(ASK_WATCHERS_AGE_S, ASK_WATCHERS_AGE_SHARE):
             return True
         await self._ask_watchers()
-        if self._is_older(HELP_AT_S, HELP_AT_SHARE):
-            await self.follower.ask_any(HELPERS)
-        if self._is_older(HELP_AT_S, HELP_AT_SHARE) and self._may_read_store():
-            await self._read_store()
-        return not self._is_older(ASKED_AT_S, ASKED_AT_SHARE)
+        if self._is_older(FALLBACK_AGE_S, FALLBACK_AGE_SHARE):
+            await self.follower.pull_from_any(FALLBACK_PEERS)
+        if self._is_older(FALLBACK_AGE_S, FALLBACK_AGE_SHARE) and self._take_fallback_read():
+            await self._renew_from_store()
+        return not self._is_older(ASK_WATCHERS_AGE_S, ASK_WATCHERS_AGE_SHARE)
 
     def _is_older(self, seconds: float, share: float) -> bool:
-        """Tell whether the proof is older than that, or than a share of the bound."""
-        return self.view.freshness.proof_age_s >= min(seconds, share * self.bound_s)
+        """Tell whether the proof is older than this, or than this share of the maximum age."""
+        return self.view.freshness.proof_age_s >= min(seconds, share * self.max_proof_age_s)
 
-    def _reads_store(self) -> bool:
-        """Tell whether this node is the watcher whose turn it is."""
-        watchers = self.follower.watchers_here()
+    def _is_turn_to_read(self) -> bool:
+        """Tell whether this node is the watcher that is to read the store now."""
+        watchers = self.follower.local_watchers()
         own = self.follower.directory.self_member.node
         if own not in watchers:
             return False
-        place = watchers.index(own)
-        if place == 0:
-            return self._is_older(READ_AT_S, READ_AT_SHARE)
-        return self._is_older(ASKED_AT_S + NEXT_READER_S * place, HELP_AT_SHARE)
+        position = watchers.index(own)
+        if position == 0:
+            return self._is_older(PRIMARY_READ_AGE_S, PRIMARY_READ_AGE_SHARE)
+        return self._is_older(ASK_WATCHERS_AGE_S + WATCHER_STAGGER_S * position, FALLBACK_AGE_SHARE)
 
-    def _may_read_store(self) -> bool:
-        """Tell whether this node may read the store, at a rate that all nodes share.
+    def _take_fallback_read(self) -> bool:
+        """Tell whether this node may read the store now, at a rate shared by all nodes.
 
-        Failure: the store is away, and each of two hundred nodes asks it several times a second,
-        which keeps it from coming back.
+        Failure: the store is unavailable, and each of two hundred nodes calls it several times a
+        second, which keeps it from recovering.
         """
         now = self.clock.monotonic()
-        if now < self.read_again_at:
+        if now < self.next_fallback_read_at:
             return False
         nodes = len(self.follower.directory.members())
-        self.read_again_at = now + max(1.0, nodes / READS_PER_S) * self.rng.uniform(0.5, 1.5)
+        self.next_fallback_read_at = now + max(
+            1.0, nodes / FALLBACK_READS_PER_S
+        ) * self.rng.uniform(0.5, 1.5)
         return True
 
     async def _ask_watchers(self) -> None:
-        """Ask the watchers of this data centre in turn until the proof is young enough."""
+        """Pull from the watchers of this data centre in turn until the proof is recent enough."""
         own = self.follower.directory.self_member.node
-        for node in self.follower.watchers_here():
+        for node in self.follower.local_watchers():
             member = self.follower.directory.find(node)
             if member is None or node == own:
                 continue
-            await self.follower.ask([member])
-            if not self._is_older(ASKED_AT_S, ASKED_AT_SHARE):
+            await self.follower.pull_and_apply([member])
+            if not self._is_older(ASK_WATCHERS_AGE_S, ASK_WATCHERS_AGE_SHARE):
                 return
 
-    async def _read_store(self) -> None:
+    async def _renew_from_store(self) -> None:
         try:
-            await self.follower.read_proof()
+            await self.follower.renew_proof_from_store()
         except MarjoramtideError as error:
             log.info("settings.proof", code=error.code, reason=error.message)
--- a/src/marjoramtide/settings/sync/_revision_applier.py
+++ b/src/marjoramtide/settings/sync/_revision_applier.py
@@ -1,4 +1,4 @@
-"""Puts revisions into force on one node."""
+"""Applies revisions of the settings tree on one node."""
 
 import attrs
 import structlog
@@ -13,38 +13,39 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Adopter:
-    """The only way by which a revision comes into force."""
+class RevisionApplier:
+    """The only component that puts a revision into force."""
 
     view: TreeSettingsView
     directory: Directory
 
-    def adopt(self, envelope: Envelope, source: str) -> bool:
-        """Put a revision into force if it is higher; return whether this node is level with it.
+    def apply(self, envelope: Envelope, source: str) -> bool:
+        """Apply a revision if it is newer; return whether this node is then at least that far.
 
-        Revisions reach a node on several ways at once, and some are old: a stale read of the store,
-        a peer that was frozen, a watch event that waited in a socket. Applying one would take back
-        an accepted change. The revision in the envelope orders them, whatever way they come, so
-        that "higher only" is enough; the lineage keeps a tree that was begun anew, whose revisions
-        count from 1 again, from being compared with this one at all.
+        Revisions reach a node over several channels at once, and some are old: a stale read of the
+        store, a peer that was frozen, a watch event that was queued in a socket. Applying one would
+        undo an accepted change. The revision number in the envelope orders them independently of
+        the channel, so "newer only" is sufficient. A tree that was created from scratch counts from
+        1 again; its different lineage keeps it from being compared with this one.
         """
-        mine = self.view.envelope
-        if mine and envelope.lineage != mine.lineage:
+        current = self.view.envelope
+        if current and envelope.lineage != current.lineage:
             log.error(
                 "settings.lineage",
                 source=source,
-                mine=mine.lineage,
+                current=current.lineage,
                 found=envelope.lineage,
                 revision=envelope.revision,
             )
             return False
-        if mine and envelope.revision <= mine.revision:
+        if current and envelope.revision <= current.revision:
             return True
         try:
-            tree = parse_tree(envelope.text, [self.view.place])
+            tree = parse_tree(envelope.text, [self.view.locality])
         except MarjoramtideError as error:
-            # Serving on by the older revision would be serving by settings that are no longer in
-            # force. The node says so and stops taking callers' requests until it can read one.
+            # Requests must not be served by settings that are no longer in force. The node reports
+            # the unreadable revision and stops taking callers' requests until it can read a
+            # revision.
             self.view.freshness.unreadable_revision = envelope.revision
             log.error(
                 "settings.unreadable",
--- a/src/marjoramtide/settings/sync/_service.py
+++ b/src/marjoramtide/settings/sync/_service.py
@@ -1,4 +1,4 @@
-"""The settings part of a node."""
+"""The settings service of a node."""
 
 import asyncio
 import random
@@ -17,7 +17,7 @@
 from marjoramtide.settings._node_settings import NodeSettings
 from marjoramtide.settings._tree import check_value
 from marjoramtide.settings._tree_view import TreeSettingsView
-from marjoramtide.settings.sync._change_coordinator import ChangeMaker
+from marjoramtide.settings.sync._change_coordinator import ChangeCoordinator
 from marjoramtide.settings.sync._change_outcome import ChangeOutcome
 from marjoramtide.settings.sync._change_request import ChangeRequest
 from marjoramtide.settings.sync._follower import Follower
@@ -25,25 +25,25 @@
 from marjoramtide.settings.sync._peer_settings import (
     PREPARE,
     PULL,
-    PeerSettings,
-    encode_answer,
-    read_news,
+    PeerSettingsClient,
+    encode_pull_response,
+    read_piggybacked_state,
 )
-from marjoramtide.settings.sync._progress import Progress, Report
-from marjoramtide.settings.sync._proof_renewer import Prover
-from marjoramtide.settings.sync._revision_applier import Adopter
+from marjoramtide.settings.sync._progress import Progress, ProgressCallback
+from marjoramtide.settings.sync._proof_renewer import ProofRenewer
+from marjoramtide.settings.sync._revision_applier import RevisionApplier
 from marjoramtide.settings.sync._tree_source import TreeSource
 from marjoramtide.settings.sync._tree_store import TreeStore
 from marjoramtide.store import ObjectStore
 
 
-def _silent(_: Progress) -> None:
-    """Report to nobody."""
+def _ignore_progress(_: Progress) -> None:
+    """Discard progress reports."""
 
 
 @attrs.define(slots=True, eq=False, repr=False)
 class SettingsService:
-    """Keeps the view level with the tree in force, answers other nodes, and makes changes.
+    """Keeps the view up to date with the tree, answers other nodes, and makes changes.
 
     For example::
 
@@ -54,28 +54,31 @@
 
     view: TreeSettingsView
     follower: Follower
-    prover: Prover
-    change_coordinator: ChangeMaker
-    own_freeze: FreezeDetector | None = None
-    changes: set["asyncio.Task[ChangeOutcome]"] = attrs.field(factory=set)
+    proof_renewer: ProofRenewer
+    change_coordinator: ChangeCoordinator
+    own_freeze_detector: FreezeDetector | None = None
+    running_changes: set["asyncio.Task[ChangeOutcome]"] = attrs.field(factory=set)
 
     async def run(self) -> None:
         """Follow the tree until cancelled."""
         try:
             async with asyncio.TaskGroup() as tasks:
                 tasks.create_task(self.follower.run())
-                tasks.create_task(self.prover.run())
-                if self.own_freeze:
-                    tasks.create_task(self.own_freeze.run())
+                tasks.create_task(self.proof_renewer.run())
+                if self.own_freeze_detector:
+                    tasks.create_task(self.own_freeze_detector.run())
         finally:
-            for change in self.changes:
+            for change in self.running_changes:
                 change.cancel()
 
-    async def change(self, request: ChangeRequest, report: Report = _silent) -> ChangeOutcome:
-        """Make a change; see ``ChangeMaker.make`` for what it raises.
+    async def change(
+        self, request: ChangeRequest, report: ProgressCallback = _ignore_progress
+    ) -> ChangeOutcome:
+        """Make a change; see ``ChangeCoordinator.make_change`` for what it raises.
 
-        The change goes on when the operator's connection breaks: given up half-way, a write whose
-        answer was lost would stay unresolved. Asking again with the same change id tells its end.
+        The change continues if the operator's connection breaks: cancelled half-way, a write whose
+        response was lost would never be resolved. A request with the same change id returns its
+        result.
         """
         if not self.follower.trees.source.is_writable:
             raise MarjoramtideError(
@@ -83,13 +86,13 @@
                 "the settings of this fleet are written by another system; change them there",
                 step="settings.change",
             )
-        task = asyncio.create_task(self.change_coordinator.make(request, report))
-        self.changes.add(task)
-        task.add_done_callback(self.changes.discard)
+        task = asyncio.create_task(self.change_coordinator.make_change(request, report))
+        self.running_changes.add(task)
+        task.add_done_callback(self.running_changes.discard)
         return await asyncio.shield(task)
 
     async def envelope_at(self, revision: int) -> Envelope:
-        """Return an earlier revision; raises ``not-found`` or what the store raises."""
+        """Return an earlier revision; raises ``not-found`` or the store's errors."""
         found = await self.change_coordinator.envelope_at(revision)
         if found is None:
             raise MarjoramtideError(
@@ -98,29 +101,29 @@
         return found
 
     async def answer_pull(self, body: dict[str, Any]) -> dict[str, Any]:
-        """Answer another node that asks what is in force here."""
+        """Answer a pull of another node with what is in force here."""
         node = self.change_coordinator.directory.self_member.node
-        have = int(body.get("have", 0))
-        if heard := read_news(body):
-            self.follower.piggybacked_state.merge_state(list(heard), "a node that asked")
-        news = self.follower.piggybacked_state.local_state()
-        return encode_answer(
+        requester_revision = int(body.get("have", 0))
+        if state := read_piggybacked_state(body):
+            self.follower.piggybacked_state.merge_state(list(state), "pull request")
+        local_state = self.follower.piggybacked_state.local_state()
+        return encode_pull_response(
             node,
             self.view.envelope,
-            have,
+            requester_revision,
             self.view.is_current,
-            news,
+            local_state,
             self.view.freshness.proof_age_s,
         )
 
     async def answer_prepare(self, body: dict[str, Any]) -> dict[str, Any]:
-        """Answer whether this node can read a change, with the reason where it can't."""
+        """Answer whether this node can apply a change, with the reason if it can't."""
         envelope = self.view.envelope
         if envelope and body.get("lineage") != envelope.lineage:
             return {"reason": f"follows another tree, of lineage {envelope.lineage}"}
         if envelope and envelope.revision > int(body.get("base", envelope.revision)):
-            # A store that came back from a copy lacks what was accepted since. Made on top of the
-            # copy, the change would get the number of a revision that is in force here.
+            # A store that was restored from a backup lacks the newest changes. A change on top of
+            # the backup would reuse the number of a revision that is in force here.
             return {"reason": f"has revision {envelope.revision} in force, newer than the store's"}
         try:
             edits = parse_edits(body.get("edits"))
@@ -145,21 +148,23 @@
     freeze: FreezeDetector | None = None,
     source: TreeSource | None = None,
 ) -> SettingsService:
-    """Return the settings part of the node that ``node_settings`` describes.
+    """Return the settings service of the node that ``node_settings`` describes.
 
-    A ``freeze`` that is handed in is run by its owner; without one the service runs its own.
+    The owner of a given ``freeze`` detector runs it; without one the service runs its own.
     """
     rng = rng or random.Random()
     detector = freeze or FreezeDetector(clock)
-    place = Locality(node_settings.region, node_settings.data_centre)
-    view = TreeSettingsView(place, Freshness(clock, detector))
+    locality = Locality(node_settings.region, node_settings.data_centre)
+    view = TreeSettingsView(locality, Freshness(clock, detector))
     trees = TreeStore(store, clock, rng, source or OwnTreeSource())
-    peers = PeerSettings(directory, control_channel, rng)
-    adopter = Adopter(view, directory)
-    follower = Follower(view, adopter, trees, peers, directory, clock, rng)
-    coordinator = ChangeMaker(view, adopter, trees, peers, directory, clock)
-    prover = Prover(view, follower, clock, rng)
-    service = SettingsService(view, follower, prover, coordinator, None if freeze else detector)
+    peers = PeerSettingsClient(directory, control_channel, rng)
+    applier = RevisionApplier(view, directory)
+    follower = Follower(view, applier, trees, peers, directory, clock, rng)
+    coordinator = ChangeCoordinator(view, applier, trees, peers, directory, clock)
+    proof_renewer = ProofRenewer(view, follower, clock, rng)
+    service = SettingsService(
+        view, follower, proof_renewer, coordinator, None if freeze else detector
+    )
     control_channel.answer(PULL, service.answer_pull)
     control_channel.answer(PREPARE, service.answer_prepare)
     directory.on_change(follower.member_changed)
--- a/src/marjoramtide/settings/sync/_tree_source.py
+++ b/src/marjoramtide/settings/sync/_tree_source.py
@@ -1,4 +1,4 @@
-"""Where in the store the tree in force lies, and in which form."""
+"""Where in the store the tree in force is kept, and in which format."""
 
 from abc import ABC, abstractmethod
 
@@ -7,24 +7,24 @@
 
 
 class TreeSource(ABC):
-    """Names the object that holds the tree, and reads it."""
+    """Names the store object that holds the tree, and decodes it."""
 
     key: str
     """The key of the object."""
 
     may_be_absent: bool
-    """Whether a fleet without any tree is a sound one, whose nodes know all there is to know."""
+    """Whether a fleet without a tree is valid, so that its nodes are current without one."""
 
     is_writable: bool
-    """Whether nodes write the object; else they only follow what another system writes there."""
+    """Whether nodes write the object; otherwise another system does, and they only follow it."""
 
     @abstractmethod
     async def read(self, store: ObjectStore, timeout: float) -> tuple[StoredObject | None, int]:
-        """Return the object, and the store's version from which a watch goes on.
+        """Return the object, and the store version from which to watch for changes.
 
-        Raises what the store does, ``store-unavailable`` after ``timeout`` seconds among it.
+        Raises the store's errors, among them ``store-unavailable`` after ``timeout`` seconds.
         """
 
     @abstractmethod
     def decode(self, stored: StoredObject) -> Envelope:
-        """Return the revision that an object holds; raises ``bad-settings``."""
+        """Return the revision in an object; raises ``bad-settings``."""
