--- a/features/settings/changes.feature
+++ b/features/settings/changes.feature
@@ -18,8 +18,8 @@
     And the tree was written 2 times
 
   Scenario: Operators who race on the same branch: exactly one wins
-    Both operators look at revision 1. The second one's write comes while the first one's is on
-    its way. Without the check the loser would overwrite a decision that he never saw.
+    Both operators see revision 1. The second write arrives while the first is in flight. Without
+    the check it would overwrite a change that its author never saw.
     When operators at a and b race to set slots to 11 and 12 in /services/mapdesk and /services/mapdesk
     Then one of the racing changes is accepted and the other is a branch-conflict
     And every settings node has the slots of the accepted change
@@ -32,15 +32,15 @@
     And every settings node has slots 12 for licencehub
 
   Scenario: An edit inside a branch that another operator removed is a conflict
-    The operator adds a route to a service that is removed meanwhile. Made on top, his edit would
-    bring the removed service back, with nothing in it but his one route.
+    The operator adds a route to a service that is removed concurrently. Rebased, the edit would
+    bring the removed service back with nothing in it but this route.
     Given another operator at b removes /services/mapdesk just before the next write
     When an operator at a creates /services/mapdesk/routes/tiles
     Then the change is rejected with branch-conflict
-    And the settings service mapdesk is gone everywhere
+    And the settings service mapdesk is removed on every node
 
   Scenario: The write is applied but its answer is lost
-    The store applies the write and the answer never comes. The operator must be told "accepted".
+    The store applies the write and the response is lost. The operator must be told "accepted".
     Given the store's next tree writes end as applied
     When an operator at a sets slots = 11 in /services/mapdesk
     Then the change is accepted as revision 2
@@ -53,20 +53,20 @@
     And the tree was written 2 times
 
   Scenario: The write is applied late, after a read that did not show it
-    The write's answer is lost, and the store still holds the old tree when it is read. Only then
-    is the write applied. Told "rejected" on the strength of that read, the operator would see a
-    change come into force that was called off.
+    The response is lost, and a read still shows the old tree. Only then is the write applied. If
+    that read were taken as a rejection, a change would come into force that was reported as
+    rejected.
     Given the store's next tree writes end as late
     When an operator at a sets slots = 11 in /services/mapdesk
-    Then what the operator was told is what the tree says
+    Then the outcome reported matches the tree
 
   Scenario Outline: The answer is lost while another operator changes the same branch
-    The fate of the first write is open when the other one's write comes. Whichever the store
-    applied first, each operator is told what became of his own.
+    The result of the first write is unknown when the other operator's write arrives. Whichever the
+    store applied first, each operator is told the result of his own change.
     Given the store's next tree writes end as <fate>
     And another operator at b sets slots to 12 in /services/mapdesk once the next write is lost
     When an operator at a sets slots = 11 in /services/mapdesk
-    Then what both operators were told is what the tree says
+    Then both outcomes reported match the tree
     And the tree was written 2 times
 
     Examples:
@@ -76,8 +76,8 @@
       | late    |
 
   Scenario: The answer is lost, and the read that follows is stale
-    The write was applied. The repetition conflicts with it, and the store then answers reads with
-    the tree from before. Taken at its word, it would make "accepted" into "rejected".
+    The write was applied, and its retry conflicts with it. The store then returns the old tree to
+    reads; relying on one of these would report "rejected" for an accepted change.
     Given the store's next tree writes end as applied
     And reads are stale 3 times after the next tree write
     When an operator at a sets slots = 11 in /services/mapdesk
@@ -85,13 +85,13 @@
     And the tree was written 2 times
 
   Scenario Outline: A write whose answer is lost is resolved once the store is back
-    The store goes down right after the write. Until it is back nobody can know what became of it.
+    The store goes down right after the write. Until it is back nobody can know the result.
     Given the store's next tree writes end as <fate>
     And the store goes down with the next tree write and is back after 40 s
     When an operator at a sets slots = 11 in /services/mapdesk
     Then the change is accepted as revision 2
     And the tree was written 2 times
-    And the operator was told that it is not known yet
+    And the operator was told that the result is not known yet
 
     Examples:
       | fate    |
@@ -99,23 +99,23 @@
       | lost    |
 
   Scenario: The operator's connection breaks while the change is in doubt
-    Nobody waits for the answer any more. Given up half-way, the change would never be resolved.
+    Nobody waits for the result any more. If the change were cancelled, it would never be resolved.
     Given the store's next tree writes end as lost
     And the store goes down with the next tree write and is back after 10 s
-    When an operator at a sets slots = 11 in /services/mapdesk, hanging up in 5 s
+    When an operator at a sets slots = 11 in /services/mapdesk and disconnects after 5 s
     And 20 s pass for the settings nodes
     Then every settings node has slots 11 for mapdesk
 
   Scenario: The same change asked for twice is made once
-    The connection to the node breaks, and the operator asks again with the change id he was given.
+    The connection to the node breaks, and the operator repeats the request with the same change id.
     When an operator at a sets slots = 11 in /services/mapdesk
     And the operator asks for the same change again at b
     Then the change is accepted as revision 2
     And the tree was written 2 times
 
   Scenario: A change that begins with a stale read is made on top of the newest tree
-    The service was created a moment ago. To a stale read it doesn't exist, and an edit checked
-    against that would be rejected for a conflict that there isn't.
+    The service was created a moment ago and doesn't exist in a stale read. An edit checked against
+    that read would be rejected for a conflict that doesn't exist.
     Given an operator at a creates /services/desk
     And the store answers the next 2 reads with its first state
     When an operator at a sets slots = 12 in /services/desk
@@ -129,8 +129,8 @@
     And the tree was written 1 times
 
   Scenario: The asked node is cut off from the others, but not from the store
-    It holds all others for dead, would ask nobody, and would tell "in force everywhere" while they
-    go on by the old settings.
+    The node considers all others dead, would ask nobody, and would report "in force everywhere"
+    while the others go on by the old settings.
     Given the settings node c is cut off from its peers
     And the settings node a is found dead
     And the settings node b is found dead
@@ -159,7 +159,7 @@
 
   Scenario: Going back is a new revision with the earlier text
     When an operator at a sets slots = 11 in /services/mapdesk
-    And an operator at b goes back to revision 1
+    And an operator at b rolls back to revision 1
     Then the change is accepted as revision 3
     And every settings node has slots 10 for mapdesk
     And the tree text contains "slots = 10 # measured in March"
--- a/features/settings/following.feature
+++ b/features/settings/following.feature
@@ -16,12 +16,12 @@
     And all of that took less than 1 s
 
   Scenario: A change is pulled from another node where the one that was asked is slow to answer
-    # Callers meet routes of seconds before at some nodes. Two nodes have the change and say so, but
-    # answers of one wait behind large bodies on its link; whoever happens to ask that one waits a
-    # second until it asks another.
+    # Nodes serve by routes that were replaced seconds ago. Two nodes have the change and report it,
+    # but responses of one are delayed by large bodies on its link. A node that pulls from that one
+    # waits a second until it tries another.
     Given settings nodes d, e, f, g, h join
     And no settings nodes but a, f reach the store
-    And answers of settings nodes a take too long
+    And requests to settings nodes a time out
     When the tree in the store is changed 6 times, once each 3 s
     Then each of them was in force at a, b, c, d, e, f, g, h within 0.7 s
 
@@ -35,25 +35,25 @@
     Then within 2 s a watching settings node has slots 11
 
   Scenario: A stale read after a change does not take it back
-    The store answers reads with an old state for a while, to watchers and to nodes that start.
+    The store returns stale objects for a while, to watchers and to nodes that start.
     When an operator at a sets slots = 11 in /services/mapdesk
     And the store answers the next 20 reads with its first state
     And the watches of the settings end
     Then every settings node has slots 11 for mapdesk
-    And no settings node went back
+    And no settings node reverted to an older revision
 
   Scenario: The store's history has a gap
-    The watch ends with "not found": the store no longer has what came after the version asked for.
+    The watch ends with "not found": the store no longer has the events after the given version.
     Given no settings gossip
-    And the settings store's watches are deaf
+    And the settings store's watches deliver nothing
     When the tree in the store is changed to slots 11
     And the settings store's watches report a gap
     Then within 2 s a watching settings node has slots 11
 
   Scenario: A watch lapses without a word
-    The store drops the watch but leaves the connection open, so that no change arrives any more.
+    The store drops the watch but leaves the connection open, so no further change arrives.
     Given no settings gossip
-    And the settings store's watches are deaf
+    And the settings store's watches deliver nothing
     When the tree in the store is changed to slots 11
     Then within 35 s a watching settings node has slots 11
 
@@ -63,10 +63,10 @@
     Then within 5 s the settings node d is current, and then has slots 10
 
   Scenario: A node that restarts while the store is stale does not go back
-    The new process knows nothing, and the store gives it a tree that was replaced. Taken for what
-    is in force, callers of this node would be back at the old settings until gossip arrives.
+    The new process has no settings, and the store returns a tree that was replaced. If the node
+    accepted it, its callers would be served by old settings until gossip arrives.
     When an operator at a sets slots = 11 in /services/mapdesk
-    And the settings store's watches are deaf
+    And the settings store's watches deliver nothing
     And the settings node c is replaced while gossip is late and 10 reads are stale
     Then within 8 s the settings node c is current, and then has slots 11
 
@@ -77,34 +77,34 @@
     Then the settings node d is not current
 
   Scenario: The tree in the store was begun anew
-    Someone deleted the object, and a new tree counts from 1 again. Its revisions say nothing of
-    those in force; a node that compared them would go to settings that nobody approved for it.
+    The object was deleted, and a new tree counts from 1 again. Its revisions can't be compared with
+    those in force; a node that did so would apply settings that nobody approved for it.
     When the tree in the store is replaced by revision 9 of another lineage with slots 12
     And the watches of the settings end
     Then every settings node has slots 10 for mapdesk
 
   Scenario: An old frozen node returns
-    It sleeps through a change. When it wakes, its view and the answers in its sockets are old; it
-    must refuse callers at its first look, catch up, and take nobody back to the old revision.
+    The node is frozen during a change. When it resumes, its view and the responses in its sockets
+    are outdated. It must refuse callers at once, catch up, and not spread the old revision.
     Given the settings node c is frozen
     And 20 s pass for the settings nodes
     When an operator at a insists on slots = 11 in /services/mapdesk
-    And the settings node c wakes
+    And the settings node c resumes
     Then the settings node c is not current
     And within 5 s the settings node c is current, and then has slots 11
     And every settings node has slots 11 for mapdesk
 
   Scenario: A short freeze, within the bound
-    The node sleeps less than the bound, but long enough for a change to pass it by. It refuses
-    callers from its first look at the clock until it has asked again.
+    The freeze is shorter than the freshness limit, but long enough to miss a change. The node
+    refuses callers from its first reading of the clock until it has caught up.
     Given the settings node c is frozen for 0.6 s right after it asked
-    When the settings node c wakes
+    When the settings node c resumes
     Then the settings node c is not current
     And in 0.4 s the settings node c is current
 
   Scenario: A member is found dead that is only cut off
-    Its callers still reach it, and for some seconds it takes itself for current and serves by the
-    old settings. The operator is told "in force" only when it has stopped.
+    Callers still reach the node, which considers itself current for some seconds and serves by the
+    old settings. The change is reported as in force only once it has stopped.
     Given the settings node c is cut off from all
     And the settings node c is found dead
     When an operator at a sets slots = 11 in /services/mapdesk and waits 30 s
@@ -112,18 +112,18 @@
     And the change is in force and the settings node c is not current
 
   Scenario: A frozen node finds an answer from before in its socket
-    It freezes between a question and the answer. Dated by its arrival, the old answer would pass
-    for news: the node would serve callers by settings replaced minutes ago.
+    The node freezes between a request and its response. Timestamped at its arrival, the old
+    response would count as current: the node would serve callers by settings replaced minutes ago.
     Given the settings node c is frozen while a peer's answer is on its way
     And 20 s pass for the settings nodes
     When an operator at a insists on slots = 11 in /services/mapdesk
-    And the settings node c wakes cut off from all
+    And the settings node c resumes cut off from all
     Then the settings node c is not current
     When 1 s pass for the settings nodes
     Then the settings node c is not current
 
   Scenario: An operator's node freezes between reading and writing
-    It wakes after others changed the same branch, and acts as though it still were its turn.
+    The node resumes after the same branch was changed by others, and continues with its write.
     Given the settings node a freezes just before its next tree write, until b changed the branch
     When an operator at a sets slots = 11 in /services/mapdesk
     Then the change is rejected with branch-conflict
@@ -133,16 +133,17 @@
     Given the settings node a is frozen
     When an operator at b insists on slots = 11 in /services/mapdesk
     And an operator at b insists on slots = 12 in /services/mapdesk
-    And the settings node a wakes
+    And the settings node a resumes
     And 5 s pass for the settings nodes
     Then every settings node has slots 12 for mapdesk
-    And no settings node went back
+    And no settings node reverted to an older revision
 
   Scenario: The node that goes first in quick changes loses the store amid them
-    The others leave the store to it for a moment after each change. They went on with their watches
-    where they were, one change a second, and served by versions that were replaced seconds before.
+    The other watchers defer to the primary watcher for a moment after each change. They resumed
+    their watches at the old position, processed one change a second, and served by versions that
+    were replaced seconds before.
     Given settings nodes d, e, f join
-    When 12 changes follow each other by 0.2 s, and the node that goes first loses the store after 4
+    When 12 changes follow each other by 0.2 s, and the primary watcher loses the store after 4
     Then no settings node was ever 1.5 s behind
 
   Scenario: One node cut off from all stops taking callers' requests within the bound
@@ -151,7 +152,7 @@
     Then the settings node c is current
     When 3 s pass for the settings nodes
     Then the settings node c is not current
-    When the settings node c is reached again
+    When the settings node c is reconnected
     Then within 5 s the settings node c is current, and then has slots 10
 
   Scenario: A node cut off from the others only still reads the store
@@ -160,8 +161,8 @@
     Then the settings node c is current
 
   Scenario: A region cut off from the store and the other region keeps serving
-    Most members stop answering at once and are not known to be dead yet. Asked at random, they
-    would use up the bound before a neighbour is asked.
+    Most members stop responding at once and are not yet known to be dead. Asked in random order,
+    they would use up the freshness limit before a member of the own region is asked.
     Given settings nodes d, e, f, g, h, i, j, k join
     And settings nodes x, y join in region east
     And region east is cut off from the store and the rest
@@ -181,35 +182,36 @@
     Given the settings store is down
     And every settings node is frozen
     And 60 s pass for the settings nodes
-    When every settings node wakes
+    When every settings node resumes
     Then no settings node is current
     And within 10 s every settings node is current
 
   Scenario: A whole region that was frozen at once does not wait for a store that answers nothing
-    Each of its rounds would take as long as a call takes to time out, and callers get nothing.
+    Each freshness check would take as long as a store call takes to time out, and callers are
+    refused meanwhile.
     Given the settings store hangs
     And every settings node is frozen
     And 60 s pass for the settings nodes
-    When every settings node wakes
+    When every settings node resumes
     Then no settings node is current
     And within 3 s every settings node is current
 
   Scenario: Many nodes were frozen at once, and ask each other when they wake
-    None of them knows of the change. One that takes another's word for it would serve callers by
-    the old settings.
+    None of them knows of the change. A node that accepts the confirmation of another one would
+    serve callers by the old settings.
     Given settings nodes d, e, f, g, h, i, j, k join
     And the settings nodes c, d, e, f, g, h, i, j, k are frozen
     And 20 s pass for the settings nodes
     And an operator at a insists on slots = 11 in /services/mapdesk
     And the settings store is down
     And no settings gossip
-    When every settings node wakes
-    Then for 10 s no settings node is current but by slots 11
+    When every settings node resumes
+    Then for 10 s no settings node is current unless it has slots 11
     And every settings node is current
 
   Scenario: A node that can't read the revision in force stops taking callers' requests
-    A newer program wrote a key that this one doesn't know. Serving on would be by settings that
-    are no longer in force.
+    A newer version wrote a key that this one doesn't know. Continuing would mean serving by
+    settings that are no longer in force.
     When the tree in the store is changed to "[services.mapdesk]\nnew_key = 1"
     And 9 s pass for the settings nodes
     Then no settings node is current
@@ -218,18 +220,20 @@
     And every settings node has slots 12 for mapdesk
 
   Scenario: Nodes write the tree again that the store has lost
-    # The store comes back from a copy made before the last change, of which the operator was told that
-    # it is in force everywhere. Were it left so, the next start of the fleet would take it back.
+    # The store is restored from a backup made before the last change, which the operator was told
+    # is in force everywhere. If it were left so, the next restart of the fleet would revert the
+    # change.
     When an operator at a sets slots = 11 in /services/mapdesk
-    And the settings store comes back from a copy of its first state
+    And the settings store is restored from a backup of its first state
     And the watches of the settings end
     Then the tree in the store has slots 11
     And every settings node has slots 11 for mapdesk
-    And no settings node went back
+    And no settings node reverted to an older revision
 
   Scenario: A change on top of a copy is refused while a member has newer settings in force
-    # A node that was away when the last change was made is asked for the next one, and the store has
-    # lost it. Made on top of the copy, the new change would get the number of the one in force elsewhere.
+    # A node that was away when the last change was made is asked for the next one, and the store
+    # has lost the last one. On top of the backup, the new change would get a revision number that
+    # is already in force elsewhere.
     When an operator at a sets slots = 11 in /services/mapdesk
-    Then the settings node b can't take a change on top of revision 1, "newer than the store's"
-    And the settings node b can take a change on top of revision 2
+    Then the settings node b rejects a change on top of revision 1, "newer than the store's"
+    And the settings node b accepts a change on top of revision 2
--- a/features/settings_fakes.py
+++ b/features/settings_fakes.py
@@ -1,4 +1,4 @@
-"""A fleet of settings services in one loop: time by hand, a store and a network that can fail."""
+"""A fleet of settings services in one event loop, with a manual clock and injected faults."""
 
 import asyncio
 import contextlib
@@ -21,7 +21,7 @@
 
 
 class InlineExecutor(ThreadPoolExecutor):
-    """Runs what is handed to it at once, so that the order of events never varies."""
+    """Runs submitted work synchronously, so that the order of events is deterministic."""
 
     def submit(self, fn: Callable[..., Any], /, *args: Any, **kwargs: Any) -> "Future[Any]":
         done: Future[Any] = Future()
@@ -32,12 +32,12 @@
         return done
 
 
-def failure(code: ErrorCode) -> MarjoramtideError:
+def store_error(code: ErrorCode) -> MarjoramtideError:
     return MarjoramtideError(code, "fake", step="fake")
 
 
 class FakeStore:
-    """Objects with versions; ``faults`` holds, for each of the next tree writes, what happens."""
+    """Versioned objects; ``write_faults`` holds the fault of each of the next tree writes."""
 
     def __init__(self) -> None:
         self.objects: dict[str, StoredObject] = {}
@@ -45,19 +45,19 @@
         self.version = 0
         self.down = False
         self.hangs = False
-        self.faults: list[str] = []
-        self.late: Callable[[], None] | None = None
-        self.stale: dict[str, StoredObject] | None = None
+        self.write_faults: list[str] = []
+        self.delayed_write: Callable[[], None] | None = None
+        self.stale_objects: dict[str, StoredObject] | None = None
         self.stale_reads = 0
-        self.deaf = False
-        self.gap = False
+        self.drops_events = False
+        self.reports_gap = False
         self.tree_writes = 0
         self.before_write: Callable[[], Coroutine[Any, Any, None]] | None = None
 
     def apply(self, key: str, value: bytes, version: int | None) -> StoredObject:
         held = self.objects.get(key)
         if (held.version if held else None) != version:
-            raise failure(ErrorCode.VERSION_CONFLICT)
+            raise store_error(ErrorCode.VERSION_CONFLICT)
         self.version += 1
         stored = StoredObject(key, value, self.version)
         self.objects[key] = stored
@@ -67,11 +67,11 @@
 
     def read(self, key: str) -> StoredObject:
         objects = self.objects
-        if self.stale is not None and self.stale_reads:
+        if self.stale_objects is not None and self.stale_reads:
             self.stale_reads -= 1
-            objects = self.stale
+            objects = self.stale_objects
         if key not in objects:
-            raise failure(ErrorCode.NOT_FOUND)
+            raise store_error(ErrorCode.NOT_FOUND)
         return objects[key]
 
     async def write(self, key: str, value: bytes, version: int | None) -> StoredObject:
@@ -80,23 +80,23 @@
         if self.before_write:
             hook, self.before_write = self.before_write, None
             await hook()
-        fault = self.faults.pop(0) if self.faults else ""
+        fault = self.write_faults.pop(0) if self.write_faults else ""
         if fault == "applied":
             self.apply(key, value, version)
         if fault == "late":
-            self.late = lambda: self.late_write(key, value, version)
+            self.delayed_write = lambda: self.apply_delayed(key, value, version)
         if fault:
-            raise failure(ErrorCode.STORE_AMBIGUOUS)
+            raise store_error(ErrorCode.STORE_AMBIGUOUS)
         return self.apply(key, value, version)
 
-    def late_write(self, key: str, value: bytes, version: int | None) -> None:
+    def apply_delayed(self, key: str, value: bytes, version: int | None) -> None:
         with contextlib.suppress(MarjoramtideError):
             self.apply(key, value, version)
 
 
 @attrs.define(eq=False)
 class Node:
-    """One node: whether it runs, what it reaches, and what it knows of the others."""
+    """One node: whether it runs, what it reaches, and which members it knows."""
 
     member: Member
     fleet: "Fleet"
@@ -104,19 +104,23 @@
     handlers: dict[str, Any] = attrs.field(factory=dict)
     listeners: list[Callable[[Member], None]] = attrs.field(factory=list)
     running: asyncio.Event = attrs.field(factory=asyncio.Event)
-    store_cut: bool = False
-    freezes_on_answer: bool = False
-    is_slow: bool = False
-    group: int = 0
+    is_store_cut_off: bool = False
+    freezes_on_response: bool = False
+    times_out: bool = False
+    partition: int = 0
     service: SettingsService = attrs.field(init=False)
     task: "asyncio.Task[None] | None" = None
 
     @property
-    def frozen(self) -> bool:
+    def is_frozen(self) -> bool:
         return not self.running.is_set()
 
     def reaches(self, other: "Node") -> bool:
-        return self.group == other.group and not (self.frozen or other.frozen) and bool(other.task)
+        return (
+            self.partition == other.partition
+            and not (self.is_frozen or other.is_frozen)
+            and bool(other.task)
+        )
 
 
 @attrs.define
@@ -142,14 +146,14 @@
 
     def store(self) -> FakeStore:
         store = self.node.fleet.store
-        if store.down or self.node.store_cut:
-            raise failure(ErrorCode.STORE_UNAVAILABLE)
+        if store.down or self.node.is_store_cut_off:
+            raise store_error(ErrorCode.STORE_UNAVAILABLE)
         return store
 
     async def finish(self, store: FakeStore) -> None:
-        if store.late:
-            late, store.late = store.late, None
-            late()
+        if store.delayed_write:
+            delayed_write, store.delayed_write = store.delayed_write, None
+            delayed_write()
         await asyncio.sleep(0)
         await self.node.running.wait()
 
@@ -157,11 +161,11 @@
         store = self.store()
         if store.hangs:
             await self.node.fleet.clock.sleep(timeout)
-            raise failure(ErrorCode.STORE_UNAVAILABLE)
+            raise store_error(ErrorCode.STORE_UNAVAILABLE)
         found = store.read(key) if key in store.objects else None
         await self.finish(store)
         if found is None:
-            raise failure(ErrorCode.NOT_FOUND)
+            raise store_error(ErrorCode.NOT_FOUND)
         return found
 
     async def list(self, prefix: str, *, timeout: float = 2.0) -> Listing:
@@ -193,10 +197,10 @@
         until = clock.monotonic() + wait
         while clock.monotonic() < until:
             store = self.store()
-            if store.gap:
-                store.gap = False
-                raise failure(ErrorCode.NOT_FOUND)
-            for event in [] if store.deaf else list(store.events):
+            if store.reports_gap:
+                store.reports_gap = False
+                raise store_error(ErrorCode.NOT_FOUND)
+            for event in [] if store.drops_events else list(store.events):
                 if event.version > since and event.key.startswith(prefix):
                     since = event.version
                     await self.node.running.wait()
@@ -221,12 +225,12 @@
         small: bool = False,
     ) -> dict[str, Any]:
         other = self.node.fleet.nodes[address]
-        if not self.node.reaches(other) or other.is_slow:
+        if not self.node.reaches(other) or other.times_out:
             await NodeClock(self.node).sleep(timeout)
             raise MarjoramtideError(ErrorCode.PEER_LOST, "no answer", step="ask", peer=address)
         answer: dict[str, Any] = await other.handlers[subject](body)
-        if self.node.freezes_on_answer:
-            self.node.freezes_on_answer = False
+        if self.node.freezes_on_response:
+            self.node.freezes_on_response = False
             self.node.running.clear()
         await asyncio.sleep(0)
         await self.node.running.wait()
@@ -267,7 +271,7 @@
 
 
 class Fleet:
-    """Nodes that share a store; ``gossips`` is false where members learn nothing of each other."""
+    """Nodes that share a store; ``gossips`` is false if members learn nothing of each other."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -278,7 +282,7 @@
         self.gossips = True
 
     def add(self, name: str, region: str = "west", data_centre: str = "north") -> Node:
-        """Add a node; one with the name of an earlier one takes its place as a new process."""
+        """Add a node; one with the name of an earlier node replaces it as a new process."""
         member = Member(name, "mapdesk", region, data_centre, name, name, name, MemberState.READY)
         node = Node(member, self)
         node.running.set()
@@ -321,31 +325,33 @@
                     for listener in node.listeners:
                         listener(other.member)
 
-    async def move(self, seconds: float) -> None:
-        """Let time pass in small steps, with the tasks run dry after each."""
+    async def advance(self, seconds: float) -> None:
+        """Advance the clock in small steps and run all ready tasks after each."""
         for _ in range(round(seconds / STEP_S)):
             self.gossip()
             self.clock.advance(STEP_S)
             for _ in range(30):
                 await asyncio.sleep(0)
 
-    def run(self, work: Coroutine[Any, Any, Any], most_s: float = 120.0) -> Any:
-        """Run ``work`` while time passes; raises ``TimeoutError`` after ``most_s`` of it."""
+    def run(self, work: Coroutine[Any, Any, Any], max_s: float = 120.0) -> Any:
+        """Run ``work`` while the clock advances; raises ``TimeoutError`` after ``max_s``
+        seconds.
+        """
 
         async def drive() -> Any:
             task = asyncio.ensure_future(work)
-            until = self.clock.monotonic() + most_s
+            until = self.clock.monotonic() + max_s
             while not task.done():
                 if self.clock.monotonic() > until:
                     task.cancel()
-                    raise TimeoutError(f"not done after {most_s} s")
-                await self.move(STEP_S)
+                    raise TimeoutError(f"not done after {max_s} s")
+                await self.advance(STEP_S)
             return task.result()
 
         return self.loop.run_until_complete(drive())
 
     def pass_time(self, seconds: float) -> None:
-        self.loop.run_until_complete(self.move(seconds))
+        self.loop.run_until_complete(self.advance(seconds))
 
     def close(self) -> None:
         for node in list(self.nodes.values()):
--- a/features/settings_scenarios.py
+++ b/features/settings_scenarios.py
@@ -1,4 +1,4 @@
-"""What steps on settings of a fleet share: its nodes, their changes, and time that passes."""
+"""Helpers for steps on the settings of a fleet: nodes, changes, and the passing of time."""
 
 from typing import Any
 
@@ -13,7 +13,7 @@
 WAIT_S = 5.0
 
 
-def ask(
+def make_request(
     context: Any, node: Node, *edits: Edit, wait_s: float = WAIT_S, **options: Any
 ) -> ChangeRequest:
     return ChangeRequest(
@@ -29,11 +29,11 @@
     return Edit(EditAction.SET, branch, key, value)
 
 
-async def outcome_of(context: Any, node: Node, request: ChangeRequest) -> Any:
-    """Return what the operator is told: an outcome or an error."""
+async def submit_change(context: Any, node: Node, request: ChangeRequest) -> Any:
+    """Return the result that the operator gets: an outcome or an error."""
 
     def report(progress: Progress) -> None:
-        context.reports.append(progress.message)
+        context.progress_messages.append(progress.message)
 
     try:
         return await node.service.change(request, report)
@@ -41,15 +41,15 @@
         return error
 
 
-def change(context: Any, name: str, *edits: Edit, **options: Any) -> None:
+def make_change(context: Any, name: str, *edits: Edit, **options: Any) -> None:
     node = context.fleet.nodes[name]
-    context.request = ask(context, node, *edits, **options)
+    context.request = make_request(context, node, *edits, **options)
     began = context.fleet.clock.monotonic()
-    context.told = context.fleet.run(outcome_of(context, node, context.request))
-    context.took = context.fleet.clock.monotonic() - began
+    context.outcome = context.fleet.run(submit_change(context, node, context.request))
+    context.duration_s = context.fleet.clock.monotonic() - began
 
 
-def stored(context: Any) -> Envelope:
+def stored_envelope(context: Any) -> Envelope:
     return decode_envelope(context.fleet.store.objects[TREE].value)
 
 
@@ -57,7 +57,10 @@
     """Write the next revision as another program would."""
     store = context.fleet.store
     envelope = attrs.evolve(
-        stored(context), revision=stored(context).revision + 1, text=text, change="other"
+        stored_envelope(context),
+        revision=stored_envelope(context).revision + 1,
+        text=text,
+        change="other",
     )
     store.apply(TREE, envelope.encode(), store.objects[TREE].version)
 
@@ -68,15 +71,15 @@
     context.fleet.pass_time(4)
 
 
-def nodes(context: Any) -> list[Node]:
+def running_nodes(context: Any) -> list[Node]:
     return [node for node in context.fleet.nodes.values() if node.task]
 
 
-def slots(node: Node, service: str = "mapdesk") -> int:
+def slots_of(node: Node, service: str = "mapdesk") -> int:
     return node.service.view.route(service, "/").slots
 
 
-def within(context: Any, seconds: float, holds: Any) -> None:
+def wait_until(context: Any, seconds: float, holds: Any) -> None:
     for _ in range(round(seconds / STEP_S)):
         if holds():
             return
--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -170,7 +170,7 @@
 @given("the live settings node {name} is cut off from all")
 def given_cut(context: Any, name: str) -> None:
     node = context.live.nodes[name]
-    node.store_cut, node.group = True, 99
+    node.is_store_cut_off, node.partition = True, 99
 
 
 @given("the live settings store is down")
@@ -184,7 +184,7 @@
     context.written = asyncio.Event()
 
     async def hook() -> None:
-        store.faults = ["applied"]
+        store.write_faults = ["applied"]
         store.down = True
         context.written.set()
 
--- a/features/steps/settings_fleet_steps.py
+++ b/features/steps/settings_fleet_steps.py
@@ -1,11 +1,11 @@
-"""Steps on the nodes that follow the settings."""
+"""Steps for the nodes that follow the settings."""
 
 from typing import Any
 
 from behave import given, then, when
 
 from features.settings_fakes import STEP_S, Fleet
-from features.settings_scenarios import join, nodes, slots, within
+from features.settings_scenarios import join, running_nodes, slots_of, wait_until
 from features.steps.settings_store_steps import when_tree_slots
 from marjoramtide.settings.sync import ChangeRequest
 
@@ -14,11 +14,11 @@
 def given_fleet(context: Any, names: str) -> None:
     fleet = context.fleet = Fleet()
     context.cleanup.callback(fleet.close)
-    context.reports = []
+    context.progress_messages = []
     join(context, names)
     first = fleet.nodes[names[0]]
     fleet.run(first.service.change(ChangeRequest(author="first", base=0, text=context.text)))
-    fleet.store.stale = dict(fleet.store.objects)
+    fleet.store.stale_objects = dict(fleet.store.objects)
     context.history = {name: [] for name in fleet.nodes}
     for name, node in fleet.nodes.items():
         node.service.view.on_change(context.history[name].append)
@@ -44,7 +44,7 @@
         fleet.gossips = True
 
     context.meeting = fleet.loop.create_task(meet())
-    within(context, 4, lambda: fleet.nodes[name].service.view.is_current)
+    wait_until(context, 4, lambda: fleet.nodes[name].service.view.is_current)
 
 
 @when("the settings node {name} joins")
@@ -52,33 +52,33 @@
     join(context, name)
 
 
-@given("answers of settings nodes {names} take too long")
+@given("requests to settings nodes {names} time out")
 def given_slow(context: Any, names: str) -> None:
     for name in names.split(", "):
-        context.fleet.nodes[name].is_slow = True
+        context.fleet.nodes[name].times_out = True
 
 
 @when("the tree in the store is changed {count:d} times, once each {seconds:d} s")
 def when_changed_often(context: Any, count: int, seconds: int) -> None:
-    """Note at which nodes each change is in force, and how long after it was made."""
+    """Record for each change how long after the write it was in force at each node."""
     fleet = context.fleet
-    context.taken = []
+    context.in_force_after = []
     for value in range(20, 20 + count):
         when_tree_slots(context, value)
         made_at = fleet.clock.monotonic()
-        taken: dict[str, float] = {}
-        context.taken.append(taken)
+        in_force_after: dict[str, float] = {}
+        context.in_force_after.append(in_force_after)
         while fleet.clock.monotonic() < made_at + seconds:
             fleet.pass_time(STEP_S)
             for node in fleet.nodes.values():
-                if slots(node) == value:
-                    taken.setdefault(node.member.node, fleet.clock.monotonic() - made_at)
+                if slots_of(node) == value:
+                    in_force_after.setdefault(node.member.node, fleet.clock.monotonic() - made_at)
 
 
 @then("each of them was in force at {names} within {seconds:g} s")
 def then_taken(context: Any, names: str, seconds: float) -> None:
-    for taken in context.taken:
-        late = {name: taken.get(name) for name in names.split(", ")}
+    for in_force_after in context.in_force_after:
+        late = {name: in_force_after.get(name) for name in names.split(", ")}
         assert all(each is not None and each <= seconds for each in late.values()), late
 
 
@@ -95,35 +95,39 @@
 
 @then("every settings node has slots {value:d} for {service}")
 def then_all_slots(context: Any, value: int, service: str) -> None:
-    found = {node.member.node: slots(node, service) for node in nodes(context)}
+    found = {node.member.node: slots_of(node, service) for node in running_nodes(context)}
     assert set(found.values()) == {value}, found
 
 
 @then("within {seconds:d} s a watching settings node has slots {value:d}")
 def then_watcher_has(context: Any, seconds: int, value: int) -> None:
-    within(context, seconds, lambda: any(slots(node) == value for node in nodes(context)))
+    wait_until(
+        context, seconds, lambda: any(slots_of(node) == value for node in running_nodes(context))
+    )
 
 
 @then("{count:d} of the settings nodes are watchers")
 def then_watchers(context: Any, count: int) -> None:
-    assert sum(node.service.follower.is_watcher() for node in nodes(context)) == count
+    assert sum(node.service.follower.is_watcher() for node in running_nodes(context)) == count
 
 
 @then("within {seconds:d} s the settings node {name} is current, and then has slots {value:d}")
 def then_has_current(context: Any, seconds: int, name: str, value: int) -> None:
     view = context.fleet.nodes[name].service.view
-    within(context, seconds, lambda: view.is_current)
-    assert slots(context.fleet.nodes[name]) == value
+    wait_until(context, seconds, lambda: view.is_current)
+    assert slots_of(context.fleet.nodes[name]) == value
 
 
 @then("within {seconds:d} s all settings nodes have slots {value:d}")
 def then_all_within(context: Any, seconds: int, value: int) -> None:
-    within(context, seconds, lambda: {slots(node) for node in nodes(context)} == {value})
+    wait_until(
+        context, seconds, lambda: {slots_of(node) for node in running_nodes(context)} == {value}
+    )
 
 
 @then("the settings node {name} has slots {value:d}")
 def then_has(context: Any, name: str, value: int) -> None:
-    assert slots(context.fleet.nodes[name]) == value
+    assert slots_of(context.fleet.nodes[name]) == value
 
 
 @then("the settings node {name} is current")
@@ -138,33 +142,37 @@
 
 @then("every settings node is current")
 def then_all_current(context: Any) -> None:
-    assert all(node.service.view.is_current for node in nodes(context))
+    assert all(node.service.view.is_current for node in running_nodes(context))
 
 
 @then("in {seconds:g} s the settings node {name} is current")
 def then_current_soon(context: Any, seconds: float, name: str) -> None:
-    within(context, seconds, lambda: context.fleet.nodes[name].service.view.is_current)
+    wait_until(context, seconds, lambda: context.fleet.nodes[name].service.view.is_current)
 
 
-@then("for {seconds:d} s no settings node is current but by slots {value:d}")
+@then("for {seconds:d} s no settings node is current unless it has slots {value:d}")
 def then_current_by(context: Any, seconds: int, value: int) -> None:
     for _ in range(round(seconds / STEP_S)):
-        wrong = [node for node in nodes(context) if slots(node) != value]
+        wrong = [node for node in running_nodes(context) if slots_of(node) != value]
         assert not any(node.service.view.is_current for node in wrong), wrong
         context.fleet.pass_time(STEP_S)
 
 
 @then("within {seconds:d} s every settings node is current")
 def then_all_current_within(context: Any, seconds: int) -> None:
-    within(context, seconds, lambda: all(node.service.view.is_current for node in nodes(context)))
+    wait_until(
+        context,
+        seconds,
+        lambda: all(node.service.view.is_current for node in running_nodes(context)),
+    )
 
 
 @then("no settings node is current")
 def then_none_current(context: Any) -> None:
-    assert not any(node.service.view.is_current for node in nodes(context))
+    assert not any(node.service.view.is_current for node in running_nodes(context))
 
 
-@then("no settings node went back")
+@then("no settings node reverted to an older revision")
 def then_never_back(context: Any) -> None:
     assert all(seen == sorted(seen) for seen in context.history.values()), context.history
 
--- a/features/steps/settings_process_steps.py
+++ b/features/steps/settings_process_steps.py
@@ -71,7 +71,7 @@
     assert any(code == status for code in found)
 
 
-@when("the store applies what is late")
+@when("the store applies its delayed writes")
 def apply_late(context: Any) -> None:
     context.runner.run(context.mesh.store_json("POST", "/faults/apply-late"))
 
@@ -81,7 +81,7 @@
     context.runner.run(all_at(context.mesh.nodes, revision))
 
 
-@when("{name:S} is killed and started anew")
+@when("{name:S} is killed and restarted")
 def when_replaced(context: Any, name: str) -> None:
     node = named(context, name)
     context.runner.run(node.process.kill())
@@ -97,7 +97,7 @@
 
 @when("{name:S} is frozen for a change of max_depth to 1")
 def when_frozen(context: Any, name: str) -> None:
-    """The change is insisted on; it may not be in force by the time the command ends."""
+    """Change the settings with ``--insist``; they may not be in force when the command ends."""
     node = named(context, name)
     node.process.freeze()
     try:
@@ -107,7 +107,7 @@
         node.process.thaw()
 
 
-@then("{name:S} serves no call that is 2 deep after it wakes")
+@then("{name:S} serves no call that is 2 deep after it resumes")
 def then_none_deep(context: Any, name: str) -> None:
     node = named(context, name)
 
--- a/features/steps/settings_store_steps.py
+++ b/features/steps/settings_store_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the store behind the settings: what it answers, loses and brings back."""
+"""Steps for the store behind the settings and its faults."""
 
 import asyncio
 from typing import Any
@@ -9,12 +9,12 @@
 from features.settings_fakes import STEP_S
 from features.settings_scenarios import (
     TREE,
-    ask,
-    nodes,
-    outcome_of,
+    make_request,
+    running_nodes,
     set_slots,
-    slots,
-    stored,
+    slots_of,
+    stored_envelope,
+    submit_change,
     write_tree,
 )
 from marjoramtide.settings import Edit, EditAction
@@ -26,19 +26,19 @@
 @given("no settings node but {names} reaches the store")
 @given("no settings nodes but {names} reach the store")
 def given_store_cut(context: Any, names: str) -> None:
-    for node in nodes(context):
-        node.store_cut = node.member.node not in names.split(", ")
+    for node in running_nodes(context):
+        node.is_store_cut_off = node.member.node not in names.split(", ")
 
 
-@given("the settings store's watches are deaf")
-@when("the settings store's watches are deaf")
-def given_deaf(context: Any) -> None:
-    context.fleet.store.deaf = True
+@given("the settings store's watches deliver nothing")
+@when("the settings store's watches deliver nothing")
+def given_no_events(context: Any) -> None:
+    context.fleet.store.drops_events = True
 
 
 @when("the settings store's watches report a gap")
 def when_gap(context: Any) -> None:
-    context.fleet.store.gap = True
+    context.fleet.store.reports_gap = True
 
 
 @given("the settings store hangs")
@@ -52,8 +52,8 @@
 
 
 @given("the store's next tree writes end as {fates}")
-def given_fates(context: Any, fates: str) -> None:
-    context.fleet.store.faults = fates.split(", ")
+def given_write_faults(context: Any, fates: str) -> None:
+    context.fleet.store.write_faults = fates.split(", ")
 
 
 @given("the store goes down with the next tree write and is back after {seconds:d} s")
@@ -74,10 +74,10 @@
 @given("another operator at {name} removes {branch} just before the next write")
 def given_removed(context: Any, name: str, branch: str) -> None:
     other = context.fleet.nodes[name]
-    request = ask(context, other, Edit(EditAction.REMOVE, branch))
+    request = make_request(context, other, Edit(EditAction.REMOVE, branch))
 
     async def hook() -> None:
-        await outcome_of(context, other, request)
+        await submit_change(context, other, request)
 
     context.fleet.store.before_write = hook
 
@@ -85,10 +85,12 @@
 @given("another operator at {name} sets slots to {value:d} in {branch} once the next write is lost")
 def given_race_with_lost(context: Any, name: str, value: int, branch: str) -> None:
     other = context.fleet.nodes[name]
-    context.other_request = ask(context, other, set_slots(branch, value))
+    context.other_request = make_request(context, other, set_slots(branch, value))
 
     async def hook() -> None:
-        context.other = asyncio.ensure_future(outcome_of(context, other, context.other_request))
+        context.other_outcome = asyncio.ensure_future(
+            submit_change(context, other, context.other_request)
+        )
 
     context.fleet.store.before_write = hook
 
@@ -96,7 +98,7 @@
 @given("reads are stale {count:d} times after the next tree write")
 def given_stale_after(context: Any, count: int) -> None:
     store = context.fleet.store
-    store.stale = dict(store.objects)
+    store.stale_objects = dict(store.objects)
 
     async def hook() -> None:
         store.stale_reads = count
@@ -111,7 +113,7 @@
 def when_other_lineage(context: Any, revision: int, value: int) -> None:
     store = context.fleet.store
     text = f"[services.mapdesk]\nslots = {value}"
-    envelope = attrs.evolve(stored(context), revision=revision, lineage="other", text=text)
+    envelope = attrs.evolve(stored_envelope(context), revision=revision, lineage="other", text=text)
     store.apply(TREE, envelope.encode(), store.objects[TREE].version)
 
 
@@ -121,32 +123,32 @@
     context.fleet.store.stale_reads = count
 
 
-@when("the settings store comes back from a copy of its first state")
-def when_back_from_copy(context: Any) -> None:
+@when("the settings store is restored from a backup of its first state")
+def when_restored_from_backup(context: Any) -> None:
     store = context.fleet.store
-    store.objects[TREE] = store.stale[TREE]
+    store.objects[TREE] = store.stale_objects[TREE]
 
 
 @then("the tree in the store has slots {value:d}")
 def then_stored_slots(context: Any, value: int) -> None:
-    assert f"slots = {value}" in stored(context).text, stored(context).text
+    assert f"slots = {value}" in stored_envelope(context).text, stored_envelope(context).text
 
 
-def refusal(context: Any, name: str, base: int) -> str:
-    """Return why a node can't take a change on top of a revision, empty where it can."""
-    body = {"edits": [], "lineage": stored(context).lineage, "base": base}
+def prepare_refusal(context: Any, name: str, base: int) -> str:
+    """Return why a node rejects a change on top of a revision, empty if it accepts it."""
+    body = {"edits": [], "lineage": stored_envelope(context).lineage, "base": base}
     answer = context.fleet.run(context.fleet.nodes[name].service.answer_prepare(body))
     return str(answer["reason"])
 
 
-@then('the settings node {name} can\'t take a change on top of revision {base:d}, "{words}"')
-def then_cannot_take(context: Any, name: str, base: int, words: str) -> None:
-    assert words in refusal(context, name, base), refusal(context, name, base)
+@then('the settings node {name} rejects a change on top of revision {base:d}, "{words}"')
+def then_rejects_change(context: Any, name: str, base: int, words: str) -> None:
+    assert words in prepare_refusal(context, name, base), prepare_refusal(context, name, base)
 
 
-@then("the settings node {name} can take a change on top of revision {base:d}")
-def then_can_take(context: Any, name: str, base: int) -> None:
-    assert not refusal(context, name, base), refusal(context, name, base)
+@then("the settings node {name} accepts a change on top of revision {base:d}")
+def then_accepts_change(context: Any, name: str, base: int) -> None:
+    assert not prepare_refusal(context, name, base), prepare_refusal(context, name, base)
 
 
 @when("the watches of the settings end")
@@ -179,26 +181,26 @@
 
 @then('the tree text contains "{words}"')
 def then_text(context: Any, words: str) -> None:
-    assert words in stored(context).text, stored(context).text
+    assert words in stored_envelope(context).text, stored_envelope(context).text
 
 
 @when(
     "{count:d} changes follow each other by {seconds:g} s, "
-    "and the node that goes first loses the store after {before:d}"
+    "and the primary watcher loses the store after {before:d}"
 )
 def when_storm(context: Any, count: int, seconds: float, before: int) -> None:
-    (first,) = choose_watchers([node.member for node in nodes(context)], 1)
+    (first,) = choose_watchers([node.member for node in running_nodes(context)], 1)
     written_at: dict[int, float] = {}
     context.behind_s = 0.0
 
     def look() -> None:
         now = context.fleet.clock.monotonic()
-        oldest = min(slots(node) for node in nodes(context))
+        oldest = min(slots_of(node) for node in running_nodes(context))
         late = (now - at for value, at in written_at.items() if value > oldest)
         context.behind_s = max(context.behind_s, max(late, default=0.0))
 
     for number in range(count):
-        context.fleet.nodes[first].store_cut = number >= before
+        context.fleet.nodes[first].is_store_cut_off = number >= before
         write_tree(context, f"[services.mapdesk]\nslots = {20 + number}\n")
         written_at[20 + number] = context.fleet.clock.monotonic()
         for _ in range(round(seconds / STEP_S)):
--- a/features/steps/settings_tree_steps.py
+++ b/features/steps/settings_tree_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the settings tree by itself."""
+"""Steps for the settings tree."""
 
 from pathlib import Path
 from typing import Any
