--- a/features/steps/cli_steps.py
+++ b/features/steps/cli_steps.py
@@ -85,7 +85,7 @@
             state = MemberState.DRAINING if drained else MemberState.READY
             node.member = attrs.evolve(node.member, state=state)
 
-        directory = node.service.maker.directory
+        directory = node.service.change_coordinator.directory
         evacuations = self.evacuations(node)
         return NodeHandle(
             settings=node.service,
@@ -110,7 +110,7 @@
         return make_evacuation_service(
             NodeStore(node),
             "evacuations/",
-            node.service.maker.directory,
+            node.service.change_coordinator.directory,
             lambda fields, readers: None,
             self.clock,
             random.Random(1),
@@ -170,7 +170,7 @@
 @given("the live settings node {name} is cut off from all")
 def given_partitioned(context: Any, name: str) -> None:
     node = context.live.nodes[name]
-    node.store_cut, node.group = True, 99
+    node.is_store_cut_off, node.partition = True, 99
 
 
 @given("the live settings store is down")
@@ -184,7 +184,7 @@
     context.written = asyncio.Event()
 
     async def lose_response() -> None:
-        store.faults = ["applied"]
+        store.write_faults = ["applied"]
         store.down = True
         context.written.set()
 
--- a/src/marjoramtide/daemon/_node_bulletins.py
+++ b/src/marjoramtide/daemon/_node_bulletins.py
@@ -64,7 +64,7 @@
         if is_quarantine_bulletin(fields):
             self.quarantine.handle_bulletin(member, fields)
         elif is_store_bulletin(fields):
-            self.evacuations.take(fields, member.node)
+            self.evacuations.merge_state(fields, member.node)
         elif is_quota_bulletin(fields):
             self.quotas.handle_bulletin(member, fields)
         elif is_claim_news(fields):
--- a/src/marjoramtide/evacuation/_evacuation_service.py
+++ b/src/marjoramtide/evacuation/_evacuation_service.py
@@ -17,7 +17,7 @@
 from marjoramtide.evacuation._store_news import StoreBulletin, unpack_store_bulletin
 from marjoramtide.membership import Directory, Member
 from marjoramtide.policy import EvacuationSnapshot, EvacuationState
-from marjoramtide.settings.sync import SideNews
+from marjoramtide.settings.sync import PiggybackedState
 from marjoramtide.store import ObjectStore
 
 log = structlog.get_logger()
@@ -32,7 +32,7 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class EvacuationService(SideNews):
+class EvacuationService(PiggybackedState):
     """Knows which data centres are evacuated, and informs the other nodes.
 
     The nodes that watch the store inform all others, which include it in their replies about
@@ -87,11 +87,11 @@
         self.timers = [timer for timer in self.timers if timer.when() > loop.time()]
         self.timers.append(loop.call_later(REPEAT_DELAY_S, self._publish))
 
-    def told(self) -> list[Any]:
+    def local_state(self) -> list[Any]:
         bulletin = StoreBulletin(self.store.epoch, self.policy.snapshot(self.clock.monotonic()))
         return bulletin.pack()
 
-    def take(self, fields: list[Any], source: str) -> None:
+    def merge_state(self, fields: list[Any], source: str) -> None:
         try:
             bulletin = unpack_store_bulletin(fields)
         except MalformedError as error:
@@ -111,7 +111,7 @@
     def _publish(self) -> None:
         own = self.directory.self_member.node
         others = [member for member in self.directory.members() if member.node != own]
-        self.publish(self.told(), others)
+        self.publish(self.local_state(), others)
 
     def _merge(self, snapshot: EvacuationSnapshot, source: str) -> bool:
         now = self.clock.monotonic()
--- a/src/marjoramtide/settings/__init__.py
+++ b/src/marjoramtide/settings/__init__.py
@@ -1,6 +1,6 @@
 """Settings: the node's own file, and the tree that all nodes share.
 
-The parts that talk to the store and to other nodes are in ``marjoramtide.settings.sync``.
+Distribution between the store and the nodes is in ``marjoramtide.settings.sync``.
 """
 
 from marjoramtide.settings._branch import Branch, parse_branch
@@ -9,14 +9,14 @@
 from marjoramtide.settings._envelope import Envelope, RecentChange, decode_envelope
 from marjoramtide.settings._freshness import Freshness
 from marjoramtide.settings._level import Level
+from marjoramtide.settings._locality import Locality
 from marjoramtide.settings._node_settings import (
     NodeSettings,
     check_address,
     load_node_settings,
     parse_address,
 )
-from marjoramtide.settings._place import Place
-from marjoramtide.settings._resolved import Resolved
+from marjoramtide.settings._resolved_values import ResolvedValues
 from marjoramtide.settings._route_settings import RouteSettings
 from marjoramtide.settings._schema import DEFAULTS, SCHEMA
 from marjoramtide.settings._settings_view import SettingsView
@@ -39,10 +39,10 @@
     "Envelope",
     "Freshness",
     "Level",
+    "Locality",
     "NodeSettings",
-    "Place",
     "RecentChange",
-    "Resolved",
+    "ResolvedValues",
     "RouteSettings",
     "SettingsTree",
     "SettingsView",
