--- a/features/steps/serving_steps.py
+++ b/features/steps/serving_steps.py
@@ -34,7 +34,7 @@
     """Starts every request and never responds."""
 
     def __init__(self) -> None:
-        self.begun = asyncio.Event()
+        self.dispatched = asyncio.Event()
 
     async def send(
         self,
@@ -44,7 +44,7 @@
         on_dispatch: Callable[[], None],
     ) -> Answer:
         on_dispatch()
-        self.begun.set()
+        self.dispatched.set()
         await asyncio.get_running_loop().create_future()
         raise AssertionError("a silent server responded")
 
@@ -120,8 +120,8 @@
     deadline = context.clock.monotonic() + DEADLINE_S
     request = Request("s", "GET", "/", (), False, True, deadline)
     task = asyncio.create_task(context.serving.handle(request, inline_body()))
-    await context.transport.begun.wait()
-    context.transport.begun.clear()
+    await context.transport.dispatched.wait()
+    context.transport.dispatched.clear()
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
 
--- a/src/marjoramtide/serving/_in_flight_request.py
+++ b/src/marjoramtide/serving/_in_flight_request.py
@@ -31,8 +31,8 @@
     """A request that ended without a response.
 
     ``by_server`` is true if the connection was closed by the server, and false after a timeout or
-    a cancellation on this side. A request whose connection was closed before the server last
-    responded did not crash it.
+    a cancellation on this side. If the server responds to something that was sent after such a
+    loss, the request did not crash it.
     """
 
     request: InFlightRequest
--- a/src/marjoramtide/serving/_service.py
+++ b/src/marjoramtide/serving/_service.py
@@ -71,9 +71,8 @@
 
         Without a ``guard``, every request may be sent to the backend server. Without a
         ``reporter``, no other node is told of the requests that this node executes for its own
-        callers.
-        ``process_started_at`` is when this process started, in seconds of the monotonic clock; by
-        default, now.
+        callers. ``process_started_at`` is the start of this process in seconds of the monotonic
+        clock; by default, now.
         """
         self.guard = guard or AllowAllGuard()
         self.reporter = reporter or NullInFlightReporter()
@@ -277,7 +276,7 @@
         """Send an admitted request and return its response with the current load report."""
         request = execution.request
         succeeded = False
-        streaming = False
+        is_streaming = False
         cancelled = False
         try:
             with self.tracer.span("serving", request.trace) as span:
@@ -288,8 +287,8 @@
                 if span is not None:
                     span.attributes |= {"status": answer.status, "urgent": request.urgent}
             succeeded = not answer.is_server_error
-            streaming = answer.stream is not None
-            if not streaming:
+            is_streaming = answer.stream is not None
+            if not is_streaming:
                 self.note_completed(execution)
             if answer.stream is not None:
                 answer.stream = self.relay_stream(execution, answer.stream, succeeded)
@@ -321,7 +320,7 @@
             cancelled = True
             raise
         finally:
-            if not streaming:
+            if not is_streaming:
                 self.finish(execution, succeeded, cancelled)
         now = self.clock.monotonic()
         answer.report = self.report(now)
@@ -348,13 +347,14 @@
             await self.transport.probe()
 
     async def send(self, execution: Execution) -> Answer:
+        """Send the request within its deadline, under a claim if it has an idempotency key."""
         request = execution.request
-        remaining = execution.deadline - self.clock.monotonic()
-        if remaining <= 0:
+        remaining_s = execution.deadline - self.clock.monotonic()
+        if remaining_s <= 0:
             raise NotRunError(ErrorCode.DEADLINE, "the deadline has already passed", step=SEND_STEP)
         self.guard.begin(request, execution.fingerprint)
         try:
-            async with asyncio.timeout(remaining):
+            async with asyncio.timeout(remaining_s):
                 if not request.relayed:
                     await self.reporter.request_started(execution.ticket, execution.fingerprint)
                 if request.key and not request.idempotent:
@@ -375,9 +375,9 @@
         """Send the request to the backend server."""
         body = await self.buffer_body(execution)
         execution.is_dispatched = True
-        remaining = execution.deadline - self.clock.monotonic()
+        remaining_s = execution.deadline - self.clock.monotonic()
         return await self.transport.send(
-            execution.request, body, remaining * 1000, lambda: self.mark_sent(execution)
+            execution.request, body, remaining_s * 1000, lambda: self.mark_sent(execution)
         )
 
     async def buffer_body(self, execution: Execution) -> RequestBody:
@@ -406,8 +406,8 @@
             while True:
                 # The timeout covers the read only: across the yield, it would cancel the consumer
                 # in the middle of other work, and the deadline would go unreported.
-                remaining = max(0.0, execution.deadline - self.clock.monotonic())
-                async with asyncio.timeout(remaining):
+                remaining_s = max(0.0, execution.deadline - self.clock.monotonic())
+                async with asyncio.timeout(remaining_s):
                     data = await anext(stream, None)
                 if data is None:
                     break
