--- a/bench/claims.py
+++ b/bench/claims.py
@@ -90,7 +90,7 @@
             due += rng.expovariate(per_s)
     result.cpu_ms = (time.process_time() - cpu) * 1000
     result.writes = await writes_seen(url) - before
-    result.unsettled = sum(len(member.unsettled.entries) for member in members)
+    result.unsettled = sum(len(member.pending_writes.entries) for member in members)
     for task in background:
         task.cancel()
     await asyncio.gather(*background, return_exceptions=True)
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -24,8 +24,8 @@
 import attrs
 import cbor2
 
-from marjoramtide.checked import MalformedError, read_json
-from marjoramtide.claims import is_claim_news, pack_claim, unpack_claim
+from marjoramtide.checked import MalformedError, parse_json
+from marjoramtide.claims import is_claim_bulletin, pack_claim, unpack_claim
 from marjoramtide.claims._claim_record import ClaimRecord, decode_record
 from marjoramtide.claims._claim_state import ClaimState
 from marjoramtide.errors import MarjoramtideError
@@ -67,7 +67,7 @@
 from marjoramtide.quota._messages import unpack as unpack_quota
 from marjoramtide.settings import decode_envelope, parse_tree
 from marjoramtide.settings.sync._peer_settings import decode_answer
-from marjoramtide.store import Answer, Meaning, StoredObject
+from marjoramtide.store import CallOutcome, StoredObject, StoreResponse
 from standins.mesh import Mesh, MeshNode, make_plan
 from standins.raw_caller import read_answer
 
@@ -248,11 +248,11 @@
 
 
 def read_heartbeat(data: bytes) -> None:
-    read_registration("i-1", read_json(data))
+    read_registration("i-1", parse_json(data))
 
 
 def read_page(data: bytes) -> None:
-    PlatformStore().read_page("kind/", Answer(200, {}, data, Meaning.DONE))
+    PlatformStore().read_page("kind/", StoreResponse(200, {}, data, CallOutcome.DONE))
 
 
 def read_events(data: bytes) -> None:
@@ -276,7 +276,7 @@
         unpack_news(fields)
     elif is_store_news(fields):
         unpack_store_news(fields)
-    elif is_claim_news(fields):
+    elif is_claim_bulletin(fields):
         unpack_claim(fields)
     elif is_quota_message(fields):
         unpack_quota(fields)
@@ -386,7 +386,7 @@
     claim = record.encode()
     foreign: dict[str, tuple[Callable[[bytes], Any], bytes]] = {
         "heartbeats": (read_heartbeat, HEARTBEAT),
-        "departures": (lambda data: read_departure(read_json(data)), b'{"born":1764731292000}'),
+        "departures": (lambda data: read_departure(parse_json(data)), b'{"born":1764731292000}'),
         "objects": (read_page, PAGE),
         "events": (read_events, EVENTS),
         "announced": (read_announcement, ANNOUNCEMENT),
--- a/features/steps/announcements_steps.py
+++ b/features/steps/announcements_steps.py
@@ -52,7 +52,7 @@
         self.current_lists += 1
         return await super().list(prefix, timeout=timeout)
 
-    async def list_lately(self, prefix: str, *, timeout: float = 2.0) -> Any:
+    async def list_allow_stale(self, prefix: str, *, timeout: float = 2.0) -> Any:
         self.stale_lists += 1
         visible_until = self.clock.monotonic() - self.age_s
         found = await super().list(prefix, timeout=timeout)
--- a/features/steps/claim_epoch_steps.py
+++ b/features/steps/claim_epoch_steps.py
@@ -16,9 +16,11 @@
 
 @given("node {name:w} is told of what node {other:w} claims")
 def given_told(context: Any, name: str, other: str) -> None:
-    memory = context.nodes[name].memory
+    recent_claims = context.nodes[name].recent_claims
     claims = context.nodes[other]
-    claims.witnesses = lambda key, record: memory.hear(*unpack_claim(pack_claim(key, record)))
+    claims.replicate_claim = lambda key, record: recent_claims.add_remote(
+        *unpack_claim(pack_claim(key, record))
+    )
 
 
 @given("node {name:w} is lost")
@@ -41,6 +43,6 @@
 @when("the nodes write their claims again and {seconds:d} s pass")
 def when_written(context: Any, seconds: int) -> None:
     for claims in context.nodes.values():
-        claims.store.hear_epoch(context.store.server.state.epoch)
-        context.store.run(claims.settle(SETTLE_S))
+        claims.store.observe_epoch(context.store.server.state.epoch)
+        context.store.run(claims.flush(SETTLE_S))
     context.store.clock.added += seconds
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -147,7 +147,7 @@
 @when("node {name:w} settles its claims")
 def when_settled(context: Any, name: str) -> None:
     close_circuits(context)
-    assert context.store.run(context.nodes[name].settle(5.0))
+    assert context.store.run(context.nodes[name].flush(5.0))
 
 
 @when('node {name:w}\'s claim of "{key}" is cancelled while the store hangs')
@@ -221,7 +221,7 @@
     clock = LeapingClock()
     clock.added_wall = seconds
     node = context.nodes[name]
-    node.clock = node.store.clock = node.unsettled.clock = clock
+    node.clock = node.store.clock = node.pending_writes.clock = clock
 
 
 @when(
@@ -306,7 +306,7 @@
 
 @then("a refusal says when to come back")
 def then_retry_after(context: Any) -> None:
-    assert context.result.may_run or context.result.retry_after_ms > 0, context.result
+    assert context.result.can_run or context.result.retry_after_ms > 0, context.result
 
 
 @then("the record has not reached the store")
@@ -327,12 +327,12 @@
 
 @step('node {name:w} may dispatch "{key}"')
 def then_may_dispatch(context: Any, name: str, key: str) -> None:
-    assert context.handles[name, key].may_dispatch(context.store.clock.monotonic())
+    assert context.handles[name, key].can_dispatch(context.store.clock.monotonic())
 
 
 @then('node {name:w} may not dispatch "{key}"')
 def then_may_not_dispatch(context: Any, name: str, key: str) -> None:
-    assert not context.handles[name, key].may_dispatch(context.store.clock.monotonic())
+    assert not context.handles[name, key].can_dispatch(context.store.clock.monotonic())
 
 
 @then('a claim of a key of {count:d} characters fails as "{code}"')
--- a/features/steps/foreign_writers_steps.py
+++ b/features/steps/foreign_writers_steps.py
@@ -13,7 +13,7 @@
 from marjoramtide.platform._backends import read_load
 from marjoramtide.platform._store_protocol import PlatformStore
 from marjoramtide.serving import ServerLoad
-from marjoramtide.store import Answer, Meaning
+from marjoramtide.store import CallOutcome, StoreResponse
 
 INSTANCE = "i-1"
 MISSING = "missing"
@@ -100,8 +100,8 @@
     return [each for number in range(ENTRIES) for each in (stored(number), SPOILED[number])]
 
 
-def answer(body: Any) -> Answer:
-    return Answer(200, {}, json.dumps(body).encode(), Meaning.DONE)
+def answer(body: Any) -> StoreResponse:
+    return StoreResponse(200, {}, json.dumps(body).encode(), CallOutcome.DONE)
 
 
 @when("the store answers a list of which every second entry is spoiled")
--- a/features/steps/platform_status_steps.py
+++ b/features/steps/platform_status_steps.py
@@ -13,7 +13,7 @@
 
 from features.steps.platform_node_steps import run, seat
 from marjoramtide.daemon import _process
-from marjoramtide.interface import Interface, own_interface
+from marjoramtide.interface import Interface, default_interface
 from marjoramtide.settings import NodeSettings, load_node_settings
 from standins.free_port import free_port, loopback_host
 
@@ -86,7 +86,7 @@
         context.levels.append(settings.log_level)
         if len(context.levels) == 2:
             raise RuntimeError("a fault of ours")
-        return own_interface()
+        return default_interface()
 
     context.cleanup.enter_context(mock.patch.object(_process, "make_interface", make))
 
--- a/features/steps/server_ends_steps.py
+++ b/features/steps/server_ends_steps.py
@@ -160,7 +160,7 @@
     node = seat(context, 1).node
     now = node.clock.monotonic()
     if "stopped" in when:
-        node.freeze.thawed_at = now
+        node.freeze.resumed_at = now
 
     async def note() -> None:
         node.server.note_health(HealthCheckResult(BackendState.DOWN, is_reachable=False), now - 1)
--- a/features/steps/start_up_steps.py
+++ b/features/steps/start_up_steps.py
@@ -154,7 +154,7 @@
 @given("a callers' port that has long been up, and was frozen for {seconds:g} s")
 def given_frozen_port(context: Any, seconds: float) -> None:
     start_port(context)
-    context.freeze.last_look -= seconds
+    context.freeze.last_checked_at -= seconds
 
 
 @when("a caller sends a request there, and {seconds:g} s later the settings arrive")
--- a/src/marjoramtide/checked/__init__.py
+++ b/src/marjoramtide/checked/__init__.py
@@ -1,6 +1,6 @@
 """Checked reading of what other writers than this product may have written."""
 
-from marjoramtide.checked._reading import MalformedError, read_as, read_json, renamed
-from marjoramtide.checked._whole_number import is_number
+from marjoramtide.checked._reading import MalformedError, parse_json, rename_keys, structure_as
+from marjoramtide.checked._whole_number import is_unsigned_int
 
-__all__ = ["MalformedError", "is_number", "read_as", "read_json", "renamed"]
+__all__ = ["MalformedError", "is_unsigned_int", "parse_json", "rename_keys", "structure_as"]
--- a/src/marjoramtide/checked/_reading.py
+++ b/src/marjoramtide/checked/_reading.py
@@ -26,7 +26,7 @@
     """What was read is not of the form that it should have; the text tells what is wrong."""
 
 
-def read_json(data: bytes | str) -> Any:
+def parse_json(data: bytes | str) -> Any:
     """Return the value of a JSON text; raises ``MalformedError`` for anything else."""
     try:
         return json.loads(data)
@@ -35,7 +35,7 @@
         raise MalformedError(f"no JSON: {type(error).__name__}") from error
 
 
-def read_as(cls: type[T], raw: Any) -> T:
+def structure_as(cls: type[T], raw: Any) -> T:
     """Return tables and lists as an attrs class, whose fields say of what type and size they are.
 
     Nothing is converted: the text ``"18"`` is no number, ``true`` is none, and a list is no text.
@@ -61,7 +61,7 @@
     return ""
 
 
-def renamed(raw: Any, names: Mapping[str, str]) -> dict[str, Any]:
+def rename_keys(raw: Any, names: Mapping[str, str]) -> dict[str, Any]:
     """Return a table with our names for the fields that ``names`` gives by another's.
 
     Raises ``MalformedError`` where it is no table.
--- a/src/marjoramtide/claims/__init__.py
+++ b/src/marjoramtide/claims/__init__.py
@@ -2,7 +2,7 @@
 
 from marjoramtide.claims._claim_cleaner import ClaimCleaner, make_claim_cleaner
 from marjoramtide.claims._claim_handle import ClaimHandle
-from marjoramtide.claims._claim_news import is_claim_news, pack_claim, unpack_claim
+from marjoramtide.claims._claim_news import is_claim_bulletin, pack_claim, unpack_claim
 from marjoramtide.claims._claim_outcome import ClaimOutcome
 from marjoramtide.claims._claim_record import ClaimRecord
 from marjoramtide.claims._claim_result import ClaimResult
@@ -19,7 +19,7 @@
     "ClaimState",
     "Claims",
     "ConflictReason",
-    "is_claim_news",
+    "is_claim_bulletin",
     "make_claim_cleaner",
     "make_claims",
     "pack_claim",
--- a/src/marjoramtide/claims/_claim_handle.py
+++ b/src/marjoramtide/claims/_claim_handle.py
@@ -18,7 +18,7 @@
     dispatch_until: float
     is_released: bool = False
 
-    def may_dispatch(self, now: float) -> bool:
+    def can_dispatch(self, now: float) -> bool:
         """Tell whether the request may be sent; ask immediately before sending it.
 
         A node that was frozen since it got the claim may wake up after the claim's retention, when
--- a/src/marjoramtide/claims/_claim_memory.py
+++ b/src/marjoramtide/claims/_claim_memory.py
@@ -24,7 +24,7 @@
     is_own: bool
 
 
-class ClaimMemory:
+class RecentClaims:
     """The claims of the last ``COPY_AGE_S`` that this node made or was told of by another one.
 
     Failure: the store comes back from a copy that lacks the claim of a booking that has run. Its
@@ -42,7 +42,7 @@
         """Remember the newest state of a claim of this node."""
         self._keep(key, record, is_own=True)
 
-    def hear(self, key: str, record: ClaimRecord) -> None:
+    def add_remote(self, key: str, record: ClaimRecord) -> None:
         """Remember a claim that another node holds, unless this node's own says more."""
         held = self.claims.get(key)
         if held is None or not held.is_own:
--- a/src/marjoramtide/claims/_claim_news.py
+++ b/src/marjoramtide/claims/_claim_news.py
@@ -15,7 +15,7 @@
     return [[SUBJECT, key, record.encode()]]
 
 
-def is_claim_news(fields: list[Any]) -> bool:
+def is_claim_bulletin(fields: list[Any]) -> bool:
     """Tell whether a bulletin is such news."""
     news = fields[0] if len(fields) == 1 else None
     return isinstance(news, list) and news[:1] == [SUBJECT]
@@ -23,7 +23,7 @@
 
 def unpack_claim(fields: list[Any]) -> tuple[str, ClaimRecord]:
     """Read a claim; raises ``MalformedError``. What a later version has added is passed over."""
-    if not is_claim_news(fields) or len(fields[0]) < FIELDS:
+    if not is_claim_bulletin(fields) or len(fields[0]) < FIELDS:
         raise MalformedError("no claim")
     key, value = fields[0][1:FIELDS]
     if not isinstance(key, str) or not 0 < len(key) <= MOST_KEY_CHARACTERS:
--- a/src/marjoramtide/claims/_claim_record.py
+++ b/src/marjoramtide/claims/_claim_record.py
@@ -3,7 +3,7 @@
 import attrs
 import cbor2
 
-from marjoramtide.checked import MalformedError, read_as
+from marjoramtide.checked import MalformedError, structure_as
 from marjoramtide.claims._claim_state import ClaimState
 from marjoramtide.claims._retention import CLOCK_SKEW_S
 
@@ -55,6 +55,6 @@
 def decode_record(value: bytes) -> ClaimRecord | None:
     """Return the record, or ``None`` where the bytes are not one."""
     try:
-        return read_as(ClaimRecord, cbor2.loads(value))
+        return structure_as(ClaimRecord, cbor2.loads(value))
     except (cbor2.CBORDecodeError, MalformedError, RecursionError):
         return None
--- a/src/marjoramtide/claims/_claim_result.py
+++ b/src/marjoramtide/claims/_claim_result.py
@@ -25,5 +25,5 @@
     detail: str = ""
 
     @property
-    def may_run(self) -> bool:
+    def can_run(self) -> bool:
         return self.outcome in (ClaimOutcome.HELD, ClaimOutcome.HELD_UNCLAIMED)
--- a/src/marjoramtide/claims/_claims.py
+++ b/src/marjoramtide/claims/_claims.py
@@ -10,14 +10,14 @@
 from marjoramtide.claims._claim_entry import ClaimEntry
 from marjoramtide.claims._claim_handle import ClaimHandle
 from marjoramtide.claims._claim_keys import claim_key
-from marjoramtide.claims._claim_memory import ClaimMemory
+from marjoramtide.claims._claim_memory import RecentClaims
 from marjoramtide.claims._claim_outcome import ClaimOutcome
 from marjoramtide.claims._claim_record import ClaimRecord, decode_record
 from marjoramtide.claims._claim_result import ClaimResult
 from marjoramtide.claims._claim_state import ClaimState
 from marjoramtide.claims._conflict_reason import ConflictReason
 from marjoramtide.claims._retention import DISPATCH_WINDOW_S, retention_s, store_time
-from marjoramtide.claims._unsettled import Unsettled
+from marjoramtide.claims._unsettled import PendingWrites
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.settings import RouteSettings
@@ -46,21 +46,21 @@
         self.clock = clock
         self.node_id = node_id
         self.rng = rng
-        self.unsettled = Unsettled(store, clock)
+        self.pending_writes = PendingWrites(store, clock)
         self.running: dict[str, ClaimRecord] = {}
-        self.memory = ClaimMemory(clock)
-        self.witnesses: Callable[[str, ClaimRecord], None] = lambda key, record: None
+        self.recent_claims = RecentClaims(clock)
+        self.replicate_claim: Callable[[str, ClaimRecord], None] = lambda key, record: None
         self.epoch = store.epoch
-        store.on_epoch(self.write_again)
+        store.on_epoch_change(self.write_again)
 
     def write_again(self, epoch: int) -> None:
         """Write again what a copy of the store may lack; until that is done use no unknown key."""
         self.epoch = epoch
-        self.memory.close()
-        claims = self.memory.to_write()
+        self.recent_claims.close()
+        claims = self.recent_claims.to_write()
         log.warning("claims.written_again", step="claims.write_again", claims=len(claims))
         for key, record in claims:
-            self.unsettled.write_anew(ClaimEntry(key, record, 0, was_stored=True))
+            self.pending_writes.write_anew(ClaimEntry(key, record, 0, was_stored=True))
 
     async def acquire(
         self,
@@ -85,7 +85,7 @@
             state=ClaimState.HELD,
             expires=0.0,  # until the store has told its time
         )
-        if wait_s := self.memory.wait_s():
+        if wait_s := self.recent_claims.wait_s():
             return self.judge_by_memory(stored_key, record, wait_s)
         try:
             await self.learn_time(stored_key, deadline)
@@ -99,7 +99,7 @@
             # Cancelled: the create may be on its way and would hold the key for nothing.
             self.give_up(stored_key, record)
             raise
-        if resolution.is_own and (wait_s := self.memory.wait_s()):
+        if resolution.is_own and (wait_s := self.recent_claims.wait_s()):
             # The store has come back while it was asked: the key may have been claimed before.
             self.give_up(stored_key, record)
             return self.judge_by_memory(stored_key, record, wait_s)
@@ -107,8 +107,8 @@
             until = started + DISPATCH_WINDOW_S
             handle = ClaimHandle(stored_key, record, resolution.stored.version, until)
             self.running[stored_key] = record
-            self.memory.note(stored_key, record)
-            self.witnesses(stored_key, record)
+            self.recent_claims.note(stored_key, record)
+            self.replicate_claim(stored_key, record)
             return ClaimResult(ClaimOutcome.HELD, handle=handle)
         return self.judge(decode_record(resolution.stored.value), record)
 
@@ -164,7 +164,7 @@
 
     def judge_by_memory(self, key: str, wanted: ClaimRecord, wait_s: float) -> ClaimResult:
         """Tell what becomes of a request while the store may lack what was claimed of late."""
-        known = self.memory.find(key)
+        known = self.recent_claims.find(key)
         if known is None or known.state is ClaimState.RELEASED:
             return self.unavailable(wait_s * 1000, "the store has come back from a copy")
         return self.judge(known, wanted)
@@ -180,7 +180,7 @@
         self, key: str, record: ClaimRecord, settings: RouteSettings, error: MarjoramtideError
     ) -> ClaimResult:
         """Tell what a store that didn't decide means for the request."""
-        known = self.running.get(key) or self.unsettled.outcomes.get(key)
+        known = self.running.get(key) or self.pending_writes.outcomes.get(key)
         if known is not None:
             # "Not run" would be the truth of this attempt only, and the caller would take it for
             # that of its booking.
@@ -213,7 +213,7 @@
         The caller is told "not run, come back"; a claim that took effect unseen would answer every
         later try with a conflict until the retention ends.
         """
-        self.unsettled.add(ClaimEntry(key, self.released(record), 0))
+        self.pending_writes.add(ClaimEntry(key, self.released(record), 0))
 
     def released(self, record: ClaimRecord) -> ClaimRecord:
         return attrs.evolve(record, state=ClaimState.RELEASED)
@@ -260,20 +260,20 @@
         self, handle: ClaimHandle, record: ClaimRecord, timeout: float = RECORD_TIMEOUT_S
     ) -> bool:
         self.running.pop(handle.key, None)
-        self.memory.note(handle.key, record)
-        self.unsettled.add(ClaimEntry(handle.key, record, handle.version))
+        self.recent_claims.note(handle.key, record)
+        self.pending_writes.add(ClaimEntry(handle.key, record, handle.version))
         deadline = self.clock.monotonic() + timeout
-        return await self.unsettled.settle(record.attempt, deadline)
+        return await self.pending_writes.flush_attempt(record.attempt, deadline)
 
     async def run(self) -> None:
         """Store what could not be stored at once, until cancelled."""
         while True:
             await self.clock.sleep(SETTLE_INTERVAL_S * self.rng.uniform(0.5, 1.5))
-            await self.settle(RECORD_TIMEOUT_S)
+            await self.flush(RECORD_TIMEOUT_S)
 
-    async def settle(self, timeout: float) -> bool:
+    async def flush(self, timeout: float) -> bool:
         """Try once to store all that is left; tells whether nothing is. For a planned stop."""
-        return await self.unsettled.settle_all(self.clock.monotonic() + timeout)
+        return await self.pending_writes.flush_all(self.clock.monotonic() + timeout)
 
 
 def make_claims(
--- a/src/marjoramtide/claims/_unsettled.py
+++ b/src/marjoramtide/claims/_unsettled.py
@@ -19,7 +19,7 @@
 MAX_ROUNDS = 6
 
 
-class Unsettled:
+class PendingWrites:
     """Brings claims to their last state, each under the condition that its attempt still owns it.
 
     An entry that is pushed out, or lost with the node, leaves its claim ``held`` until the
@@ -60,17 +60,17 @@
         if known is not None and known.attempt == attempt:
             del self.outcomes[entry.key]
 
-    async def settle(self, attempt: str, deadline: float) -> bool:
+    async def flush_attempt(self, attempt: str, deadline: float) -> bool:
         """Try to store one attempt's last state; tells whether it needs no further try."""
         lock = self.locks.setdefault(attempt, asyncio.Lock())
         try:
             async with lock:
-                return await self.settle_locked(attempt, deadline)
+                return await self.flush_locked(attempt, deadline)
         finally:
             if attempt not in self.entries:
                 self.locks.pop(attempt, None)
 
-    async def settle_locked(self, attempt: str, deadline: float) -> bool:
+    async def flush_locked(self, attempt: str, deadline: float) -> bool:
         entry = self.entries.get(attempt)
         if entry is None:
             return True
@@ -82,12 +82,12 @@
             self.remove(attempt)
         return settled
 
-    async def settle_all(self, deadline: float) -> bool:
+    async def flush_all(self, deadline: float) -> bool:
         """Try every entry once, until one fails; tells whether none is left."""
         for attempt in list(self.entries):
             if self.clock.monotonic() >= deadline:
                 return False
-            if not await self.settle(attempt, deadline):
+            if not await self.flush_attempt(attempt, deadline):
                 self.move_to_end(attempt)
                 return False
         return not self.entries
--- a/src/marjoramtide/clock/_freeze.py
+++ b/src/marjoramtide/clock/_freeze.py
@@ -21,25 +21,25 @@
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
-        self.last_look = clock.monotonic()
-        self.thawed_at = float("-inf")
+        self.last_checked_at = clock.monotonic()
+        self.resumed_at = float("-inf")
         self.count = 0
         self.listeners: list[Callable[[], None]] = []
 
-    def on_thaw(self, listener: Callable[[], None]) -> None:
+    def on_resume(self, listener: Callable[[], None]) -> None:
         """Call ``listener`` when a stop has been found."""
         self.listeners.append(listener)
 
     def was_frozen(self, now: float) -> bool:
         """Look at the clock; tell whether the process has just come back from a stop."""
-        if now - self.last_look > FREEZE_S:
-            self.thawed_at = now
+        if now - self.last_checked_at > FREEZE_S:
+            self.resumed_at = now
             self.count += 1
-            self.last_look = now
+            self.last_checked_at = now
             for listener in self.listeners:
                 listener()
-        self.last_look = now
-        return now - self.thawed_at < RECOVERY_S
+        self.last_checked_at = now
+        return now - self.resumed_at < RECOVERY_S
 
     async def run(self) -> None:
         """Tick until cancelled."""
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -30,7 +30,7 @@
     PeerCrashDetector,
     StartupGrace,
 )
-from marjoramtide.interface import Interface, own_interface
+from marjoramtide.interface import Interface, default_interface
 from marjoramtide.membership import Member, MemberState, make_membership
 from marjoramtide.operators import make_operators_app
 from marjoramtide.peers import (
@@ -76,7 +76,7 @@
     ) -> None:
         """``began_at`` is when the process began, in seconds of the monotonic clock."""
         self.settings = settings
-        self.interface = interface = interface or own_interface()
+        self.interface = interface = interface or default_interface()
         self.stop_grace_s = interface.stop_grace_s or settings.stop_grace_s
         self.clock = SystemClock()
         rng = self.rng = random.Random()
@@ -213,7 +213,7 @@
         self.membership.on_bulletin(self.news.take)
         self.membership.relay_targets = self.news.passed_on_to
         self.serving.load_listener = self.news.tell_load
-        self.claims.witnesses = self.news.tell_claim
+        self.claims.replicate_claim = self.news.tell_claim
         self.drained_by_operator = False
         self.app_servers = self.make_app_servers()
         self.stopping = False
@@ -250,7 +250,7 @@
             "run teller": self.run_teller.run,
             "evacuations": self.evacuations.run,
         }
-        if self.interface.takes_keys:
+        if self.interface.uses_idempotency_keys:
             works |= self.claim_works()
         for name, work in works.items():
             self.spawn(keep_running(name, work, self.clock, self.metrics))
--- a/src/marjoramtide/daemon/_node_news.py
+++ b/src/marjoramtide/daemon/_node_news.py
@@ -7,7 +7,7 @@
 import structlog
 
 from marjoramtide.checked import MalformedError
-from marjoramtide.claims import ClaimRecord, Claims, is_claim_news, pack_claim, unpack_claim
+from marjoramtide.claims import ClaimRecord, Claims, is_claim_bulletin, pack_claim, unpack_claim
 from marjoramtide.errors import ErrorCode
 from marjoramtide.evacuation import EvacuationService, is_store_news
 from marjoramtide.exchange import LoadReport
@@ -67,7 +67,7 @@
             self.evacuations.take(fields, member.node)
         elif is_quota_message(fields):
             self.quotas.take(member, fields)
-        elif is_claim_news(fields):
+        elif is_claim_bulletin(fields):
             self.take_claim(member, fields)
         elif (report := unpack_report(fields)) is not None:
             self.dispatcher.record_load_report(member, report)
@@ -85,4 +85,4 @@
                 reason=str(error),
             )
             return
-        self.claims.memory.hear(key, record)
+        self.claims.recent_claims.add_remote(key, record)
--- a/src/marjoramtide/daemon/_process.py
+++ b/src/marjoramtide/daemon/_process.py
@@ -12,7 +12,7 @@
 from marjoramtide.daemon._settings_watch import SettingsWatch
 from marjoramtide.daemon._supervision import keep_running
 from marjoramtide.errors import MarjoramtideError
-from marjoramtide.interface import Interface, own_interface
+from marjoramtide.interface import Interface, default_interface
 from marjoramtide.settings import NodeSettings, load_node_settings
 from marjoramtide.telemetry import configure_logs
 
@@ -24,7 +24,7 @@
 def make_interface(settings: NodeSettings) -> Interface:
     """Return the interface that the settings name; only that one is imported."""
     if settings.interface == "own":
-        return own_interface()
+        return default_interface()
     from marjoramtide.platform import platform_interface
 
     return platform_interface(settings)
--- a/src/marjoramtide/evacuation/_evacuation_record.py
+++ b/src/marjoramtide/evacuation/_evacuation_record.py
@@ -5,7 +5,7 @@
 import attrs
 from attrs.validators import max_len
 
-from marjoramtide.checked import read_as, read_json
+from marjoramtide.checked import parse_json, structure_as
 
 MOST_AUTHOR_CHARACTERS = 128
 
@@ -23,4 +23,4 @@
 
 def decode_record(value: bytes) -> EvacuationRecord:
     """Read a record; raises ``MalformedError``."""
-    return read_as(EvacuationRecord, read_json(value))
+    return structure_as(EvacuationRecord, parse_json(value))
--- a/src/marjoramtide/evacuation/_evacuation_service.py
+++ b/src/marjoramtide/evacuation/_evacuation_service.py
@@ -103,7 +103,7 @@
             )
             return
         self.listens = True
-        self.store.hear_epoch(news.epoch)
+        self.store.observe_epoch(news.epoch)
         self.listens = False
         self._take(news.evacuated, source)
 
@@ -224,7 +224,7 @@
     With an empty ``prefix`` the store can hold none, and is not asked for them.
     """
     service = EvacuationService(store, directory, publish, clock, changed)
-    store.on_epoch(service.epoch_changed)
+    store.on_epoch_change(service.epoch_changed)
     if prefix:
         service.evacuations = EvacuationStore(store, prefix, clock, rng)
         service.watch = EvacuationWatch(
--- a/src/marjoramtide/evacuation/_store_news.py
+++ b/src/marjoramtide/evacuation/_store_news.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from marjoramtide.checked import MalformedError, is_number
+from marjoramtide.checked import MalformedError, is_unsigned_int
 from marjoramtide.policy import EVACUATION_HOLD_S, EvacuationSnapshot
 
 SUBJECT = "store"
@@ -44,7 +44,7 @@
     if not is_store_news(fields) or len(fields[0]) < 1 + FIELDS:
         raise MalformedError("no news of the store")
     epoch, version, names, kept = fields[0][1 : 1 + FIELDS]
-    if not (is_number(epoch, MOST_EPOCH) and is_number(version)):
+    if not (is_unsigned_int(epoch, MOST_EPOCH) and is_unsigned_int(version)):
         raise MalformedError("no epoch or version")
     if not isinstance(names, list) or not isinstance(kept, list):
         raise MalformedError("no lists of data centres")
@@ -59,7 +59,7 @@
     if not isinstance(wire, list) or len(wire) != 2:
         raise MalformedError("no time of a data centre")
     name, left_ms = wire
-    if not is_name(name) or not is_number(left_ms, round(EVACUATION_HOLD_S * 1000) + 1):
+    if not is_name(name) or not is_unsigned_int(left_ms, round(EVACUATION_HOLD_S * 1000) + 1):
         raise MalformedError("no time of a data centre")
     return name, left_ms / 1000
 
--- a/src/marjoramtide/ingress/_start_up.py
+++ b/src/marjoramtide/ingress/_start_up.py
@@ -39,7 +39,7 @@
 
     def __attrs_post_init__(self) -> None:
         if self.freeze is not None:
-            self.freeze.on_thaw(self.begin)
+            self.freeze.on_resume(self.begin)
 
     def begin(self) -> None:
         """Start the grace period: the node accepts callers from now on, or again."""
--- a/src/marjoramtide/interface/_interface.py
+++ b/src/marjoramtide/interface/_interface.py
@@ -33,6 +33,6 @@
     registration_app: Callable[[Registrar], web.Application] | None = None
     stop_grace_s: float | None = None
     stop_linger_s: float = 0.0
-    takes_keys: bool = True
+    uses_idempotency_keys: bool = True
     evacuations: str = "evacuations/"
     runs: RequestTokens | None = None
--- a/src/marjoramtide/interface/_own.py
+++ b/src/marjoramtide/interface/_own.py
@@ -5,14 +5,14 @@
 from marjoramtide.interface._interface import Interface
 from marjoramtide.serving import DefaultBackendProtocol, RequestTokens
 from marjoramtide.settings.sync import OwnTreeSource
-from marjoramtide.store import OwnStoreProtocol
+from marjoramtide.store import DefaultStoreProtocol
 
 
-def own_interface() -> Interface:
+def default_interface() -> Interface:
     """Return the project's own protocols for all parties."""
     tokens = RequestTokens(SystemClock())
     return Interface(
-        OwnStoreProtocol(),
+        DefaultStoreProtocol(),
         OwnTreeSource(),
         DefaultCallerProtocol(),
         DefaultBackendProtocol(tokens),
--- a/src/marjoramtide/membership/_announcement.py
+++ b/src/marjoramtide/membership/_announcement.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from marjoramtide.checked import MalformedError, read_as, read_json
+from marjoramtide.checked import MalformedError, parse_json, structure_as
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.membership._member import Member
 from marjoramtide.settings import check_address
@@ -54,7 +54,7 @@
 def decode_announcement(key: str, value: bytes) -> Announcement:
     """Decode the announcement stored under a key; raises ``bad-frame`` if it is invalid."""
     try:
-        announcement = read_as(Announcement, read_json(value))
+        announcement = structure_as(Announcement, parse_json(value))
     except MalformedError as error:
         raise announcement_error(key, str(error)) from error
     if announcement.key != key:
--- a/src/marjoramtide/membership/_announcer.py
+++ b/src/marjoramtide/membership/_announcer.py
@@ -177,7 +177,7 @@
         Otherwise the addresses in it are pinged: if a node replies, gossip tells of all others; if
         none does, the current list is read.
         """
-        listed = _decode_announcements(await self.store.list_lately(ANNOUNCEMENT_PREFIX))
+        listed = _decode_announcements(await self.store.list_allow_stale(ANNOUNCEMENT_PREFIX))
         own = self._own().key
         if any(item.key == own for item, _ in listed):
             return listed
--- a/src/marjoramtide/membership/_membership_service.py
+++ b/src/marjoramtide/membership/_membership_service.py
@@ -70,7 +70,7 @@
             core.view.live_count,
             self._on_announcements,
         )
-        store.on_epoch(self.announcer.on_store_epoch)
+        store.on_epoch_change(self.announcer.on_store_epoch)
 
     # Directory
 
--- a/src/marjoramtide/peers/_client.py
+++ b/src/marjoramtide/peers/_client.py
@@ -27,7 +27,7 @@
 from marjoramtide.peers._link import Link
 from marjoramtide.peers._peer_sign import PeerSign
 from marjoramtide.peers._run_link import RunLink
-from marjoramtide.sockets import notice_silence
+from marjoramtide.sockets import enable_keepalive
 
 CONNECT_TIMEOUT_S = 0.5
 
@@ -138,7 +138,7 @@
                     proxy=None,
                     user_agent_header=None,
                 )
-            notice_silence(socket.transport.get_extra_info("socket"))
+            enable_keepalive(socket.transport.get_extra_info("socket"))
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 await open_as_client(socket, self.key, lane, address)
         except (OSError, TimeoutError, WebSocketException) as error:
--- a/src/marjoramtide/peers/_run_session.py
+++ b/src/marjoramtide/peers/_run_session.py
@@ -4,7 +4,7 @@
 from websockets.asyncio.server import ServerConnection
 from websockets.exceptions import ConnectionClosed, ConnectionClosedError
 
-from marjoramtide.checked import is_number
+from marjoramtide.checked import is_unsigned_int
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.peers._codec import decode
@@ -71,8 +71,8 @@
 def read_runs(message: object) -> RunsMessage:
     """Return a message of tickets and fingerprints; raises ``bad-frame`` for anything else."""
     if isinstance(message, RunsMessage):
-        is_sound = all(map(is_number, message.ended)) and all(
-            isinstance(run, list) and len(run) == 2 and all(map(is_number, run))
+        is_sound = all(map(is_unsigned_int, message.ended)) and all(
+            isinstance(run, list) and len(run) == 2 and all(map(is_unsigned_int, run))
             for run in message.begun
         )
         if is_sound:
--- a/src/marjoramtide/peers/_server.py
+++ b/src/marjoramtide/peers/_server.py
@@ -22,7 +22,7 @@
 from marjoramtide.peers._run_listener import RunListener
 from marjoramtide.peers._run_session import RunSession
 from marjoramtide.peers._session import QuestionHandler, Session
-from marjoramtide.sockets import notice_silence
+from marjoramtide.sockets import enable_keepalive
 
 log = structlog.get_logger()
 
@@ -64,7 +64,7 @@
     async def accept(self, socket: ServerConnection) -> None:
         """Serve one connection after its handshake."""
         peer = "{}:{}".format(*socket.remote_address[:2])
-        notice_silence(socket.transport.get_extra_info("socket"))
+        enable_keepalive(socket.transport.get_extra_info("socket"))
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 lane = await open_as_server(socket, self.key, peer)
--- a/src/marjoramtide/platform/_apps.py
+++ b/src/marjoramtide/platform/_apps.py
@@ -4,7 +4,7 @@
 
 from aiohttp import web
 
-from marjoramtide.checked import MalformedError, read_json
+from marjoramtide.checked import MalformedError, parse_json
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.platform._heartbeat import read_departure, read_identity, read_registration
 from marjoramtide.serving import Registrar
@@ -35,7 +35,7 @@
     async def heartbeat(http: web.Request) -> web.Response:
         instance = http.match_info["instance"]
         try:
-            heard = read_registration(instance, read_json(await http.read()))
+            heard = read_registration(instance, parse_json(await http.read()))
             await registrar.register(heard)
         except MalformedError as error:
             registrar.reject_malformed(instance, str(error))
@@ -48,7 +48,7 @@
         instance = http.match_info["instance"]
         try:
             body = await http.read()
-            born = read_departure(read_json(body)) if body else None
+            born = read_departure(parse_json(body)) if body else None
             registrar.deregister(read_identity(instance), born)
         except MalformedError as error:
             registrar.reject_malformed(instance, str(error))
--- a/src/marjoramtide/platform/_heartbeat.py
+++ b/src/marjoramtide/platform/_heartbeat.py
@@ -6,7 +6,7 @@
 import attrs
 from attrs.validators import ge, le, matches_re, optional
 
-from marjoramtide.checked import MalformedError, read_as, renamed
+from marjoramtide.checked import MalformedError, rename_keys, structure_as
 from marjoramtide.serving import Registration
 from marjoramtide.settings import check_address
 
@@ -80,12 +80,12 @@
 
 def read_registration(instance: str, body: Any) -> Registration:
     """Read the body of a heartbeat; raises ``MalformedError`` where another writer spoiled it."""
-    fields = renamed(body, HEARTBEAT)
+    fields = rename_keys(body, HEARTBEAT)
     for part, names in (("info", INFO), ("status", STATUS)):
-        fields[part] = renamed(fields.get(part), names)
+        fields[part] = rename_keys(fields.get(part), names)
     if "born" in fields and fields["born"] is None:
         raise MalformedError("born: a whole number is wanted, not null")
-    heard = read_as(Heartbeat, fields)
+    heard = structure_as(Heartbeat, fields)
     return Registration(
         instance=read_identity(instance),
         address=heard.address,
@@ -102,9 +102,9 @@
 
 def read_identity(text: str) -> str:
     """Return an identity; raises ``MalformedError`` for what can't be one."""
-    return read_as(Identity, {"text": text}).text
+    return structure_as(Identity, {"text": text}).text
 
 
 def read_departure(body: Any) -> int | None:
     """Return the time of birth that came with a departure, if any; raises ``MalformedError``."""
-    return read_as(Departure, renamed(body, {"born": "born"})).born
+    return structure_as(Departure, rename_keys(body, {"born": "born"})).born
--- a/src/marjoramtide/platform/_interface.py
+++ b/src/marjoramtide/platform/_interface.py
@@ -43,7 +43,7 @@
         registration_app=make_registration_app,
         stop_grace_s=bounds.stop_grace_s,
         stop_linger_s=READINESS_MISSES_S,
-        takes_keys=False,
+        uses_idempotency_keys=False,
         evacuations=EVACUATIONS if bounds.evacuation_ms is not None else "",
     )
 
--- a/src/marjoramtide/platform/_store_protocol.py
+++ b/src/marjoramtide/platform/_store_protocol.py
@@ -10,7 +10,7 @@
 
 import attrs
 
-from marjoramtide.checked import MalformedError, read_as, read_json, renamed
+from marjoramtide.checked import MalformedError, parse_json, rename_keys, structure_as
 from marjoramtide.platform._headers import STORE_EPOCH
 from marjoramtide.platform._stored import (
     LISTED_FIELDS,
@@ -24,27 +24,27 @@
     Watched,
 )
 from marjoramtide.store import (
-    Answer,
     Call,
+    CallOutcome,
     Changes,
-    Meaning,
     Page,
     StoredObject,
     StoreProtocol,
+    StoreResponse,
     WatchEvent,
 )
 
 T = TypeVar("T")
 
-READ = {200: Meaning.DONE, 404: Meaning.MISSING}
-LISTED = {200: Meaning.DONE}
-WATCHED = {200: Meaning.DONE, 410: Meaning.GAP}
+READ = {200: CallOutcome.DONE, 404: CallOutcome.MISSING}
+LISTED = {200: CallOutcome.DONE}
+WATCHED = {200: CallOutcome.DONE, 410: CallOutcome.GAP}
 WRITTEN = {
-    200: Meaning.DONE,
-    201: Meaning.DONE,
-    204: Meaning.DONE,
-    404: Meaning.MISSING,
-    409: Meaning.CONFLICT,
+    200: CallOutcome.DONE,
+    201: CallOutcome.DONE,
+    204: CallOutcome.DONE,
+    404: CallOutcome.MISSING,
+    409: CallOutcome.CONFLICT,
 }
 CERTAINLY_NOTHING_DONE = 503
 LONGEST_WAIT_MS = 30_000
@@ -90,11 +90,11 @@
         params = {"Watch": str(since), "WaitMs": str(wait_ms)}
         return Call("store.watch", "GET", kind_path(prefix), WATCHED, params=params)
 
-    def read_object(self, key: str, answer: Answer) -> StoredObject:
-        return stored_object(kind_of(key), read_json(answer.body))
+    def read_object(self, key: str, answer: StoreResponse) -> StoredObject:
+        return stored_object(kind_of(key), parse_json(answer.body))
 
-    def read_page(self, prefix: str, answer: Answer) -> Page:
-        listed = read_as(Listed, renamed(read_json(answer.body), LISTED_FIELDS))
+    def read_page(self, prefix: str, answer: StoreResponse) -> Page:
+        listed = structure_as(Listed, rename_keys(parse_json(answer.body), LISTED_FIELDS))
         objects = list(readable(partial(stored_object, kind_of(prefix)), listed.items))
         if listed.has_more and not objects:
             raise MalformedError(
@@ -107,14 +107,14 @@
             len(listed.items) - len(objects),
         )
 
-    def read_written(self, key: str, value: bytes, answer: Answer) -> StoredObject:
-        return attrs.evolve(stored_object(kind_of(key), read_json(answer.body)), value=value)
+    def read_written(self, key: str, value: bytes, answer: StoreResponse) -> StoredObject:
+        return attrs.evolve(stored_object(kind_of(key), parse_json(answer.body)), value=value)
 
     def read_event(self, prefix: str, line: bytes) -> WatchEvent:
         raise NotImplementedError("watches of this store don't stream")
 
     def read_events(self, prefix: str, body: bytes) -> Changes:
-        watched = read_as(Watched, renamed(read_json(body), WATCHED_FIELDS))
+        watched = structure_as(Watched, rename_keys(parse_json(body), WATCHED_FIELDS))
         events = list(readable(partial(watch_event, kind_of(prefix)), watched.events))
         return Changes(
             [each for each in events if each.key.startswith(prefix)],
@@ -168,9 +168,9 @@
     """
     if isinstance(specification, dict) and len(specification) == 1:
         if TEXT in specification:
-            return read_as(TextValue, specification).text.encode()
+            return structure_as(TextValue, specification).text.encode()
         if BYTES in specification:
-            return decoded(read_as(BytesValue, specification).base64)
+            return decoded(structure_as(BytesValue, specification).base64)
     return json.dumps(specification, separators=(",", ":")).encode()
 
 
@@ -194,14 +194,16 @@
 
 def stored_object(kind: str, item: Any) -> StoredObject:
     """Read one object of a kind; raises ``MalformedError``."""
-    fields = renamed(item, {"Metadata": "metadata", "Specification": "specification"})
-    metadata = read_as(ObjectMetadata, renamed(fields.get("metadata"), METADATA_FIELDS))
+    fields = rename_keys(item, {"Metadata": "metadata", "Specification": "specification"})
+    metadata = structure_as(ObjectMetadata, rename_keys(fields.get("metadata"), METADATA_FIELDS))
     value = b"" if kind in TOLD_BY_NAME else unpack(fields.get("specification"))
     return StoredObject(f"{kind}/{metadata.name}", value, metadata.revision)
 
 
 def watch_event(kind: str, entry: Any) -> WatchEvent:
     """Read one change of an object of a kind; raises ``MalformedError``."""
-    change = read_as(ObjectChange, renamed(entry, {"Removed": "removed", "Object": "object"}))
+    change = structure_as(
+        ObjectChange, rename_keys(entry, {"Removed": "removed", "Object": "object"})
+    )
     stored = stored_object(kind, change.object)
     return WatchEvent(stored.key, stored.version, None if change.removed else stored)
--- a/src/marjoramtide/quarantine/_news_codec.py
+++ b/src/marjoramtide/quarantine/_news_codec.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from marjoramtide.checked import MalformedError, is_number
+from marjoramtide.checked import MalformedError, is_unsigned_int
 from marjoramtide.policy import MAX_CRASHES, ServerCrash, SuspectReport
 
 SUBJECT = "quarantine"
@@ -75,7 +75,7 @@
     fingerprint, crashes, cleared, trial_ms = wire[:FIELDS]
     if not all(isinstance(each, list) and len(each) <= MAX_CRASHES for each in (crashes, cleared)):
         raise MalformedError("no list of ends")
-    if not all(map(is_number, (fingerprint, *cleared))):
+    if not all(map(is_unsigned_int, (fingerprint, *cleared))):
         raise MalformedError("no number of 64 bits")
     if not is_duration(trial_ms):
         raise MalformedError("no duration of a trial")
@@ -89,7 +89,7 @@
     if not isinstance(wire, list) or len(wire) < END_FIELDS:
         raise MalformedError("no end of a server")
     number, age_ms, ran_ms = wire[:END_FIELDS]
-    if not is_number(number) or not all(map(is_duration, (age_ms, ran_ms))):
+    if not is_unsigned_int(number) or not all(map(is_duration, (age_ms, ran_ms))):
         raise MalformedError("no number or time of an end")
     return ServerCrash(number, age_ms / 1000, ran_ms / 1000)
 
--- a/src/marjoramtide/serving/_backend_connection.py
+++ b/src/marjoramtide/serving/_backend_connection.py
@@ -7,7 +7,7 @@
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import RequestBody
 from marjoramtide.serving._backend_response import BackendResponse
-from marjoramtide.sockets import notice_silence
+from marjoramtide.sockets import enable_keepalive
 
 
 class BackendConnection(asyncio.Protocol):
@@ -31,7 +31,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
-        notice_silence(transport.get_extra_info("socket"))
+        enable_keepalive(transport.get_extra_info("socket"))
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.writable.set()
--- a/src/marjoramtide/serving/_idempotency_key_dispatcher.py
+++ b/src/marjoramtide/serving/_idempotency_key_dispatcher.py
@@ -59,7 +59,7 @@
             )
         except MarjoramtideError as error:
             raise NotRunError(error.code, error.message, step=STEP) from error
-        if not result.may_run:
+        if not result.can_run:
             return self.replay_or_reject(result)
         if result.handle is None:
             log.warning("serving.unclaimed", reason=result.detail, service=request.service)
@@ -72,7 +72,7 @@
         handle: ClaimHandle,
         forward: Callable[[Execution], Awaitable[Response]],
     ) -> Response:
-        if not handle.may_dispatch(self.clock.monotonic()):
+        if not handle.can_dispatch(self.clock.monotonic()):
             # A node that was stopped between claim and dispatch must not act on a claim that may
             # have ended meanwhile; it has sent nothing, so the key is given back.
             await self.release(execution, handle)
@@ -129,7 +129,7 @@
     async def drain(self) -> None:
         """Wait for the records on their way, for a planned stop."""
         await asyncio.gather(*self.background, return_exceptions=True)
-        await self.claims.settle(2.0)
+        await self.claims.flush(2.0)
 
 
 def recorded_answer(record: ClaimRecord) -> Response:
--- a/src/marjoramtide/settings/_envelope.py
+++ b/src/marjoramtide/settings/_envelope.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from marjoramtide.checked import MalformedError, read_as, read_json
+from marjoramtide.checked import MalformedError, parse_json, structure_as
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 
 FORMAT = 1
@@ -69,7 +69,7 @@
 def decode_envelope(data: bytes) -> Envelope:
     """Read the stored form; raises ``bad-settings`` where it isn't one that this version knows."""
     try:
-        return read_as(Envelope, read_json(data))
+        return structure_as(Envelope, parse_json(data))
     except MalformedError as error:
         raise MarjoramtideError(
             ErrorCode.BAD_SETTINGS, f"not a settings envelope: {error}", step="settings.decode"
--- a/src/marjoramtide/settings/_freshness.py
+++ b/src/marjoramtide/settings/_freshness.py
@@ -68,6 +68,6 @@
         self.freeze.was_frozen(now)
         if self.caught_up_at is None or self.unreadable:
             return False
-        if self.caught_up_at < self.freeze.thawed_at:
+        if self.caught_up_at < self.freeze.resumed_at:
             return False
         return now - self.caught_up_at <= self.bound_s
--- a/src/marjoramtide/settings/sync/_prover.py
+++ b/src/marjoramtide/settings/sync/_prover.py
@@ -64,7 +64,7 @@
         alone, since all of them have called it in vain for a while.
         """
         if self.bound_s:
-            self.follower.trees.store.ask_again_within(STORE_PAUSE_SHARE * self.bound_s)
+            self.follower.trees.store.set_max_retry_pause(STORE_PAUSE_SHARE * self.bound_s)
 
     def _pause_s(self) -> float:
         """Return after how many seconds to look whether the proof is due."""
--- a/src/marjoramtide/sockets/__init__.py
+++ b/src/marjoramtide/sockets/__init__.py
@@ -1,6 +1,6 @@
 """The sockets that a node opens: their options, and small HTTP servers."""
 
 from marjoramtide.sockets._app_server import AppServer
-from marjoramtide.sockets._silence import notice_silence
+from marjoramtide.sockets._silence import enable_keepalive
 
-__all__ = ["AppServer", "notice_silence"]
+__all__ = ["AppServer", "enable_keepalive"]
--- a/src/marjoramtide/sockets/_silence.py
+++ b/src/marjoramtide/sockets/_silence.py
@@ -12,7 +12,7 @@
 UNACKNOWLEDGED_MS = 3000
 
 
-def notice_silence(open_socket: socket.socket) -> None:
+def enable_keepalive(open_socket: socket.socket) -> None:
     """Let the system end a connection whose other end no longer answers.
 
     Failure: a machine loses power, or a link is cut, and nothing resets the connection. Whoever
--- a/src/marjoramtide/store/__init__.py
+++ b/src/marjoramtide/store/__init__.py
@@ -1,10 +1,10 @@
 """The store of what must last: the interface, the one client, and what it does when calls fail."""
 
-from marjoramtide.store._call import Answer, Call, Meaning
+from marjoramtide.store._call import Call, CallOutcome, StoreResponse
 from marjoramtide.store._http_object_store import HttpObjectStore, open_object_store
 from marjoramtide.store._listing import Listing
 from marjoramtide.store._object_store import ObjectStore
-from marjoramtide.store._own_protocol import OwnStoreProtocol
+from marjoramtide.store._own_protocol import DefaultStoreProtocol
 from marjoramtide.store._resolution import Resolution
 from marjoramtide.store._resolved_write import create_resolved, update_resolved
 from marjoramtide.store._store_limits import StoreLimits
@@ -14,18 +14,18 @@
 from marjoramtide.store._watch_event import WatchEvent
 
 __all__ = [
-    "Answer",
     "Call",
+    "CallOutcome",
     "Changes",
+    "DefaultStoreProtocol",
     "HttpObjectStore",
     "Listing",
-    "Meaning",
     "ObjectStore",
-    "OwnStoreProtocol",
     "Page",
     "Resolution",
     "StoreLimits",
     "StoreProtocol",
+    "StoreResponse",
     "StoredObject",
     "WatchEvent",
     "create_resolved",
--- a/src/marjoramtide/store/_call.py
+++ b/src/marjoramtide/store/_call.py
@@ -6,7 +6,7 @@
 import attrs
 
 
-class Meaning(Enum):
+class CallOutcome(Enum):
     """What a status says of the object that a call is about."""
 
     DONE = "done"
@@ -16,13 +16,13 @@
 
 
 @attrs.frozen(slots=True)
-class Answer:
+class StoreResponse:
     """A whole answer of the store; ``epoch`` is that of the store which gave it."""
 
     status: int
     headers: Mapping[str, str]
     body: bytes
-    meaning: Meaning
+    meaning: CallOutcome
     epoch: int = 0
 
 
@@ -36,7 +36,7 @@
     step: str
     method: str
     path: str
-    meanings: Mapping[int, Meaning]
+    meanings: Mapping[int, CallOutcome]
     params: Mapping[str, str] = attrs.field(factory=dict)
     headers: Mapping[str, str] = attrs.field(factory=dict)
     body: bytes | None = None
--- a/src/marjoramtide/store/_http_object_store.py
+++ b/src/marjoramtide/store/_http_object_store.py
@@ -14,7 +14,7 @@
 from marjoramtide.clock import Clock, SystemClock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.store._backoff import full_jitter
-from marjoramtide.store._call import Answer, Call, Meaning
+from marjoramtide.store._call import Call, CallOutcome, StoreResponse
 from marjoramtide.store._call_budget import CallBudget
 from marjoramtide.store._call_failed import AnswerLostError, CallNotSentError
 from marjoramtide.store._circuit import Circuit
@@ -22,7 +22,7 @@
 from marjoramtide.store._http_session import open_session
 from marjoramtide.store._listing import Listing
 from marjoramtide.store._object_store import ObjectStore
-from marjoramtide.store._own_protocol import OwnStoreProtocol
+from marjoramtide.store._own_protocol import DefaultStoreProtocol
 from marjoramtide.store._store_limits import StoreLimits
 from marjoramtide.store._store_protocol import Changes, StoreProtocol
 from marjoramtide.store._stored_object import StoredObject
@@ -74,16 +74,16 @@
     def epoch(self) -> int:
         return self.heard.number
 
-    def on_epoch(self, listener: Callable[[int], None]) -> None:
+    def on_epoch_change(self, listener: Callable[[int], None]) -> None:
         self.heard.listeners.append(listener)
 
-    def hear_epoch(self, epoch: int) -> None:
+    def observe_epoch(self, epoch: int) -> None:
         self.heard.hear(epoch, self.url)
 
     async def get(self, key: str, *, timeout: float = 2.0) -> StoredObject:
         call = self.protocol.get(key)
         answer = await self.call(call, timeout)
-        if answer.meaning is Meaning.MISSING:
+        if answer.meaning is CallOutcome.MISSING:
             raise self.error(ErrorCode.NOT_FOUND, key, call.step)
         with self.parsing(ErrorCode.STORE_UNAVAILABLE, call.step):
             return dated(self.protocol.read_object(key, answer), answer.epoch)
@@ -91,7 +91,7 @@
     async def list(self, prefix: str, *, timeout: float = 2.0) -> Listing:
         return await self.list_pages(prefix, timeout, may_be_old=False)
 
-    async def list_lately(self, prefix: str, *, timeout: float = 2.0) -> Listing:
+    async def list_allow_stale(self, prefix: str, *, timeout: float = 2.0) -> Listing:
         return await self.list_pages(prefix, timeout, may_be_old=True)
 
     async def list_pages(self, prefix: str, timeout: float, *, may_be_old: bool) -> Listing:
@@ -140,7 +140,7 @@
             raise self.error(ErrorCode.VERSION_CONFLICT, f"{key}: of an earlier epoch", step)
         return revision_of(version)
 
-    def check_epoch(self, answer: Answer, version: int, call: Call) -> None:
+    def check_epoch(self, answer: StoreResponse, version: int, call: Call) -> None:
         """Raise ``store-ambiguous`` where a write met another epoch than that of its condition.
 
         This node heard of the new epoch by the answer alone. What the write has replaced is not
@@ -206,7 +206,7 @@
         try:
             async with self.request(call, timeout) as response:
                 has_answered = True
-                if self.settle(call, response.status, response.headers) is Meaning.GAP:
+                if self.settle(call, response.status, response.headers) is CallOutcome.GAP:
                     raise self.error(ErrorCode.NOT_FOUND, "the history is gone", call.step)
                 self.check_history(call, since)
                 yield response
@@ -236,7 +236,7 @@
             with suppress(ValueError):
                 self.offset = parsedate_to_datetime(date).timestamp() - wall
 
-    def ask_again_within(self, seconds: float) -> None:
+    def set_max_retry_pause(self, seconds: float) -> None:
         self.circuit.longest_pause = seconds
 
     async def close(self) -> None:
@@ -244,22 +244,24 @@
             await self.session.close()
             self.session = None
 
-    def read_written(self, call: Call, key: str, value: bytes, answer: Answer) -> StoredObject:
+    def read_written(
+        self, call: Call, key: str, value: bytes, answer: StoreResponse
+    ) -> StoredObject:
         with self.parsing(ErrorCode.STORE_AMBIGUOUS, call.step):
             return dated(self.protocol.read_written(key, value, answer), answer.epoch)
 
-    async def write(self, call: Call, key: str, value: bytes, timeout: float) -> Answer:
+    async def write(self, call: Call, key: str, value: bytes, timeout: float) -> StoreResponse:
         if len(value) > MAX_VALUE_BYTES:
             message = f"{key}: {len(value)} bytes; at most {MAX_VALUE_BYTES} are allowed"
             raise self.error(ErrorCode.BAD_REQUEST, message, call.step)
         answer = await self.call(call, timeout)
-        if answer.meaning is Meaning.CONFLICT:
+        if answer.meaning is CallOutcome.CONFLICT:
             raise self.error(ErrorCode.VERSION_CONFLICT, key, call.step)
-        if answer.meaning is Meaning.MISSING:
+        if answer.meaning is CallOutcome.MISSING:
             raise self.error(ErrorCode.NOT_FOUND, key, call.step)
         return answer
 
-    async def call(self, call: Call, timeout: float) -> Answer:
+    async def call(self, call: Call, timeout: float) -> StoreResponse:
         """Make the call, again where that is safe, until ``timeout`` seconds have passed."""
         deadline = self.clock.monotonic() + timeout
         for attempt in range(1, MAX_TRIES + 1):
@@ -274,7 +276,7 @@
                 await self.clock.sleep(pause)
         raise AssertionError("unreachable")
 
-    async def call_once(self, call: Call, deadline: float) -> Answer:
+    async def call_once(self, call: Call, deadline: float) -> StoreResponse:
         """Make the call once, and tell what is known of its effect where it fails."""
         budget = self.writes if call.is_write else self.reads
         await budget.take(deadline, call.step)
@@ -303,7 +305,7 @@
         self.note_time(answer.headers.get("Date", ""), wall, self.clock.monotonic() - began)
         return answer
 
-    async def exchange(self, call: Call, left: float) -> Answer:
+    async def exchange(self, call: Call, left: float) -> StoreResponse:
         # Waiting for a connection ends sooner than the whole, so that a call that never left is
         # told apart from one whose answer did not come.
         timeout = aiohttp.ClientTimeout(total=left, connect=left * 0.9)
@@ -311,7 +313,7 @@
             body = await response.read()
             meaning = self.settle(call, response.status, response.headers)
             epoch = self.read_epoch(call, response.headers)
-            return Answer(response.status, response.headers, body, meaning, epoch)
+            return StoreResponse(response.status, response.headers, body, meaning, epoch)
 
     def request(
         self, call: Call, timeout: aiohttp.ClientTimeout
@@ -327,9 +329,9 @@
             allow_redirects=False,
         )
 
-    def settle(self, call: Call, status: int, headers: Mapping[str, str]) -> Meaning:
+    def settle(self, call: Call, status: int, headers: Mapping[str, str]) -> CallOutcome:
         """Return what a status says of the object; raises for those that say nothing of it."""
-        self.hear_epoch(self.read_epoch(call, headers))
+        self.observe_epoch(self.read_epoch(call, headers))
         if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
             self.circuit.failed()
             unsure = call.is_write and not self.protocol.certainly_refused(status, headers)
@@ -403,7 +405,7 @@
         )
     return HttpObjectStore(
         url,
-        protocol or OwnStoreProtocol(),
+        protocol or DefaultStoreProtocol(),
         clock or SystemClock(),
         rng or random.Random(),
         limits or StoreLimits(),
--- a/src/marjoramtide/store/_http_session.py
+++ b/src/marjoramtide/store/_http_session.py
@@ -4,7 +4,7 @@
 
 import aiohttp
 
-from marjoramtide.sockets import notice_silence
+from marjoramtide.sockets import enable_keepalive
 from marjoramtide.store._call_failed import no_resend
 
 CONNECTIONS = 16
@@ -33,5 +33,5 @@
     """
     family, kind, proto, _, _ = info
     made = socket.socket(family, kind, proto)
-    notice_silence(made)
+    enable_keepalive(made)
     return made
--- a/src/marjoramtide/store/_object_store.py
+++ b/src/marjoramtide/store/_object_store.py
@@ -27,11 +27,11 @@
         """Return the newest epoch that this node has heard of, 0 in a store that tells none."""
         return 0
 
-    def hear_epoch(self, epoch: int) -> None:
+    def observe_epoch(self, epoch: int) -> None:
         """Take note of an epoch that another node has told of."""
         return None
 
-    def on_epoch(self, listener: Callable[[int], None]) -> None:
+    def on_epoch_change(self, listener: Callable[[int], None]) -> None:
         """Call ``listener`` with each epoch that follows the first one heard of."""
         return None
 
@@ -46,7 +46,7 @@
         The listing's ``version`` is where a watch goes on.
         """
 
-    async def list_lately(self, prefix: str, *, timeout: float = 2.0) -> Listing:
+    async def list_allow_stale(self, prefix: str, *, timeout: float = 2.0) -> Listing:
         """Return what ``list`` does, perhaps as it was some seconds ago.
 
         Cheaper, where the store offers that; only for readers who can tell what is missing.
@@ -75,7 +75,7 @@
         (a gap): the reader lists anew.
         """
 
-    def ask_again_within(self, seconds: float) -> None:
+    def set_max_retry_pause(self, seconds: float) -> None:
         """Leave a store that doesn't answer alone for no longer than that between two calls."""
         return None
 
--- a/src/marjoramtide/store/_own_protocol.py
+++ b/src/marjoramtide/store/_own_protocol.py
@@ -6,26 +6,29 @@
 from http import HTTPStatus
 from urllib.parse import quote
 
-from marjoramtide.store._call import Answer, Call, Meaning
+from marjoramtide.store._call import Call, CallOutcome, StoreResponse
 from marjoramtide.store._store_protocol import Changes, Page, StoreProtocol
 from marjoramtide.store._stored_object import StoredObject
 from marjoramtide.store._watch_event import WatchEvent
 
-FOUND_OR_NOT: dict[int, Meaning] = {
-    HTTPStatus.OK: Meaning.DONE,
-    HTTPStatus.NOT_FOUND: Meaning.MISSING,
+FOUND_OR_NOT: dict[int, CallOutcome] = {
+    HTTPStatus.OK: CallOutcome.DONE,
+    HTTPStatus.NOT_FOUND: CallOutcome.MISSING,
 }
-LISTED: dict[int, Meaning] = {HTTPStatus.OK: Meaning.DONE}
-WATCHED_OR_GAP: dict[int, Meaning] = {HTTPStatus.OK: Meaning.DONE, HTTPStatus.GONE: Meaning.GAP}
-WRITTEN_OR_LOST: dict[int, Meaning] = {
-    HTTPStatus.OK: Meaning.DONE,
-    HTTPStatus.CREATED: Meaning.DONE,
-    HTTPStatus.NO_CONTENT: Meaning.DONE,
-    HTTPStatus.PRECONDITION_FAILED: Meaning.CONFLICT,
+LISTED: dict[int, CallOutcome] = {HTTPStatus.OK: CallOutcome.DONE}
+WATCHED_OR_GAP: dict[int, CallOutcome] = {
+    HTTPStatus.OK: CallOutcome.DONE,
+    HTTPStatus.GONE: CallOutcome.GAP,
+}
+WRITTEN_OR_LOST: dict[int, CallOutcome] = {
+    HTTPStatus.OK: CallOutcome.DONE,
+    HTTPStatus.CREATED: CallOutcome.DONE,
+    HTTPStatus.NO_CONTENT: CallOutcome.DONE,
+    HTTPStatus.PRECONDITION_FAILED: CallOutcome.CONFLICT,
 }
 
 
-class OwnStoreProtocol(StoreProtocol):
+class DefaultStoreProtocol(StoreProtocol):
     """Keys in the path, versions as entity tags, watches as JSON lines."""
 
     streams_watches = True
@@ -51,14 +54,14 @@
         params = {"prefix": prefix, "since": str(since), "wait": f"{wait_s:g}"}
         return Call("store.watch", "GET", "/v1/watch", WATCHED_OR_GAP, params=params)
 
-    def read_object(self, key: str, answer: Answer) -> StoredObject:
+    def read_object(self, key: str, answer: StoreResponse) -> StoredObject:
         return StoredObject(key, answer.body, version_of(answer))
 
-    def read_page(self, prefix: str, answer: Answer) -> Page:
+    def read_page(self, prefix: str, answer: StoreResponse) -> Page:
         listed = json.loads(answer.body)
         return Page([stored_object(entry) for entry in listed["objects"]], int(listed["version"]))
 
-    def read_written(self, key: str, value: bytes, answer: Answer) -> StoredObject:
+    def read_written(self, key: str, value: bytes, answer: StoreResponse) -> StoredObject:
         return StoredObject(key, value, version_of(answer))
 
     def read_event(self, prefix: str, line: bytes) -> WatchEvent:
@@ -87,7 +90,7 @@
     return Call(step, "PUT", path, WRITTEN_OR_LOST, headers=condition, body=value)
 
 
-def version_of(answer: Answer) -> int:
+def version_of(answer: StoreResponse) -> int:
     return int(answer.headers["ETag"].strip('"'))
 
 
--- a/src/marjoramtide/store/_store_protocol.py
+++ b/src/marjoramtide/store/_store_protocol.py
@@ -5,7 +5,7 @@
 
 import attrs
 
-from marjoramtide.store._call import Answer, Call
+from marjoramtide.store._call import Call, StoreResponse
 from marjoramtide.store._stored_object import StoredObject
 from marjoramtide.store._watch_event import WatchEvent
 
@@ -73,15 +73,15 @@
         """Form the call that waits for changes after version ``since``."""
 
     @abstractmethod
-    def read_object(self, key: str, answer: Answer) -> StoredObject:
+    def read_object(self, key: str, answer: StoreResponse) -> StoredObject:
         """Read the answer to ``get``."""
 
     @abstractmethod
-    def read_page(self, prefix: str, answer: Answer) -> Page:
+    def read_page(self, prefix: str, answer: StoreResponse) -> Page:
         """Read the answer to ``list_page``."""
 
     @abstractmethod
-    def read_written(self, key: str, value: bytes, answer: Answer) -> StoredObject:
+    def read_written(self, key: str, value: bytes, answer: StoreResponse) -> StoredObject:
         """Read the answer to a write that took effect."""
 
     @abstractmethod
