--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -64,8 +64,8 @@
 
 
 @given("a node that may make {burst:d} writes at once and {rate:d} a second")
-def given_small_budget(context: Any, burst: int, rate: int) -> None:
-    limits = StoreLimits(writes_per_s=rate, write_burst=burst)
+def given_small_budget(context: Any, burst: int, rate_per_s: int) -> None:
+    limits = StoreLimits(writes_per_s=rate_per_s, write_burst=burst)
     context.node = context.store.client(limits)
 
 
@@ -257,14 +257,14 @@
 
 
 @then("the node's write budget is at most {rate:d} calls a second")
-def then_budget_below(context: Any, rate: int) -> None:
-    assert context.node.writes.rate <= rate, context.node.writes.rate
+def then_budget_below(context: Any, rate_per_s: int) -> None:
+    assert context.node.write_budget.rate_per_s <= rate_per_s, context.node.write_budget.rate_per_s
 
 
 @then("the node's write budget is {rate:d} calls a second")
-def then_budget_is(context: Any, rate: int) -> None:
-    context.node.writes.refill()
-    assert context.node.writes.rate == rate, context.node.writes.rate
+def then_budget_is(context: Any, rate_per_s: int) -> None:
+    context.node.write_budget.refill()
+    assert context.node.write_budget.rate_per_s == rate_per_s, context.node.write_budget.rate_per_s
 
 
 @then('the others failed as "{code}"')
--- a/src/marjoramtide/platform/_store_protocol.py
+++ b/src/marjoramtide/platform/_store_protocol.py
@@ -26,12 +26,12 @@
 from marjoramtide.store import (
     Call,
     CallOutcome,
-    Changes,
-    Page,
+    ListPage,
     StoredObject,
     StoreProtocol,
     StoreResponse,
     WatchEvent,
+    WatchResponse,
 )
 
 T = TypeVar("T")
@@ -70,8 +70,8 @@
     def get(self, key: str) -> Call:
         return Call("store.get", "GET", object_path(key), READ)
 
-    def list_page(self, prefix: str, after: str, *, may_be_old: bool = False) -> Call:
-        params = ({"after": after} if after else {}) | ({"StaleOk": "1"} if may_be_old else {})
+    def list_page(self, prefix: str, after: str, *, allow_stale: bool = False) -> Call:
+        params = ({"after": after} if after else {}) | ({"StaleOk": "1"} if allow_stale else {})
         return Call("store.list", "GET", kind_path(prefix), LISTED, params=params)
 
     def create(self, key: str, value: bytes) -> Call:
@@ -90,33 +90,33 @@
         params = {"Watch": str(since), "WaitMs": str(wait_ms)}
         return Call("store.watch", "GET", kind_path(prefix), WATCHED, params=params)
 
-    def read_object(self, key: str, answer: StoreResponse) -> StoredObject:
-        return stored_object(kind_of(key), parse_json(answer.body))
+    def read_object(self, key: str, response: StoreResponse) -> StoredObject:
+        return stored_object(kind_of(key), parse_json(response.body))
 
-    def read_page(self, prefix: str, answer: StoreResponse) -> Page:
-        listed = structure_as(Listed, rename_keys(parse_json(answer.body), LISTED_FIELDS))
+    def read_page(self, prefix: str, response: StoreResponse) -> ListPage:
+        listed = structure_as(Listed, rename_keys(parse_json(response.body), LISTED_FIELDS))
         objects = list(readable(partial(stored_object, kind_of(prefix)), listed.items))
         if listed.has_more and not objects:
             raise MalformedError(
                 "a part of a list in which nothing can be read, so none may follow"
             )
-        return Page(
+        return ListPage(
             [each for each in objects if each.key.startswith(prefix)],
             listed.revision,
             name_of(objects[-1].key) if listed.has_more else "",
             len(listed.items) - len(objects),
         )
 
-    def read_written(self, key: str, value: bytes, answer: StoreResponse) -> StoredObject:
-        return attrs.evolve(stored_object(kind_of(key), parse_json(answer.body)), value=value)
+    def read_written(self, key: str, value: bytes, response: StoreResponse) -> StoredObject:
+        return attrs.evolve(stored_object(kind_of(key), parse_json(response.body)), value=value)
 
     def read_event(self, prefix: str, line: bytes) -> WatchEvent:
         raise NotImplementedError("watches of this store don't stream")
 
-    def read_events(self, prefix: str, body: bytes) -> Changes:
+    def read_events(self, prefix: str, body: bytes) -> WatchResponse:
         watched = structure_as(Watched, rename_keys(parse_json(body), WATCHED_FIELDS))
         events = list(readable(partial(watch_event, kind_of(prefix)), watched.events))
-        return Changes(
+        return WatchResponse(
             [each for each in events if each.key.startswith(prefix)],
             watched.revision,
             len(watched.events) - len(events),
@@ -128,7 +128,7 @@
             raise MalformedError(f"{STORE_EPOCH}: {text[:40]!r} is no number")
         return int(text)
 
-    def certainly_refused(self, status: int, headers: Mapping[str, str]) -> bool:
+    def is_definite_refusal(self, status: int, headers: Mapping[str, str]) -> bool:
         return status == CERTAINLY_NOTHING_DONE
 
 
--- a/src/marjoramtide/store/_backoff.py
+++ b/src/marjoramtide/store/_backoff.py
@@ -1,15 +1,15 @@
-"""Pauses between tries."""
+"""Pauses between attempts."""
 
 import random
 
-FIRST_S = 0.02
-LONGEST_S = 1.0
+BASE_PAUSE_S = 0.02
+MAX_PAUSE_S = 1.0
 
 
 def full_jitter(attempt: int, rng: random.Random) -> float:
-    """Return the pause in seconds after try number ``attempt``, counted from 1.
+    """Return the pause in seconds after attempt number ``attempt``, counted from 1.
 
-    Drawn evenly from zero to a bound that doubles ("full jitter", Brooker, 2015): callers that
-    failed together come back spread out.
+    It is uniform between zero and an exponentially growing bound ("full jitter", Brooker, 2015), so
+    that callers that failed together do not retry together.
     """
-    return rng.uniform(0, min(LONGEST_S, FIRST_S * 2**attempt))
+    return rng.uniform(0, min(MAX_PAUSE_S, BASE_PAUSE_S * 2**attempt))
--- a/src/marjoramtide/store/_call.py
+++ b/src/marjoramtide/store/_call.py
@@ -1,4 +1,4 @@
-"""One call to the store, and a whole answer to it."""
+"""A call to the store and its response."""
 
 from collections.abc import Mapping
 from enum import Enum
@@ -7,36 +7,36 @@
 
 
 class CallOutcome(Enum):
-    """What a status says of the object that a call is about."""
+    """What a response status says about the object of the call."""
 
     DONE = "done"
-    MISSING = "missing"  # there is no such object
+    MISSING = "missing"  # no such object
     CONFLICT = "conflict"  # the condition of a write did not hold
-    GAP = "gap"  # the history that a watch asks for is gone
+    GAP = "gap"  # the store no longer has the history that a watch needs
 
 
 @attrs.frozen(slots=True)
 class StoreResponse:
-    """A whole answer of the store; ``epoch`` is that of the store which gave it."""
+    """A complete response of the store, which was in ``epoch`` when it sent it."""
 
     status: int
     headers: Mapping[str, str]
     body: bytes
-    meaning: CallOutcome
+    outcome: CallOutcome
     epoch: int = 0
 
 
 @attrs.frozen(slots=True)
 class Call:
-    """One call to the store, as it may be made several times.
+    """A call to the store, which may be sent several times.
 
-    ``meanings`` holds the statuses that say something of the object; any other is an error.
+    ``outcomes`` maps the expected statuses; any other status is an error.
     """
 
     step: str
     method: str
     path: str
-    meanings: Mapping[int, CallOutcome]
+    outcomes: Mapping[int, CallOutcome]
     params: Mapping[str, str] = attrs.field(factory=dict)
     headers: Mapping[str, str] = attrs.field(factory=dict)
     body: bytes | None = None
--- a/src/marjoramtide/store/_http_object_store.py
+++ b/src/marjoramtide/store/_http_object_store.py
@@ -1,4 +1,4 @@
-"""The platform's object API over HTTP."""
+"""A client of an object store over HTTP."""
 
 import random
 from collections import deque
@@ -16,37 +16,43 @@
 from marjoramtide.store._backoff import full_jitter
 from marjoramtide.store._call import Call, CallOutcome, StoreResponse
 from marjoramtide.store._call_budget import CallBudget
-from marjoramtide.store._call_failed import AnswerLostError, CallNotSentError
-from marjoramtide.store._circuit import Circuit
-from marjoramtide.store._epoch import Epoch
+from marjoramtide.store._call_errors import CallNotSentError, ResponseLostError
+from marjoramtide.store._circuit_breaker import CircuitBreaker
+from marjoramtide.store._default_protocol import DefaultStoreProtocol
+from marjoramtide.store._epoch_tracker import EpochTracker
 from marjoramtide.store._http_session import open_session
 from marjoramtide.store._listing import Listing
 from marjoramtide.store._object_store import ObjectStore
-from marjoramtide.store._own_protocol import DefaultStoreProtocol
 from marjoramtide.store._store_limits import StoreLimits
-from marjoramtide.store._store_protocol import Changes, StoreProtocol
+from marjoramtide.store._store_protocol import StoreProtocol, WatchResponse
 from marjoramtide.store._stored_object import StoredObject
-from marjoramtide.store._versions import dated, dated_event, epoch_of, revision_of, version_of
+from marjoramtide.store._versions import (
+    epoch_of,
+    event_with_epoch,
+    make_version,
+    revision_of,
+    with_epoch,
+)
 from marjoramtide.store._watch_event import WatchEvent
 
 log = structlog.get_logger()
 
-MAX_TRIES = 4
+MAX_ATTEMPTS = 4
 MAX_VALUE_BYTES = 1024 * 1024
 WATCH_GRACE_S = 2.0
-# What is left of a watch's time below this is not worth a call, which counts like any other.
-SHORTEST_POLL_S = 0.5
-SHORTEST_COUNTED_S = 0.25
-LONGEST_TIMING_S = 5.0
-RETRIED = (ErrorCode.STORE_UNAVAILABLE, ErrorCode.STORE_THROTTLED)
+# A shorter remainder of a watch is not worth a call, which counts against the rate limit.
+MIN_POLL_S = 0.5
+MIN_COUNTED_TIMEOUT_S = 0.25
+MAX_TIMED_CALL_S = 5.0
+RETRYABLE_CODES = (ErrorCode.STORE_UNAVAILABLE, ErrorCode.STORE_THROTTLED)
 
 
 class HttpObjectStore(ObjectStore):
-    """Calls the platform's object API with aiohttp.
+    """Calls the store with aiohttp.
 
-    Tries again, within the timeout, only what certainly had no effect and reads. A write whose
-    answer was lost is reported as ``store-ambiguous`` and never repeated here: ``create_resolved``
-    and ``update_resolved`` find out what became of it.
+    Within the timeout it retries reads, and writes that certainly had no effect. A write whose
+    response was lost raises ``store-ambiguous`` and is never retried here: ``create_resolved`` and
+    ``update_resolved`` determine its outcome.
     """
 
     def __init__(
@@ -61,93 +67,101 @@
         self.protocol = protocol
         self.clock = clock
         self.rng = rng
-        self.writes = CallBudget(clock, limits.writes_per_s, limits.write_burst)
-        self.reads = CallBudget(clock, limits.reads_per_s, limits.read_burst)
-        self.circuit = Circuit(clock, rng)
-        self.offset: float | None = None
+        self.write_budget = CallBudget(clock, limits.writes_per_s, limits.write_burst)
+        self.read_budget = CallBudget(clock, limits.reads_per_s, limits.read_burst)
+        self.circuit_breaker = CircuitBreaker(clock, rng)
+        self.clock_offset_s: float | None = None
         self.session: aiohttp.ClientSession | None = None
         self.calls_made = 0
         self.unreadable = 0
-        self.heard = Epoch()
+        self.epoch_tracker = EpochTracker()
 
     @property
     def epoch(self) -> int:
-        return self.heard.number
+        return self.epoch_tracker.epoch
 
     def on_epoch_change(self, listener: Callable[[int], None]) -> None:
-        self.heard.listeners.append(listener)
+        self.epoch_tracker.listeners.append(listener)
 
     def observe_epoch(self, epoch: int) -> None:
-        self.heard.hear(epoch, self.url)
+        self.epoch_tracker.observe(epoch, self.url)
 
     async def get(self, key: str, *, timeout: float = 2.0) -> StoredObject:
         call = self.protocol.get(key)
-        answer = await self.call(call, timeout)
-        if answer.meaning is CallOutcome.MISSING:
+        response = await self.call(call, timeout)
+        if response.outcome is CallOutcome.MISSING:
             raise self.error(ErrorCode.NOT_FOUND, key, call.step)
-        with self.parsing(ErrorCode.STORE_UNAVAILABLE, call.step):
-            return dated(self.protocol.read_object(key, answer), answer.epoch)
+        with self.malformed_as(ErrorCode.STORE_UNAVAILABLE, call.step):
+            return with_epoch(self.protocol.read_object(key, response), response.epoch)
 
     async def list(self, prefix: str, *, timeout: float = 2.0) -> Listing:
-        return await self.list_pages(prefix, timeout, may_be_old=False)
+        return await self.list_pages(prefix, timeout, allow_stale=False)
 
     async def list_allow_stale(self, prefix: str, *, timeout: float = 2.0) -> Listing:
-        return await self.list_pages(prefix, timeout, may_be_old=True)
+        return await self.list_pages(prefix, timeout, allow_stale=True)
 
-    async def list_pages(self, prefix: str, timeout: float, *, may_be_old: bool) -> Listing:
+    async def list_pages(self, prefix: str, timeout: float, *, allow_stale: bool) -> Listing:
         objects: deque[StoredObject] = deque()
         epochs = set()
         after = ""
         while True:
-            call = self.protocol.list_page(prefix, after, may_be_old=may_be_old)
-            answer = await self.call(call, timeout)
-            with self.parsing(ErrorCode.STORE_UNAVAILABLE, call.step):
-                page = self.protocol.read_page(prefix, answer)
-            self.note_unreadable(page.unreadable, call.step)
-            objects += (dated(each, answer.epoch) for each in page.objects)
-            epochs.add(answer.epoch)
+            call = self.protocol.list_page(prefix, after, allow_stale=allow_stale)
+            response = await self.call(call, timeout)
+            with self.malformed_as(ErrorCode.STORE_UNAVAILABLE, call.step):
+                page = self.protocol.read_page(prefix, response)
+            self.count_unreadable(page.unreadable, call.step)
+            objects += (with_epoch(each, response.epoch) for each in page.objects)
+            epochs.add(response.epoch)
             if len(epochs) > 1:
-                raise self.error(ErrorCode.STORE_UNAVAILABLE, "a list of two epochs", call.step)
+                raise self.error(
+                    ErrorCode.STORE_UNAVAILABLE,
+                    "pages of a list are from different epochs",
+                    call.step,
+                )
             if not page.after:
-                return Listing(objects, version_of(answer.epoch, page.version))
+                return Listing(objects, make_version(response.epoch, page.version))
             after = page.after
 
     async def create(self, key: str, value: bytes, *, timeout: float = 2.0) -> StoredObject:
         call = self.protocol.create(key, value)
-        answer = await self.write(call, key, value, timeout)
-        return self.read_written(call, key, value, answer)
+        response = await self.write(call, key, value, timeout)
+        return self.read_written(call, key, value, response)
 
     async def update(
         self, key: str, value: bytes, version: int, *, timeout: float = 2.0
     ) -> StoredObject:
-        call = self.protocol.update(key, value, self.held_revision(key, version, "store.update"))
-        answer = await self.write(call, key, value, timeout)
-        self.check_epoch(answer, version, call)
-        return self.read_written(call, key, value, answer)
+        call = self.protocol.update(key, value, self.check_revision(key, version, "store.update"))
+        response = await self.write(call, key, value, timeout)
+        self.check_epoch(response, version, call)
+        return self.read_written(call, key, value, response)
 
     async def delete(self, key: str, version: int, *, timeout: float = 2.0) -> None:
-        call = self.protocol.delete(key, self.held_revision(key, version, "store.delete"))
+        call = self.protocol.delete(key, self.check_revision(key, version, "store.delete"))
         self.check_epoch(await self.write(call, key, b"", timeout), version, call)
 
-    def held_revision(self, key: str, version: int, step: str) -> int:
-        """Return the revision of a version; raises ``version-conflict`` where its epoch is over.
+    def check_revision(self, key: str, version: int, step: str) -> int:
+        """Return the revision of a version; raises ``version-conflict`` if its epoch is over.
 
-        Failure: the store comes back from a copy, and counts on from an earlier revision. Under a
-        version of before, a write meets an object that got the same revision since, and replaces
-        what its writer has never read.
+        A store that was restored from a copy continues from an earlier revision. A write with a
+        version from before the restore could match an object that got the same revision since, and
+        replace a value that its writer never read.
         """
         if epoch_of(version) < self.epoch:
-            raise self.error(ErrorCode.VERSION_CONFLICT, f"{key}: of an earlier epoch", step)
+            raise self.error(
+                ErrorCode.VERSION_CONFLICT, f"{key}: version is from an earlier epoch", step
+            )
         return revision_of(version)
 
-    def check_epoch(self, answer: StoreResponse, version: int, call: Call) -> None:
-        """Raise ``store-ambiguous`` where a write met another epoch than that of its condition.
+    def check_epoch(self, response: StoreResponse, version: int, call: Call) -> None:
+        """Raise ``store-ambiguous`` if the response is from another epoch than the condition.
 
-        This node heard of the new epoch by the answer alone. What the write has replaced is not
-        known; made again, it raises ``version-conflict``, and its writer reads what is there.
+        This node learned of the new epoch only from the response, so it is unknown what the write
+        replaced. A retry raises ``version-conflict``, after which the writer reads the object.
         """
-        if answer.epoch != epoch_of(version):
-            message = f"written in epoch {answer.epoch} under a version of {epoch_of(version)}"
+        if response.epoch != epoch_of(version):
+            message = (
+                f"written in epoch {response.epoch} with a version of epoch {epoch_of(version)}"
+            )
             raise self.error(ErrorCode.STORE_AMBIGUOUS, message, call.step)
 
     async def watch(
@@ -157,87 +171,92 @@
             async for event in self.stream(prefix, since, wait):
                 yield event
             return
-        ends = self.clock.monotonic() + wait
-        while (left := ends - self.clock.monotonic()) > SHORTEST_POLL_S:
-            changes = await self.poll(prefix, since, left)
-            since = changes.version
-            for event in changes.events:
+        ends_at = self.clock.monotonic() + wait
+        while (remaining_s := ends_at - self.clock.monotonic()) > MIN_POLL_S:
+            watched = await self.poll(prefix, since, remaining_s)
+            since = watched.version
+            for event in watched.events:
                 yield event
 
     async def stream(self, prefix: str, since: int, wait: float) -> AsyncIterator[WatchEvent]:
-        """Watch by one call whose answer brings a line for each change."""
+        """Watch with one call whose response streams a line for each change."""
         call = self.protocol.watch(prefix, revision_of(since), wait)
-        async with self.watching(call, since, wait) as response:
+        async with self.open_watch(call, since, wait) as response:
             async for line in response.content:
-                with self.parsing(ErrorCode.STORE_UNAVAILABLE, call.step):
+                with self.malformed_as(ErrorCode.STORE_UNAVAILABLE, call.step):
                     event = self.protocol.read_event(prefix, line)
-                yield dated_event(event, epoch_of(since))
+                yield event_with_epoch(event, epoch_of(since))
 
-    async def poll(self, prefix: str, since: int, wait: float) -> Changes:
-        """Watch by one call that is answered when something has changed, or after ``wait``."""
+    async def poll(self, prefix: str, since: int, wait: float) -> WatchResponse:
+        """Watch with one long poll, which ends on a change or after ``wait`` seconds."""
         epoch = epoch_of(since)
         call = self.protocol.watch(prefix, revision_of(since), wait)
-        async with self.watching(call, since, wait) as response:
+        async with self.open_watch(call, since, wait) as response:
             body = await response.read()
-        with self.parsing(ErrorCode.STORE_UNAVAILABLE, call.step):
-            changes = self.protocol.read_events(prefix, body)
-        self.note_unreadable(changes.unreadable, call.step)
+        with self.malformed_as(ErrorCode.STORE_UNAVAILABLE, call.step):
+            watched = self.protocol.read_events(prefix, body)
+        self.count_unreadable(watched.unreadable, call.step)
         return attrs.evolve(
-            changes,
-            events=[dated_event(event, epoch) for event in changes.events],
-            version=version_of(epoch, changes.version),
+            watched,
+            events=[event_with_epoch(event, epoch) for event in watched.events],
+            version=make_version(epoch, watched.version),
         )
 
     @asynccontextmanager
-    async def watching(
+    async def open_watch(
         self, call: Call, since: int, wait: float
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Make a call that may wait; raises ``not-found`` where its history is gone.
+        """Send a call that waits for changes; raises ``not-found`` if the history is gone.
 
-        It also is where the store has come back from a copy. Failure: the store has counted past
-        the revision of the watch again. It takes the watch, and never tells of what changed between
-        the copy and that revision.
+        After a restore from a copy the history counts as gone too: once the store's revision has
+        passed that of the watch again, the store would accept the watch and never report the
+        changes between the copy and that revision.
         """
-        self.check_history(call, since)
-        await self.reads.take(self.clock.monotonic() + wait, call.step)
-        self.circuit.enter(call.step, self.url)
+        self.check_watch_epoch(call, since)
+        await self.read_budget.take(self.clock.monotonic() + wait, call.step)
+        self.circuit_breaker.check(call.step, self.url)
         timeout = aiohttp.ClientTimeout(total=wait + WATCH_GRACE_S, connect=WATCH_GRACE_S)
         has_answered = False
         try:
-            async with self.request(call, timeout) as response:
+            async with self.send_request(call, timeout) as response:
                 has_answered = True
-                if self.settle(call, response.status, response.headers) is CallOutcome.GAP:
-                    raise self.error(ErrorCode.NOT_FOUND, "the history is gone", call.step)
-                self.check_history(call, since)
+                if self.check_status(call, response.status, response.headers) is CallOutcome.GAP:
+                    raise self.error(
+                        ErrorCode.NOT_FOUND,
+                        "the store no longer has the history of this watch",
+                        call.step,
+                    )
+                self.check_watch_epoch(call, since)
                 yield response
-        except (AnswerLostError, CallNotSentError, aiohttp.ClientError, TimeoutError) as error:
-            self.circuit.failed()
+        except (ResponseLostError, CallNotSentError, aiohttp.ClientError, TimeoutError) as error:
+            self.circuit_breaker.on_failure()
             raise self.error(ErrorCode.STORE_UNAVAILABLE, describe(error), call.step) from error
         finally:
             if not has_answered:
-                self.circuit.abandoned()
+                self.circuit_breaker.on_abandoned()
 
-    def check_history(self, call: Call, since: int) -> None:
-        """Raise ``not-found`` where a watch goes on from a version of an earlier epoch."""
+    def check_watch_epoch(self, call: Call, since: int) -> None:
+        """Raise ``not-found`` if a watch resumes from a version of an earlier epoch."""
         if epoch_of(since) < self.epoch:
-            message = "the store has come back from a copy"
+            message = "the store was restored from a copy"
             raise self.error(ErrorCode.NOT_FOUND, message, call.step)
 
     def time(self, wall: float) -> float | None:
-        return None if self.offset is None else wall + self.offset
+        return None if self.clock_offset_s is None else wall + self.clock_offset_s
 
-    def note_time(self, date: str, wall: float, took: float) -> None:
-        """Learn from an answer's ``Date``, where the call began at ``wall`` and took ``took`` s.
+    def update_clock_offset(self, date: str, wall: float, took_s: float) -> None:
+        """Compute the store's clock offset from a response's ``Date`` header.
 
-        A node that is stopped between reading its clock and the answer would take the store to be
-        ahead by as long, and claims to have ended that are still held. Such an answer took long.
+        The call was sent at ``wall`` and took ``took_s``. If the process is suspended between
+        reading its clock and the response, the store's clock seems ahead by that time, and claims
+        that are still held seem to have ended. Responses that took long are therefore ignored.
         """
-        if took <= LONGEST_TIMING_S:
+        if took_s <= MAX_TIMED_CALL_S:
             with suppress(ValueError):
-                self.offset = parsedate_to_datetime(date).timestamp() - wall
+                self.clock_offset_s = parsedate_to_datetime(date).timestamp() - wall
 
     def set_max_retry_pause(self, seconds: float) -> None:
-        self.circuit.longest_pause = seconds
+        self.circuit_breaker.max_pause_s = seconds
 
     async def close(self) -> None:
         if self.session is not None:
@@ -245,81 +264,83 @@
             self.session = None
 
     def read_written(
-        self, call: Call, key: str, value: bytes, answer: StoreResponse
+        self, call: Call, key: str, value: bytes, response: StoreResponse
     ) -> StoredObject:
-        with self.parsing(ErrorCode.STORE_AMBIGUOUS, call.step):
-            return dated(self.protocol.read_written(key, value, answer), answer.epoch)
+        with self.malformed_as(ErrorCode.STORE_AMBIGUOUS, call.step):
+            return with_epoch(self.protocol.read_written(key, value, response), response.epoch)
 
     async def write(self, call: Call, key: str, value: bytes, timeout: float) -> StoreResponse:
         if len(value) > MAX_VALUE_BYTES:
-            message = f"{key}: {len(value)} bytes; at most {MAX_VALUE_BYTES} are allowed"
+            message = f"{key}: value has {len(value)} bytes; at most {MAX_VALUE_BYTES} are allowed"
             raise self.error(ErrorCode.BAD_REQUEST, message, call.step)
-        answer = await self.call(call, timeout)
-        if answer.meaning is CallOutcome.CONFLICT:
+        response = await self.call(call, timeout)
+        if response.outcome is CallOutcome.CONFLICT:
             raise self.error(ErrorCode.VERSION_CONFLICT, key, call.step)
-        if answer.meaning is CallOutcome.MISSING:
+        if response.outcome is CallOutcome.MISSING:
             raise self.error(ErrorCode.NOT_FOUND, key, call.step)
-        return answer
+        return response
 
     async def call(self, call: Call, timeout: float) -> StoreResponse:
-        """Make the call, again where that is safe, until ``timeout`` seconds have passed."""
+        """Send the call, with retries where that is safe, for at most ``timeout`` seconds."""
         deadline = self.clock.monotonic() + timeout
-        for attempt in range(1, MAX_TRIES + 1):
+        for attempt in range(1, MAX_ATTEMPTS + 1):
             try:
                 return await self.call_once(call, deadline)
             except MarjoramtideError as error:
-                pause = full_jitter(attempt, self.rng)
-                too_late = self.clock.monotonic() + pause >= deadline
-                final = error.code not in RETRIED or attempt == MAX_TRIES
-                if final or too_late or self.circuit.is_open:
+                pause_s = full_jitter(attempt, self.rng)
+                too_late = self.clock.monotonic() + pause_s >= deadline
+                final = error.code not in RETRYABLE_CODES or attempt == MAX_ATTEMPTS
+                if final or too_late or self.circuit_breaker.is_open:
                     raise
-                await self.clock.sleep(pause)
+                await self.clock.sleep(pause_s)
         raise AssertionError("unreachable")
 
     async def call_once(self, call: Call, deadline: float) -> StoreResponse:
-        """Make the call once, and tell what is known of its effect where it fails."""
-        budget = self.writes if call.is_write else self.reads
+        """Send the call once; an error code tells whether a failed write may have taken effect."""
+        budget = self.write_budget if call.is_write else self.read_budget
         await budget.take(deadline, call.step)
-        self.circuit.enter(call.step, self.url)
-        began, wall = self.clock.monotonic(), self.clock.wall()
-        left = max(0.001, deadline - began)
-        unsure = ErrorCode.STORE_AMBIGUOUS if call.is_write else ErrorCode.STORE_UNAVAILABLE
+        self.circuit_breaker.check(call.step, self.url)
+        started_at, wall = self.clock.monotonic(), self.clock.wall()
+        remaining_s = max(0.001, deadline - started_at)
+        failure_code = ErrorCode.STORE_AMBIGUOUS if call.is_write else ErrorCode.STORE_UNAVAILABLE
         try:
-            answer = await self.exchange(call, left)
+            response = await self.exchange(call, remaining_s)
         except CallNotSentError as error:
-            self.circuit.failed()
+            self.circuit_breaker.on_failure()
             raise self.error(ErrorCode.STORE_UNAVAILABLE, describe(error), call.step) from error
         except TimeoutError as error:
-            if left < SHORTEST_COUNTED_S:
-                # A few callers in a hurry would otherwise close a store that is well to everyone.
-                self.circuit.abandoned()
+            if remaining_s < MIN_COUNTED_TIMEOUT_S:
+                # Otherwise a few calls with short deadlines would open the circuit for all callers.
+                self.circuit_breaker.on_abandoned()
             else:
-                self.circuit.failed()
-            raise self.error(unsure, describe(error), call.step) from error
-        except (AnswerLostError, aiohttp.ClientError) as error:
-            self.circuit.failed()
-            raise self.error(unsure, describe(error), call.step) from error
+                self.circuit_breaker.on_failure()
+            raise self.error(failure_code, describe(error), call.step) from error
+        except (ResponseLostError, aiohttp.ClientError) as error:
+            self.circuit_breaker.on_failure()
+            raise self.error(failure_code, describe(error), call.step) from error
         except BaseException:
-            self.circuit.abandoned()
+            self.circuit_breaker.on_abandoned()
             raise
-        self.note_time(answer.headers.get("Date", ""), wall, self.clock.monotonic() - began)
-        return answer
-
-    async def exchange(self, call: Call, left: float) -> StoreResponse:
-        # Waiting for a connection ends sooner than the whole, so that a call that never left is
-        # told apart from one whose answer did not come.
-        timeout = aiohttp.ClientTimeout(total=left, connect=left * 0.9)
-        async with self.request(call, timeout) as response:
+        self.update_clock_offset(
+            response.headers.get("Date", ""), wall, self.clock.monotonic() - started_at
+        )
+        return response
+
+    async def exchange(self, call: Call, remaining_s: float) -> StoreResponse:
+        # The connect timeout is shorter than the total one, so that a call that was never sent can
+        # be distinguished from one without a response.
+        timeout = aiohttp.ClientTimeout(total=remaining_s, connect=remaining_s * 0.9)
+        async with self.send_request(call, timeout) as response:
             body = await response.read()
-            meaning = self.settle(call, response.status, response.headers)
+            outcome = self.check_status(call, response.status, response.headers)
             epoch = self.read_epoch(call, response.headers)
-            return StoreResponse(response.status, response.headers, body, meaning, epoch)
+            return StoreResponse(response.status, response.headers, body, outcome, epoch)
 
-    def request(
+    def send_request(
         self, call: Call, timeout: aiohttp.ClientTimeout
     ) -> AbstractAsyncContextManager[aiohttp.ClientResponse]:
         self.calls_made += 1
-        return self.opened().request(
+        return self.get_session().request(
             call.method,
             self.url + call.path,
             params=call.params,
@@ -329,44 +350,44 @@
             allow_redirects=False,
         )
 
-    def settle(self, call: Call, status: int, headers: Mapping[str, str]) -> CallOutcome:
-        """Return what a status says of the object; raises for those that say nothing of it."""
+    def check_status(self, call: Call, status: int, headers: Mapping[str, str]) -> CallOutcome:
+        """Return the outcome that a status stands for; raises for an unexpected status."""
         self.observe_epoch(self.read_epoch(call, headers))
         if status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-            self.circuit.failed()
-            unsure = call.is_write and not self.protocol.certainly_refused(status, headers)
-            code = ErrorCode.STORE_AMBIGUOUS if unsure else ErrorCode.STORE_UNAVAILABLE
-            raise self.error(code, f"status {status}", call.step)
-        self.circuit.succeeded()
+            self.circuit_breaker.on_failure()
+            is_ambiguous = call.is_write and not self.protocol.is_definite_refusal(status, headers)
+            code = ErrorCode.STORE_AMBIGUOUS if is_ambiguous else ErrorCode.STORE_UNAVAILABLE
+            raise self.error(code, f"unexpected status {status}", call.step)
+        self.circuit_breaker.on_success()
         if status == HTTPStatus.TOO_MANY_REQUESTS:
-            (self.writes if call.is_write else self.reads).throttled()
-            message = "the store's rate is used up"
+            (self.write_budget if call.is_write else self.read_budget).on_throttled()
+            message = "the store's rate limit is reached"
             raise self.error(ErrorCode.STORE_THROTTLED, message, call.step)
-        if status not in call.meanings:
-            raise self.error(ErrorCode.BAD_REQUEST, f"status {status}", call.step)
-        return call.meanings[status]
+        if status not in call.outcomes:
+            raise self.error(ErrorCode.BAD_REQUEST, f"unexpected status {status}", call.step)
+        return call.outcomes[status]
 
     def read_epoch(self, call: Call, headers: Mapping[str, str]) -> int:
-        unsure = ErrorCode.STORE_AMBIGUOUS if call.is_write else ErrorCode.STORE_UNAVAILABLE
-        with self.parsing(unsure, call.step):
+        failure_code = ErrorCode.STORE_AMBIGUOUS if call.is_write else ErrorCode.STORE_UNAVAILABLE
+        with self.malformed_as(failure_code, call.step):
             return self.protocol.epoch(headers)
 
-    def opened(self) -> aiohttp.ClientSession:
-        """Return the session; made on first use, since it belongs to the running loop."""
+    def get_session(self) -> aiohttp.ClientSession:
+        """Return the session, opened on first use since it is bound to the running event loop."""
         if self.session is None:
             self.session = open_session()
         return self.session
 
     @contextmanager
-    def parsing(self, code: ErrorCode, step: str) -> Iterator[None]:
-        """Raise ``code`` where the answer is not what the object API gives."""
+    def malformed_as(self, code: ErrorCode, step: str) -> Iterator[None]:
+        """Raise ``code`` if decoding a response fails."""
         try:
             yield
         except (KeyError, TypeError, ValueError) as error:
-            raise self.error(code, f"unreadable answer: {error!r}", step) from error
+            raise self.error(code, f"malformed response: {error!r}", step) from error
 
-    def note_unreadable(self, count: int, step: str) -> None:
-        """Count and log entries that another writer has spoiled; the others are used."""
+    def count_unreadable(self, count: int, step: str) -> None:
+        """Count and log entries that were skipped as malformed."""
         if count:
             self.unreadable += count
             log.warning(
@@ -393,14 +414,14 @@
     limits: StoreLimits | None = None,
     protocol: StoreProtocol | None = None,
 ) -> HttpObjectStore:
-    """Return the store at ``url`` (``http://10.0.0.5:8500``); connects when first called.
+    """Return a client of the store at ``url`` (``http://10.0.0.5:8500``).
 
-    Raises ``bad-settings`` where ``url`` is not an HTTP URL.
+    It connects on the first call. Raises ``bad-settings`` if ``url`` is not an HTTP URL.
     """
     if not url.startswith(("http://", "https://")):
         raise MarjoramtideError(
             ErrorCode.BAD_SETTINGS,
-            f"store: {url!r} does not begin with http:// or https://",
+            f"store: {url!r} does not start with http:// or https://",
             step="store.open",
         )
     return HttpObjectStore(
--- a/src/marjoramtide/store/_listing.py
+++ b/src/marjoramtide/store/_listing.py
@@ -1,4 +1,4 @@
-"""The answer to a list."""
+"""The result of listing objects."""
 
 from collections.abc import Iterable
 
@@ -6,11 +6,11 @@
 
 
 class Listing(list[StoredObject]):
-    """Objects, and the store's version at which they were read.
+    """Objects, and the version of the store at which they were read.
 
-    A watch goes on from ``version``, not from the newest object listed: where the newest change was
-    a deletion, no object carries its version, and a watch from an older one could meet the same gap
-    in the history after every new list.
+    A watch must resume from ``version``, not from the newest object listed: if the newest change
+    was a deletion, no object has its version, and a watch from an older version could hit the same
+    gap in the history after every new list.
     """
 
     def __init__(self, objects: Iterable[StoredObject] = (), version: int = 0) -> None:
--- a/src/marjoramtide/store/_object_store.py
+++ b/src/marjoramtide/store/_object_store.py
@@ -1,4 +1,4 @@
-"""The interface to the platform's store."""
+"""The interface of the object store."""
 
 from abc import ABC, abstractmethod
 from collections.abc import AsyncIterator, Callable
@@ -11,28 +11,29 @@
 class ObjectStore(ABC):
     """Objects with versions, conditional updates and watches.
 
-    Every method raises ``MarjoramtideError``: ``store-unavailable`` where the call certainly had no
-    effect, ``store-throttled`` where the store or the caller's own budget refused it (no effect
-    either), ``store-ambiguous`` where a write may or may not have taken effect,
-    ``version-conflict`` where the condition of a write did not hold, ``not-found`` where there is
-    no such object. ``timeout`` is in seconds.
+    Every method raises ``MarjoramtideError``: ``store-unavailable`` if the call certainly had no
+    effect, ``store-throttled`` if the store or the client-side rate limit rejected it (no effect
+    either), ``store-ambiguous`` if a write may or may not have taken effect, ``version-conflict``
+    if the condition of a write did not hold, ``not-found`` if there is no such object. ``timeout``
+    is in seconds.
 
-    A store may come back from a copy that is some seconds old, in a new *epoch*: what was written
-    since is gone. Versions hold their epoch, so those of two epochs are never taken for each other;
-    a write under a version of an earlier one raises ``version-conflict``, a watch ``not-found``.
+    A store may be restored from a copy that is some seconds old, which starts a new *epoch*: later
+    writes are lost. Versions include their epoch, so versions of two epochs never compare equal; a
+    write conditional on a version of an earlier epoch raises ``version-conflict``, a watch from one
+    ``not-found``.
     """
 
     @property
     def epoch(self) -> int:
-        """Return the newest epoch that this node has heard of, 0 in a store that tells none."""
+        """Return the newest known epoch; 0 if the store reports none."""
         return 0
 
     def observe_epoch(self, epoch: int) -> None:
-        """Take note of an epoch that another node has told of."""
+        """Record an epoch that another node reported."""
         return None
 
     def on_epoch_change(self, listener: Callable[[int], None]) -> None:
-        """Call ``listener`` with each epoch that follows the first one heard of."""
+        """Call ``listener`` with each epoch after the first known one."""
         return None
 
     @abstractmethod
@@ -41,21 +42,21 @@
 
     @abstractmethod
     async def list(self, prefix: str, *, timeout: float = 2.0) -> Listing:
-        """Return all objects whose keys begin with ``prefix``, in the order of their keys.
+        """Return all objects whose keys start with ``prefix``, sorted by key.
 
-        The listing's ``version`` is where a watch goes on.
+        A watch resumes from the listing's ``version``.
         """
 
     async def list_allow_stale(self, prefix: str, *, timeout: float = 2.0) -> Listing:
-        """Return what ``list`` does, perhaps as it was some seconds ago.
+        """Return the same as ``list``, possibly as of some seconds ago.
 
-        Cheaper, where the store offers that; only for readers who can tell what is missing.
+        Cheaper if the store supports it; only for callers that can detect what is missing.
         """
         return await self.list(prefix, timeout=timeout)
 
     @abstractmethod
     async def create(self, key: str, value: bytes, *, timeout: float = 2.0) -> StoredObject:
-        """Write a new object, or raise ``version-conflict`` where the key is taken."""
+        """Create an object; raises ``version-conflict`` if the key exists."""
 
     @abstractmethod
     async def update(
@@ -69,21 +70,21 @@
 
     @abstractmethod
     def watch(self, prefix: str, since: int, *, wait: float = 30.0) -> AsyncIterator[WatchEvent]:
-        """Yield changes under ``prefix`` after version ``since``; ends when ``wait`` seconds pass.
+        """Yield changes under ``prefix`` after version ``since``, for ``wait`` seconds.
 
-        The iterator raises ``not-found`` where the store no longer has the history after ``since``
-        (a gap): the reader lists anew.
+        The iterator raises ``not-found`` if the store no longer has the history after ``since``;
+        the caller must then list the objects again.
         """
 
     def set_max_retry_pause(self, seconds: float) -> None:
-        """Leave a store that doesn't answer alone for no longer than that between two calls."""
+        """Limit the pause between two probes of a store that doesn't respond."""
         return None
 
     def time(self, wall: float) -> float | None:
-        """Return the store's time where this node's is ``wall``, both in seconds since the epoch.
+        """Convert ``wall``, this node's Unix time, to the store's time.
 
-        ``None`` while the store has not told it. Every node reads the same clock through it,
-        however wrong its own is. A store that tells no time is taken to have the node's.
+        ``None`` until a response of the store has shown its time. All nodes thus share one clock,
+        however wrong their own are. A store without a clock is assumed to have the node's time.
         """
         return wall
 
--- a/src/marjoramtide/store/_resolution.py
+++ b/src/marjoramtide/store/_resolution.py
@@ -1,4 +1,4 @@
-"""What became of a write whose answers may have been lost."""
+"""The outcome of a write whose responses may have been lost."""
 
 import attrs
 
@@ -7,9 +7,9 @@
 
 @attrs.frozen(slots=True)
 class Resolution:
-    """The object under the key after the write was decided; ``is_own`` where the writer won.
+    """The object under the key after the write; ``is_own`` if the write took effect.
 
-    ``stored`` is what the store last showed, so it may be newer than the writer's own value.
+    ``stored`` is the state last read, which may be newer than the writer's own value.
     """
 
     is_own: bool
--- a/src/marjoramtide/store/_resolved_write.py
+++ b/src/marjoramtide/store/_resolved_write.py
@@ -1,4 +1,4 @@
-"""Conditional writes that find out what became of them when their answers are lost."""
+"""Conditional writes that determine their outcome after lost responses."""
 
 import itertools
 import random
@@ -12,7 +12,7 @@
 from marjoramtide.store._resolution import Resolution
 from marjoramtide.store._stored_object import StoredObject
 
-READS_AFTER_CONFLICT = 4
+MAX_READS_AFTER_CONFLICT = 4
 
 
 async def create_resolved(
@@ -25,21 +25,21 @@
     rng: random.Random,
     deadline: float,
 ) -> Resolution:
-    """Create the object under ``key``, or tell whose object is there.
+    """Create the object under ``key``, or return the object that already exists.
 
-    ``value`` carries an id that no other write has, by which ``is_own`` knows it again.
+    ``value`` must contain an id that is unique to this write, by which ``is_own`` recognizes it.
     ``deadline`` is in seconds of the monotonic clock.
 
-    Raises ``store-unavailable`` or ``store-throttled`` where the write certainly has no effect,
-    ``version-conflict`` where it lost to an object that can't be read, and ``store-ambiguous``
-    where it wasn't decided in time: it may then take effect even later, until somebody else's write
-    to the same key succeeds. A cancelled call is as undecided.
+    Raises ``store-unavailable`` or ``store-throttled`` if the write certainly has no effect,
+    ``version-conflict`` if it lost to an object that can't be read, and ``store-ambiguous`` if the
+    outcome is unknown at the deadline: the write may still take effect later, until another write
+    to the same key succeeds. The outcome of a cancelled call is just as unknown.
     """
 
     async def write(timeout: float) -> StoredObject:
         return await store.create(key, value, timeout=timeout)
 
-    resolved = ResolvedWrite(store, key, write, is_own, clock, rng, deadline, newer_than=0)
+    resolved = ResolvedWrite(store, key, write, is_own, clock, rng, deadline, previous_version=0)
     return await resolved.run()
 
 
@@ -54,29 +54,30 @@
     rng: random.Random,
     deadline: float,
 ) -> Resolution:
-    """Replace the object if it still has ``version``, or tell what replaced it.
+    """Replace the object if it still has ``version``, or return the object that replaced it.
 
-    As ``create_resolved``. ``is_own`` must know the writer's value also after others have built on
-    it (by a history of ids inside the value, say): an own write that was overtaken while its answer
-    was lost otherwise counts as lost.
+    Otherwise the same as ``create_resolved``. ``is_own`` must also recognize the writer's value
+    after other writers changed it, for example by a history of ids inside the value. Otherwise a
+    write whose response was lost counts as not applied once another writer has updated the object.
     """
 
     async def write(timeout: float) -> StoredObject:
         return await store.update(key, value, version, timeout=timeout)
 
-    resolved = ResolvedWrite(store, key, write, is_own, clock, rng, deadline, newer_than=version)
+    resolved = ResolvedWrite(
+        store, key, write, is_own, clock, rng, deadline, previous_version=version
+    )
     return await resolved.run()
 
 
 class ResolvedWrite:
-    """One conditional write, sent until the store has given a definite answer to it.
-
-    Reading alone can't tell what became of a write: it may still be on its way and take effect
-    after the read that didn't find it, and a stale read doesn't find it either; a writer that went
-    by such a read would report as failed what then comes into force. The same conditional write is
-    therefore sent again. Whichever answer it gets decides the earlier copies too: once the key is
-    taken, or the version has moved on, the condition of every copy on its way is false. Only after
-    that is the object read, to learn whose it is.
+    """A conditional write that is resent until the store gives a definite response.
+
+    A read can't determine the outcome of a write: the write may still be in transit and take effect
+    after the read, and a stale read misses it too, so the writer would report as failed a write
+    that takes effect later. The same conditional write is therefore sent again. Its response also
+    settles the earlier copies: once the key exists or the version has changed, the condition of
+    every copy in transit is false. Only then is the object read, to learn whose write it holds.
     """
 
     def __init__(
@@ -88,7 +89,7 @@
         clock: Clock,
         rng: random.Random,
         deadline: float,
-        newer_than: int,
+        previous_version: int,
     ) -> None:
         self.store = store
         self.key = key
@@ -97,39 +98,43 @@
         self.clock = clock
         self.rng = rng
         self.deadline = deadline
-        self.newer_than = newer_than
-        self.lost: MarjoramtideError | None = None
+        self.previous_version = previous_version
+        self.ambiguous_error: MarjoramtideError | None = None
 
     async def run(self) -> Resolution:
         for attempt in itertools.count(1):
             try:
-                return Resolution(True, await self.write(self.left()))
+                return Resolution(True, await self.write(self.remaining_s()))
             except MarjoramtideError as error:
                 if error.code == ErrorCode.VERSION_CONFLICT:
                     return await self.read_winner(error)
                 if error.code == ErrorCode.STORE_AMBIGUOUS:
-                    self.lost = error
-                await self.pause(attempt, self.lost or error, may_go_on=self.lost is not None)
+                    self.ambiguous_error = error
+                await self.back_off(
+                    attempt,
+                    self.ambiguous_error or error,
+                    can_retry=self.ambiguous_error is not None,
+                )
         raise AssertionError("unreachable")
 
     async def read_winner(self, conflict: MarjoramtideError) -> Resolution:
-        """Read whose object the write lost to; it may be an earlier copy of the write's own."""
-        for attempt in range(1, READS_AFTER_CONFLICT + 1):
+        """Read the object that caused the conflict; an earlier copy of this write may have."""
+        for attempt in range(1, MAX_READS_AFTER_CONFLICT + 1):
             with suppress(MarjoramtideError):
-                stored = await self.store.get(self.key, timeout=self.left())
-                # A stale read shows the object from before the conflict: not the one that won.
-                if stored.version > self.newer_than:
+                stored = await self.store.get(self.key, timeout=self.remaining_s())
+                # A stale read returns the object from before the conflict.
+                if stored.version > self.previous_version:
                     return Resolution(self.is_own(stored.value), stored)
-            more = attempt < READS_AFTER_CONFLICT
-            await self.pause(attempt, self.lost or conflict, may_go_on=more)
+            can_retry = attempt < MAX_READS_AFTER_CONFLICT
+            await self.back_off(attempt, self.ambiguous_error or conflict, can_retry=can_retry)
         raise AssertionError("unreachable")
 
-    def left(self) -> float:
+    def remaining_s(self) -> float:
         return max(0.001, self.deadline - self.clock.monotonic())
 
-    async def pause(self, attempt: int, error: MarjoramtideError, *, may_go_on: bool) -> None:
-        """Wait before another try; raises ``error`` where there may be none or no time for it."""
-        pause = full_jitter(attempt, self.rng)
-        if not may_go_on or self.clock.monotonic() + pause >= self.deadline:
+    async def back_off(self, attempt: int, error: MarjoramtideError, *, can_retry: bool) -> None:
+        """Wait before the next attempt; raises ``error`` if no attempt or time is left."""
+        pause_s = full_jitter(attempt, self.rng)
+        if not can_retry or self.clock.monotonic() + pause_s >= self.deadline:
             raise error
-        await self.clock.sleep(pause)
+        await self.clock.sleep(pause_s)
--- a/src/marjoramtide/store/_store_limits.py
+++ b/src/marjoramtide/store/_store_limits.py
@@ -1,11 +1,11 @@
-"""What one node may ask of the store."""
+"""Client-side rate limits of one node at the store."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class StoreLimits:
-    """Rates in calls a second, bursts in calls; a watch counts as one read when it begins."""
+    """Rates in calls per second and bursts in calls; starting a watch counts as one read."""
 
     writes_per_s: float = 100.0
     write_burst: float = 50.0
--- a/src/marjoramtide/store/_store_protocol.py
+++ b/src/marjoramtide/store/_store_protocol.py
@@ -1,4 +1,4 @@
-"""The interface to what a store speaks over HTTP."""
+"""The interface of the protocols that stores speak over HTTP."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping
@@ -11,10 +11,10 @@
 
 
 @attrs.frozen(slots=True)
-class Page:
-    """A part of a list; ``after`` is where the next one goes on, empty at the end.
+class ListPage:
+    """One page of a list; ``after`` is the cursor of the next page, empty on the last one.
 
-    ``unreadable`` counts entries that were left out, since another writer has spoiled them.
+    ``unreadable`` counts entries that were skipped because another writer wrote them malformed.
     """
 
     objects: list[StoredObject]
@@ -24,10 +24,10 @@
 
 
 @attrs.frozen(slots=True)
-class Changes:
-    """What one watch that doesn't stream has brought; the next one goes on from ``version``.
+class WatchResponse:
+    """The response to a long-polling watch; the next watch resumes from ``version``.
 
-    ``unreadable`` counts changes that were left out, since another writer has spoiled them.
+    ``unreadable`` counts changes that were skipped because another writer wrote them malformed.
     """
 
     events: list[WatchEvent]
@@ -36,69 +36,68 @@
 
 
 class StoreProtocol(ABC):
-    """Forms calls and reads answers; it decides nothing and holds no state.
+    """Encodes calls and decodes responses, without any decision or state.
 
-    Reading raises ``KeyError``, ``TypeError`` or ``ValueError`` where an answer is not of the form
-    that the store gives.
+    Decoding raises ``KeyError``, ``TypeError`` or ``ValueError`` for a malformed response.
     """
 
     streams_watches: bool
-    """Whether a watch brings one line for each change, or one answer with what has changed."""
+    """Whether a watch streams one line for each change, or is a long poll with one response."""
 
     @abstractmethod
     def get(self, key: str) -> Call:
-        """Form the call for one object."""
+        """Return the call that reads an object."""
 
     @abstractmethod
-    def list_page(self, prefix: str, after: str, *, may_be_old: bool = False) -> Call:
-        """Form the call for the objects whose keys begin with ``prefix``.
+    def list_page(self, prefix: str, after: str, *, allow_stale: bool = False) -> Call:
+        """Return the call that lists objects whose keys start with ``prefix``.
 
-        With ``may_be_old`` the answer may be as of some seconds ago, where the store offers that.
+        With ``allow_stale`` the response may be some seconds old, if the store supports that.
         """
 
     @abstractmethod
     def create(self, key: str, value: bytes) -> Call:
-        """Form the call that writes a new object."""
+        """Return the call that creates an object."""
 
     @abstractmethod
     def update(self, key: str, value: bytes, version: int) -> Call:
-        """Form the call that replaces an object of this version."""
+        """Return the call that replaces an object if it has this version."""
 
     @abstractmethod
     def delete(self, key: str, version: int) -> Call:
-        """Form the call that deletes an object of this version."""
+        """Return the call that deletes an object if it has this version."""
 
     @abstractmethod
     def watch(self, prefix: str, since: int, wait_s: float) -> Call:
-        """Form the call that waits for changes after version ``since``."""
+        """Return the call that waits for changes after version ``since``."""
 
     @abstractmethod
-    def read_object(self, key: str, answer: StoreResponse) -> StoredObject:
-        """Read the answer to ``get``."""
+    def read_object(self, key: str, response: StoreResponse) -> StoredObject:
+        """Decode the response to ``get``."""
 
     @abstractmethod
-    def read_page(self, prefix: str, answer: StoreResponse) -> Page:
-        """Read the answer to ``list_page``."""
+    def read_page(self, prefix: str, response: StoreResponse) -> ListPage:
+        """Decode the response to ``list_page``."""
 
     @abstractmethod
-    def read_written(self, key: str, value: bytes, answer: StoreResponse) -> StoredObject:
-        """Read the answer to a write that took effect."""
+    def read_written(self, key: str, value: bytes, response: StoreResponse) -> StoredObject:
+        """Decode the response to a write that took effect."""
 
     @abstractmethod
     def read_event(self, prefix: str, line: bytes) -> WatchEvent:
-        """Read one line of a watch that streams."""
+        """Decode one line of a streaming watch."""
 
     @abstractmethod
-    def read_events(self, prefix: str, body: bytes) -> Changes:
-        """Read the answer to a watch that doesn't stream."""
+    def read_events(self, prefix: str, body: bytes) -> WatchResponse:
+        """Decode the response to a long-polling watch."""
 
     def epoch(self, headers: Mapping[str, str]) -> int:
-        """Read how often the store has come back from a copy; 0 where it doesn't tell.
+        """Decode how often the store was restored from a copy; 0 if it doesn't report that.
 
-        Raises ``ValueError`` where it tells something else than a number.
+        Raises ``ValueError`` if the value is not a number.
         """
         return 0
 
     @abstractmethod
-    def certainly_refused(self, status: int, headers: Mapping[str, str]) -> bool:
-        """Tell whether a status of 500 or above says that a write had no effect."""
+    def is_definite_refusal(self, status: int, headers: Mapping[str, str]) -> bool:
+        """Return whether a response of status 500 or above says that a write had no effect."""
--- a/src/marjoramtide/store/_stored_object.py
+++ b/src/marjoramtide/store/_stored_object.py
@@ -1,4 +1,4 @@
-"""An object as the platform's store holds it."""
+"""An object in the store."""
 
 import attrs
 
@@ -7,8 +7,8 @@
 class StoredObject:
     """A value under a key at one version.
 
-    ``version`` is opaque but for equality and order: a later write of the same key has a larger
-    one. ``value`` is at most 1 MB.
+    ``version`` is opaque except for equality and order: a later write of the same key has a larger
+    version. ``value`` is at most 1 MB.
     """
 
     key: str
--- a/src/marjoramtide/store/_versions.py
+++ b/src/marjoramtide/store/_versions.py
@@ -1,44 +1,44 @@
-"""Versions of objects that stay ordered when the store comes back from an older copy."""
+"""Object versions that stay ordered when the store is restored from an older copy."""
 
 import attrs
 
 from marjoramtide.store._stored_object import StoredObject
 from marjoramtide.store._watch_event import WatchEvent
 
-# Above any revision that a store gives out, and small enough for 64 bits with thousands of epochs.
-REVISIONS_AN_EPOCH = 1 << 48
+# Larger than any revision of a store, yet thousands of epochs still fit into 64 bits.
+REVISIONS_PER_EPOCH = 1 << 48
 
 
-def version_of(epoch: int, revision: int) -> int:
-    """Return the version that stands for a revision of one epoch of the store.
+def make_version(epoch: int, revision: int) -> int:
+    """Return the version for a revision of one epoch of the store.
 
-    A store that comes back from a copy counts on from an earlier revision, and gives revisions out
-    again. With the epoch above the revision no version stands for two states of an object, and a
-    later write still has the larger one.
+    A store that was restored from a copy continues from an earlier revision and assigns revisions a
+    second time. With the epoch in the high bits no version identifies two states of an object, and
+    a later write still has a larger version.
     """
-    return epoch * REVISIONS_AN_EPOCH + revision
+    return epoch * REVISIONS_PER_EPOCH + revision
 
 
 def epoch_of(version: int) -> int:
-    """Return the epoch of the store in which a version was given out."""
-    return version // REVISIONS_AN_EPOCH
+    """Return the epoch of a version."""
+    return version // REVISIONS_PER_EPOCH
 
 
 def revision_of(version: int) -> int:
-    """Return the store's own revision of a version."""
-    return version % REVISIONS_AN_EPOCH
+    """Return the store's revision of a version."""
+    return version % REVISIONS_PER_EPOCH
 
 
-def dated(stored: StoredObject, epoch: int) -> StoredObject:
-    """Return an object of which the store gave the revision, with its version."""
+def with_epoch(stored: StoredObject, epoch: int) -> StoredObject:
+    """Return an object with its revision replaced by the version in this epoch."""
     if not epoch:
         return stored
-    return attrs.evolve(stored, version=version_of(epoch, stored.version))
+    return attrs.evolve(stored, version=make_version(epoch, stored.version))
 
 
-def dated_event(event: WatchEvent, epoch: int) -> WatchEvent:
-    """Return a change of which the store gave the revision, with its version."""
+def event_with_epoch(event: WatchEvent, epoch: int) -> WatchEvent:
+    """Return a change with its revision replaced by the version in this epoch."""
     if not epoch:
         return event
-    stored = None if event.stored is None else dated(event.stored, epoch)
-    return WatchEvent(event.key, version_of(epoch, event.version), stored)
+    stored = None if event.stored is None else with_epoch(event.stored, epoch)
+    return WatchEvent(event.key, make_version(epoch, event.version), stored)
--- a/src/marjoramtide/store/_watch_event.py
+++ b/src/marjoramtide/store/_watch_event.py
@@ -1,4 +1,4 @@
-"""What a watch reports."""
+"""A change that a watch reports."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen(slots=True)
 class WatchEvent:
-    """A change under a watched prefix; ``stored`` is ``None`` where the object was deleted."""
+    """A change under a watched prefix; ``stored`` is ``None`` if the object was deleted."""
 
     key: str
     version: int
