--- a/features/steps/evacuation_policy_steps.py
+++ b/features/steps/evacuation_policy_steps.py
@@ -10,7 +10,7 @@
 from marjoramtide.checked import MalformedError
 from marjoramtide.evacuation._store_news import unpack_store_news
 from marjoramtide.policy import EvacuationSnapshot, EvacuationState
-from marjoramtide.store._versions import version_of
+from marjoramtide.store._versions import make_version
 
 use_step_matcher("parse")
 
@@ -28,7 +28,7 @@
     found = HEARD.fullmatch(event)
     assert found is not None, event
     names = frozenset() if found["names"] == "none" else frozenset(found["names"].split(" and "))
-    version = version_of(int(found["epoch"] or 0), int(found["revision"]))
+    version = make_version(int(found["epoch"] or 0), int(found["revision"]))
     context.evacuations.merge(EvacuationSnapshot(version, names), context.now)
 
 
--- a/src/marjoramtide/claims/_claim_cleaner.py
+++ b/src/marjoramtide/claims/_claim_cleaner.py
@@ -1,4 +1,4 @@
-"""Deletion of claims whose retention has ended."""
+"""Deletion of expired claims."""
 
 import itertools
 import random
@@ -18,13 +18,13 @@
 
 
 class ClaimCleaner:
-    """Deletes expired claims, one slice of all keys at a time.
+    """Deletes expired claims, one slice of the key space at a time.
 
-    Every node runs one from a random slice on, with no agreement on who cleans what. The whole
-    fleet lists a slice each ``FLEET_INTERVAL_S``, however large it is: a slice's claims are some
-    100 KB, and 790 nodes listing one each ``INTERVAL_S`` would each read 10 KB/s, to see every
-    slice each quarter of an hour for claims that are kept for a day. ``fleet_size`` counts the
-    nodes.
+    Every node runs a cleaner, which starts at a random slice and does not coordinate with others.
+    The whole fleet together lists a slice every ``FLEET_INTERVAL_S``, whatever its size. A slice
+    holds about 100 KB of claims; if each of 790 nodes listed one every ``INTERVAL_S``, each would
+    read 10 KB/s to scan every slice four times an hour, for claims that are kept for a day.
+    ``fleet_size`` returns the number of nodes.
     """
 
     def __init__(
@@ -41,8 +41,8 @@
         self.next_slice = rng.randrange(SLICES)
 
     async def run(self) -> None:
-        """Clean one slice after another, until cancelled."""
-        # A node that has just started knows no others, and would take the fleet to be small.
+        """Clean the slices in turn until cancelled."""
+        # A node that has just started knows no other nodes yet, so the fleet would look small.
         await self.clock.sleep(INTERVAL_S)
         while True:
             await self.clock.sleep(self.pause_s())
@@ -50,23 +50,23 @@
             self.next_slice = (self.next_slice + 1) % SLICES
 
     def pause_s(self) -> float:
-        usual = max(INTERVAL_S, FLEET_INTERVAL_S * self.fleet_size())
-        return usual * self.rng.uniform(0.5, 1.5)
+        mean_s = max(INTERVAL_S, FLEET_INTERVAL_S * self.fleet_size())
+        return mean_s * self.rng.uniform(0.5, 1.5)
 
     async def clean_slice(self, number: int) -> int:
-        """Delete the expired claims of one slice and return how many; errors leave the rest."""
+        """Delete the expired claims of a slice and return their number; an error ends the pass."""
         try:
             return await self.delete_all(await self.list_expired(number))
         except MarjoramtideError:
             return 0
 
     async def list_expired(self, number: int) -> list[StoredObject]:
-        """Return the claims of a slice whose retention has ended, at most ``DELETES_PER_PASS``."""
+        """Return the expired claims of a slice, at most ``DELETES_PER_PASS``."""
         claims = await self.store.list(slice_prefix(number), timeout=CALL_TIMEOUT_S)
         return list(itertools.islice(filter(self.is_expired, claims), DELETES_PER_PASS))
 
     async def delete_all(self, claims: list[StoredObject]) -> int:
-        """Delete the claims as they were listed, and return how many were still there."""
+        """Delete the listed versions of the claims and return how many were deleted."""
         return sum([await self.delete(claim) for claim in claims])
 
     def is_expired(self, claim: StoredObject) -> bool:
@@ -74,10 +74,11 @@
         return record is not None and record.is_expired(store_time(self.store, self.clock))
 
     async def delete(self, claim: StoredObject) -> bool:
-        """Delete the claim as it was listed.
+        """Delete the listed version of a claim.
 
-        Between the list and the delete another cleaner may have deleted it and a caller claimed the
-        key anew; without the version, the new claim would go and its request could run twice.
+        Since the list, another cleaner may have deleted the claim and a caller may have claimed the
+        key again. An unconditional delete would remove the new claim, and its request could run
+        twice.
         """
         try:
             await self.store.delete(claim.key, claim.version, timeout=CALL_TIMEOUT_S)
--- a/src/marjoramtide/claims/_claim_handle.py
+++ b/src/marjoramtide/claims/_claim_handle.py
@@ -1,4 +1,4 @@
-"""The right to run one request."""
+"""Permission to run a claimed request."""
 
 import attrs
 
@@ -9,7 +9,8 @@
 class ClaimHandle:
     """A claim that this node holds for one attempt.
 
-    ``dispatch_until`` is in seconds of the monotonic clock, ``version`` that of the stored claim.
+    ``dispatch_until`` is in seconds of the monotonic clock; ``version`` is that of the stored
+    claim.
     """
 
     key: str
@@ -19,12 +20,12 @@
     is_released: bool = False
 
     def can_dispatch(self, now: float) -> bool:
-        """Tell whether the request may be sent; ask immediately before sending it.
+        """Return whether the request may be sent; must be called immediately before sending it.
 
-        A node that was frozen since it got the claim may wake up after the claim's retention, when
-        somebody else has cleaned it up and run the request anew: sending it then would run it
-        twice. The claim is kept many times longer than a holder may take to dispatch, and the
-        monotonic clock goes on while a process is stopped, so that the holder finds out. Within
-        the retention nobody takes a claim over, so there an overdue holder is harmless.
+        A node that was suspended after acquiring the claim may resume after the retention time,
+        when the claim was deleted and another attempt has run the request; sending it then would
+        run it twice. The retention time is many times longer than the dispatch window, and the
+        monotonic clock continues while a process is suspended, so that the holder notices. Within
+        the retention time nobody takes over a claim, so an overdue holder is harmless.
         """
         return not self.is_released and now < self.dispatch_until
--- a/src/marjoramtide/claims/_claim_keys.py
+++ b/src/marjoramtide/claims/_claim_keys.py
@@ -1,4 +1,4 @@
-"""Where claims are stored."""
+"""Keys of claims in the store."""
 
 import hashlib
 
@@ -12,10 +12,10 @@
 def claim_key(service: str, idempotency_key: str, workspace: str = "") -> str:
     """Return the object's key: ``claims/{slice}/{service}/{hash}``.
 
-    The hash bounds what a caller can put into a key of the store; a 128-bit BLAKE2b does not
-    collide by accident or on purpose within reach. The slice, its first four hex digits, lets a
-    cleaner list a small part of all claims at a time. Callers of different workspaces may choose
-    the same key, and never meet each other's claims. Raises ``bad-request``.
+    The hash limits the length and characters of the object's key; collisions of a 128-bit BLAKE2b
+    are infeasible, accidental or deliberate. The slice, the first four hex digits of the hash, lets
+    a cleaner list a small part of all claims at a time. The workspace is hashed too, so that equal
+    keys of different workspaces do not collide. Raises ``bad-request`` for an invalid key.
     """
     if not 0 < len(idempotency_key) <= MAX_KEY_CHARACTERS:
         raise MarjoramtideError(
@@ -24,13 +24,15 @@
             "are allowed",
             step="claims.acquire",
         )
-    # A line feed stands in no name of a workspace.
-    named = f"{workspace}\n{idempotency_key}" if workspace else idempotency_key
-    hashed = hashlib.blake2b(named.encode(errors="surrogatepass"), digest_size=16, person=b"claim")
-    digest = hashed.hexdigest()
+    # Names of workspaces contain no line feed.
+    hashed_text = f"{workspace}\n{idempotency_key}" if workspace else idempotency_key
+    hasher = hashlib.blake2b(
+        hashed_text.encode(errors="surrogatepass"), digest_size=16, person=b"claim"
+    )
+    digest = hasher.hexdigest()
     return f"{PREFIX}/{digest[:4]}/{service}/{digest}"
 
 
 def slice_prefix(number: int) -> str:
-    """Return the prefix of one slice; ``number`` counts from 0 and wraps around."""
+    """Return the key prefix of a slice; ``number`` starts at 0 and wraps around."""
     return f"{PREFIX}/{number % SLICES:04x}/"
--- a/src/marjoramtide/claims/_claim_outcome.py
+++ b/src/marjoramtide/claims/_claim_outcome.py
@@ -1,10 +1,10 @@
-"""What asking for a claim can end in."""
+"""Outcomes of acquiring a claim."""
 
 from enum import StrEnum
 
 
 class ClaimOutcome(StrEnum):
-    """``HELD`` and ``HELD_UNCLAIMED`` allow the dispatch; after the others it must not happen."""
+    """Only after ``HELD`` and ``HELD_UNCLAIMED`` may the request be dispatched."""
 
     HELD = "held"
     HELD_UNCLAIMED = "held-unclaimed"
--- a/src/marjoramtide/claims/_claim_result.py
+++ b/src/marjoramtide/claims/_claim_result.py
@@ -1,4 +1,4 @@
-"""The answer to asking for a claim."""
+"""The result of acquiring a claim."""
 
 import attrs
 
@@ -10,11 +10,11 @@
 
 @attrs.frozen(slots=True)
 class ClaimResult:
-    """An outcome, with what belongs to it.
+    """An outcome and its details.
 
-    ``handle`` comes with ``HELD``, ``record`` with ``RECORDED`` (state completed or unknown) and
-    ``reason`` with ``CONFLICT``. ``retry_after_ms`` comes with ``UNAVAILABLE``, where the request
-    certainly was not run, and with a conflict that may end. ``detail`` is for the logs.
+    ``handle`` is set for ``HELD``, ``record`` for ``RECORDED`` (state completed or unknown) and
+    ``reason`` for ``CONFLICT``. ``retry_after_ms`` is set for ``UNAVAILABLE``, when the request
+    certainly did not run, and for a conflict that may be temporary. ``detail`` is for the logs.
     """
 
     outcome: ClaimOutcome
--- a/src/marjoramtide/claims/_claim_state.py
+++ b/src/marjoramtide/claims/_claim_state.py
@@ -1,10 +1,10 @@
-"""What a claim says of its request."""
+"""States of a claimed request."""
 
 from enum import StrEnum
 
 
 class ClaimState(StrEnum):
-    """``held``: may run, or may have run; ``released``: certainly did not run."""
+    """``held``: the request may run or have run; ``released``: it certainly did not run."""
 
     HELD = "held"
     COMPLETED = "completed"
--- a/src/marjoramtide/claims/_conflict_reason.py
+++ b/src/marjoramtide/claims/_conflict_reason.py
@@ -1,13 +1,13 @@
-"""Why a claim is not to be had."""
+"""Reasons why a claim could not be acquired."""
 
 from enum import StrEnum
 
 
 class ConflictReason(StrEnum):
-    """``IN_PROGRESS``: another attempt runs, or may have run and never said how it ended.
+    """``IN_PROGRESS``: another attempt is running, or may have run without recording an outcome.
 
-    ``OTHER_REQUEST``: the key was used with another request before. ``UNREADABLE``: the store holds
-    something under the key that is no claim, or nothing that could be read.
+    ``OTHER_REQUEST``: the key was already used for another request. ``UNREADABLE``: the object
+    under the key is not a valid claim, or could not be read.
     """
 
     IN_PROGRESS = "in-progress"
--- a/src/marjoramtide/claims/_unsettled.py
+++ b/src/marjoramtide/claims/_pending_writes.py
@@ -1,13 +1,13 @@
-"""Claims whose last state has not reached the store."""
+"""Claims whose latest state is not yet in the store."""
 
 import asyncio
 import itertools
 
 import structlog
 
-from marjoramtide.claims._claim_entry import ClaimEntry
 from marjoramtide.claims._claim_record import ClaimRecord, decode_record
 from marjoramtide.claims._claim_state import ClaimState
+from marjoramtide.claims._pending_write import PendingWrite
 from marjoramtide.claims._retention import store_time
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
@@ -16,26 +16,26 @@
 log = structlog.get_logger()
 
 MAX_ENTRIES = 5000
-MAX_ROUNDS = 6
+MAX_WRITE_ROUNDS = 6
 
 
 class PendingWrites:
-    """Brings claims to their last state, each under the condition that its attempt still owns it.
+    """Writes the latest states of claims, each only while its attempt still owns the claim.
 
-    An entry that is pushed out, or lost with the node, leaves its claim ``held`` until the
-    retention ends: the key is then refused, never run again.
+    The claim of an entry that is evicted, or lost when the node crashes, stays ``held`` until the
+    retention time ends: requests with its key are then refused and never run again.
     """
 
     def __init__(self, store: ObjectStore, clock: Clock) -> None:
         self.store = store
         self.clock = clock
-        self.entries: dict[str, ClaimEntry] = {}
+        self.entries: dict[str, PendingWrite] = {}
         self.outcomes: dict[str, ClaimRecord] = {}
         self.locks: dict[str, asyncio.Lock] = {}
         self.dropped = 0
 
-    def add(self, entry: ClaimEntry) -> None:
-        """Take an entry in, unless the attempt's last state is already further on."""
+    def add(self, entry: PendingWrite) -> None:
+        """Add an entry, unless the attempt already has a state of the same or a higher rank."""
         attempt = entry.record.attempt
         known = self.entries.get(attempt)
         if known is not None and not entry.record.supersedes(known.record.state):
@@ -48,8 +48,8 @@
             self.dropped += 1
             log.warning("claims.unsettled.dropped", dropped=self.dropped, limit=MAX_ENTRIES)
 
-    def write_anew(self, entry: ClaimEntry) -> None:
-        """Take an entry in that the store had before, unless a newer one waits already."""
+    def add_rewrite(self, entry: PendingWrite) -> None:
+        """Add an entry for a claim that a restore may have lost, unless a newer one is pending."""
         held = self.entries.setdefault(entry.record.attempt, entry)
         held.version, held.was_stored = 0, True
         self.outcomes.setdefault(entry.key, entry.record)
@@ -61,7 +61,7 @@
             del self.outcomes[entry.key]
 
     async def flush_attempt(self, attempt: str, deadline: float) -> bool:
-        """Try to store one attempt's last state; tells whether it needs no further try."""
+        """Try to write one attempt's latest state; returns whether no retry is needed."""
         lock = self.locks.setdefault(attempt, asyncio.Lock())
         try:
             async with lock:
@@ -75,15 +75,15 @@
         if entry is None:
             return True
         try:
-            settled = await self.bring(entry, deadline)
+            is_done = await self.write_until_stored(entry, deadline)
         except MarjoramtideError:
             return False
-        if settled and self.entries.get(attempt) is entry:
+        if is_done and self.entries.get(attempt) is entry:
             self.remove(attempt)
-        return settled
+        return is_done
 
     async def flush_all(self, deadline: float) -> bool:
-        """Try every entry once, until one fails; tells whether none is left."""
+        """Try every entry once, until one fails; returns whether none is left."""
         for attempt in list(self.entries):
             if self.clock.monotonic() >= deadline:
                 return False
@@ -93,44 +93,44 @@
         return not self.entries
 
     def move_to_end(self, attempt: str) -> None:
-        """Let the others go first next time, so that none waits behind one that always fails."""
+        """Try the entry last next time, so that a failing one does not block the others."""
         if attempt in self.entries:
             self.entries[attempt] = self.entries.pop(attempt)
 
-    async def bring(self, entry: ClaimEntry, deadline: float) -> bool:
-        """Write the entry's record, until the store shows it or another attempt's.
+    async def write_until_stored(self, entry: PendingWrite, deadline: float) -> bool:
+        """Write the entry's record until the store holds it or another attempt's.
 
-        An attempt that was given up while its create was on its way is settled in the same way: by
-        creating the released record in its place. Either the create that is still under way finds
-        the key taken and never takes effect, or it was first and is found and updated. A plain read
-        that finds nothing proves neither.
+        An attempt that was abandoned while its create was in transit is handled in the same way, by
+        creating the released record under its key. Either that create finds the key taken and never
+        takes effect, or it came first and its object is found and updated. A read that finds no
+        object proves neither.
         """
-        for _ in itertools.repeat(None, MAX_ROUNDS):
-            left = max(0.001, deadline - self.clock.monotonic())
+        for _ in itertools.repeat(None, MAX_WRITE_ROUNDS):
+            remaining_s = max(0.001, deadline - self.clock.monotonic())
             try:
-                await self.write(entry, left)
+                await self.write(entry, remaining_s)
                 return True
             except MarjoramtideError as error:
                 if error.code not in (ErrorCode.VERSION_CONFLICT, ErrorCode.STORE_AMBIGUOUS):
                     raise
-            if await self.is_settled(entry, deadline):
+            if await self.is_stored(entry, deadline):
                 return True
             if self.clock.monotonic() >= deadline:
                 return False
         return False
 
-    async def write(self, entry: ClaimEntry, timeout: float) -> None:
+    async def write(self, entry: PendingWrite, timeout: float) -> None:
         value = entry.record.encode()
         if entry.version:
             await self.store.update(entry.key, value, entry.version, timeout=timeout)
         else:
             await self.store.create(entry.key, value, timeout=timeout)
 
-    async def is_settled(self, entry: ClaimEntry, deadline: float) -> bool:
-        """Read the claim; where a write is still needed, note the version it goes on from."""
-        left = max(0.001, deadline - self.clock.monotonic())
+    async def is_stored(self, entry: PendingWrite, deadline: float) -> bool:
+        """Read the claim; if another write is needed, set the entry's version for it."""
+        remaining_s = max(0.001, deadline - self.clock.monotonic())
         try:
-            stored = await self.store.get(entry.key, timeout=left)
+            stored = await self.store.get(entry.key, timeout=remaining_s)
         except MarjoramtideError as error:
             if error.code != ErrorCode.NOT_FOUND:
                 raise
@@ -143,10 +143,10 @@
         if record.attempt == entry.record.attempt:
             return not entry.record.supersedes(record.state)
         if entry.was_stored and record.state in (ClaimState.HELD, ClaimState.RELEASED):
-            # Of an attempt that took the key for free, and does not run: it has met the new epoch
-            # by this very claim. The one that was stored before it stays.
+            # Another attempt found the key free after the restore. It does not run, since it
+            # learned of the new epoch by this very claim; the earlier claim replaces its claim.
             return False
-        # An attempt that was given up may have been taking over this ended claim; its update is
-        # still good for the version just read, so that version must not stay.
-        given_up = entry.record.state == ClaimState.RELEASED
-        return not (given_up and record.has_ended(store_time(self.store, self.clock)))
+        # An abandoned attempt may have been taking over this ended claim. Its update may still be
+        # in transit and match the version just read, so that version must be replaced.
+        is_release = entry.record.state == ClaimState.RELEASED
+        return not (is_release and record.can_be_taken_over(store_time(self.store, self.clock)))
--- a/src/marjoramtide/claims/_retention.py
+++ b/src/marjoramtide/claims/_retention.py
@@ -1,4 +1,4 @@
-"""How long claims are kept."""
+"""The retention time of claims."""
 
 from marjoramtide.clock import Clock
 from marjoramtide.settings import RouteSettings
@@ -11,20 +11,20 @@
 def retention_s(settings: RouteSettings) -> float:
     """Return for how many seconds a claim keeps its request from running again.
 
-    Never less than a holder may take until it dispatches and the request may last, with what two
-    nodes make of the store's time ``CLOCK_SKEW_S`` apart each way: a shorter one would let a second
-    run begin while the first is still going on.
+    At least the dispatch window, plus the longest duration of a request, plus ``CLOCK_SKEW_S`` in
+    each direction for differences between the nodes' views of the store's time. With a shorter
+    time, a second run could begin while the first is still in progress.
     """
-    shortest = DISPATCH_WINDOW_S + settings.max_timeout_ms / 1000 + 2 * CLOCK_SKEW_S
-    return max(settings.claim_retention_s, shortest)
+    min_retention_s = DISPATCH_WINDOW_S + settings.max_timeout_ms / 1000 + 2 * CLOCK_SKEW_S
+    return max(settings.claim_retention_s, min_retention_s)
 
 
 def store_time(store: ObjectStore, clock: Clock) -> float:
-    """Return the time by which claims end, in seconds since the epoch: the store's.
+    """Return the Unix time by which claims expire, which is that of the store's clock.
 
-    By its own clock, a node that is a day ahead would take running claims for ended ones and run
-    their requests again. The node's own serves where the store tells none.
+    By its own clock, a node that is a day ahead would take running claims for expired ones and run
+    their requests again. The node's own clock is the fallback if the store reports no time.
     """
     wall = clock.wall()
-    told = store.time(wall)
-    return wall if told is None else told
+    reported = store.time(wall)
+    return wall if reported is None else reported
--- a/src/marjoramtide/store/_resolved_write.py
+++ b/src/marjoramtide/store/_resolved_write.py
@@ -110,7 +110,7 @@
                     return await self.read_winner(error)
                 if error.code == ErrorCode.STORE_AMBIGUOUS:
                     self.ambiguous_error = error
-                await self.back_off(
+                await self.pause(
                     attempt,
                     self.ambiguous_error or error,
                     can_retry=self.ambiguous_error is not None,
@@ -125,16 +125,16 @@
                 # A stale read returns the object from before the conflict.
                 if stored.version > self.previous_version:
                     return Resolution(self.is_own(stored.value), stored)
-            can_retry = attempt < MAX_READS_AFTER_CONFLICT
-            await self.back_off(attempt, self.ambiguous_error or conflict, can_retry=can_retry)
+            can_read_again = attempt < MAX_READS_AFTER_CONFLICT
+            await self.pause(attempt, self.ambiguous_error or conflict, can_retry=can_read_again)
         raise AssertionError("unreachable")
 
     def remaining_s(self) -> float:
         return max(0.001, self.deadline - self.clock.monotonic())
 
-    async def back_off(self, attempt: int, error: MarjoramtideError, *, can_retry: bool) -> None:
+    async def pause(self, attempt: int, error: MarjoramtideError, *, can_retry: bool) -> None:
         """Wait before the next attempt; raises ``error`` if no attempt or time is left."""
-        pause_s = full_jitter(attempt, self.rng)
-        if not can_retry or self.clock.monotonic() + pause_s >= self.deadline:
+        pause = full_jitter(attempt, self.rng)
+        if not can_retry or self.clock.monotonic() + pause >= self.deadline:
             raise error
-        await self.clock.sleep(pause_s)
+        await self.clock.sleep(pause)
