--- a/src/marjoramtide/checked/__init__.py
+++ b/src/marjoramtide/checked/__init__.py
@@ -1,4 +1,4 @@
-"""Checked reading of what other writers than this product may have written."""
+"""Strict decoding of input that other programs may have written."""
 
 from marjoramtide.checked._reading import MalformedError, parse_json, rename_keys, structure_as
 from marjoramtide.checked._whole_number import is_unsigned_int
--- a/src/marjoramtide/checked/_reading.py
+++ b/src/marjoramtide/checked/_reading.py
@@ -1,4 +1,4 @@
-"""One strict converter for all that comes from other writers."""
+"""Strict decoding of JSON and conversion to attrs classes."""
 
 import functools
 import json
@@ -11,118 +11,123 @@
 
 T = TypeVar("T")
 
-# How much of a reason is kept, in characters: it goes into logs and answers, and may quote what was
-# written.
-REASON_CHARACTERS = 200
-# Plain types, and what is said where a value is of another one.
-PLAIN = {
-    bytes: "bytes are",
-    bool: "true or false is",
-    int: "a whole number is",
+# Reasons are truncated, since they go into logs and responses and may quote the input.
+MAX_REASON_CHARACTERS = 200
+# Types whose values are never converted, and what error messages call them.
+EXACT_TYPES = {
+    bytes: "bytes",
+    bool: "true or false",
+    int: "a whole number",
 }
 
 
 class MalformedError(ValueError):
-    """What was read is not of the form that it should have; the text tells what is wrong."""
+    """The input does not have the expected form; the message says why."""
 
 
 def parse_json(data: bytes | str) -> Any:
-    """Return the value of a JSON text; raises ``MalformedError`` for anything else."""
+    """Decode JSON; raises ``MalformedError`` for invalid input."""
     try:
         return json.loads(data)
     except (ValueError, RecursionError) as error:
-        # The second one for what is nested deeply.
-        raise MalformedError(f"no JSON: {type(error).__name__}") from error
+        # RecursionError is raised for deeply nested input.
+        raise MalformedError(f"invalid JSON: {type(error).__name__}") from error
 
 
 def structure_as(cls: type[T], raw: Any) -> T:
-    """Return tables and lists as an attrs class, whose fields say of what type and size they are.
+    """Convert dicts and lists to an attrs class, checking its field types and validators.
 
-    Nothing is converted: the text ``"18"`` is no number, ``true`` is none, and a list is no text.
-    Fields that the class doesn't know are passed over, since other writers may know more. Raises
-    ``MalformedError``, which names the fields that are wrong or missing. For example,
-    ``read_as(Point, {"x": 1, "y": 2})`` returns ``Point(1, 2)``.
+    Plain values are not converted: neither the text ``"18"`` nor ``true`` is a number, and a list
+    is not a text. Unknown fields are ignored, since other programs may add some. Raises
+    ``MalformedError``, which names the wrong or missing fields. For example,
+    ``structure_as(Point, {"x": 1, "y": 2})`` returns ``Point(1, 2)``.
     """
     try:
-        return quick_converter().structure(raw, cls)
+        return plain_converter().structure(raw, cls)
     except Exception as error:
-        # Whatever a foreign text makes the converter stumble over, it is the text that is wrong.
-        raise MalformedError(reasons_of(cls, raw) or repr(error)[:REASON_CHARACTERS]) from error
+        # Any error of the converter is caused by the input.
+        raise MalformedError(
+            validation_errors(cls, raw) or repr(error)[:MAX_REASON_CHARACTERS]
+        ) from error
 
 
-def reasons_of(cls: type[Any], raw: Any) -> str:
-    """Tell which fields are wrong, in words that operators understand."""
+def validation_errors(cls: type[Any], raw: Any) -> str:
+    """Return which fields are wrong, in words that operators understand."""
     try:
-        explaining_converter().structure(raw, cls)
+        detailed_converter().structure(raw, cls)
     except cattrs.BaseValidationError as error:
-        return "; ".join(cattrs.transform_error(error))[:REASON_CHARACTERS]
+        return "; ".join(cattrs.transform_error(error))[:MAX_REASON_CHARACTERS]
     except Exception as error:
-        return repr(error)[:REASON_CHARACTERS]
+        return repr(error)[:MAX_REASON_CHARACTERS]
     return ""
 
 
-def rename_keys(raw: Any, names: Mapping[str, str]) -> dict[str, Any]:
-    """Return a table with our names for the fields that ``names`` gives by another's.
+def rename_keys(raw: Any, field_names: Mapping[str, str]) -> dict[str, Any]:
+    """Return a dict with the keys of ``raw`` renamed; keys not in ``field_names`` are dropped.
 
-    Raises ``MalformedError`` where it is no table.
+    Raises ``MalformedError`` if ``raw`` is not a dict.
     """
     if not isinstance(raw, dict):
-        raise MalformedError(f"a table is wanted, not a {type(raw).__name__}")
-    return {own: raw[other] for other, own in names.items() if other in raw}
+        raise MalformedError(f"expected a table, got {type(raw).__name__}")
+    return {
+        own_name: raw[foreign_name]
+        for foreign_name, own_name in field_names.items()
+        if foreign_name in raw
+    }
 
 
 @functools.cache
-def quick_converter() -> cattrs.BaseConverter:
-    """Return the converter for each day.
+def plain_converter() -> cattrs.BaseConverter:
+    """Return the converter for regular use.
 
-    Not the one that generates code: that is compiled anew for each class at each start of a node,
-    which takes more processor time than the few objects that it reads in a day.
+    It is not the one that generates code: that code is compiled for each class at each start of a
+    node, which takes more CPU time than converting the few objects of a day.
     """
-    return strict(cattrs.BaseConverter())
+    return make_strict(cattrs.BaseConverter())
 
 
 @functools.cache
-def explaining_converter() -> cattrs.BaseConverter:
-    """Return the converter that names the fields that are wrong; made once something is."""
-    return strict(cattrs.Converter(detailed_validation=True))
+def detailed_converter() -> cattrs.BaseConverter:
+    """Return the converter whose errors name the wrong fields; created on the first error."""
+    return make_strict(cattrs.Converter(detailed_validation=True))
 
 
-def strict(made: cattrs.BaseConverter) -> cattrs.BaseConverter:
-    """Have a converter refuse plain values of another type."""
-    for cls, wanted in PLAIN.items():
-        made.register_structure_hook(cls, only(cls, wanted))
-    made.register_structure_hook(str, _text)
-    made.register_structure_hook(float, _number)
-    # Otherwise the hook for texts would be theirs, and let through what is none of their words.
-    made.register_structure_hook(StrEnum, lambda value, cls: cls(value))
-    return made
+def make_strict(converter: cattrs.BaseConverter) -> cattrs.BaseConverter:
+    """Make a converter reject plain values of a wrong type."""
+    for cls, expected in EXACT_TYPES.items():
+        converter.register_structure_hook(cls, exact_type_hook(cls, expected))
+    converter.register_structure_hook(str, text_hook)
+    converter.register_structure_hook(float, finite_number_hook)
+    # Otherwise the hook for str would apply and accept texts that are not members of the enum.
+    converter.register_structure_hook(StrEnum, lambda value, cls: cls(value))
+    return converter
 
 
-def only(cls: type, wanted: str) -> Callable[[Any, type], Any]:
-    """Return the hook that lets through values of one type: ``True`` is no whole number."""
+def exact_type_hook(cls: type, expected: str) -> Callable[[Any, type], Any]:
+    """Return a hook that only accepts values of exactly one type: ``True`` is not an int."""
 
     def hook(value: Any, _: type) -> Any:
         if type(value) is not cls:
-            raise TypeError(f"{wanted} wanted, not a {type(value).__name__}")
+            raise TypeError(f"expected {expected}, got {type(value).__name__}")
         return value
 
     return hook
 
 
-def _text(value: Any, _: type) -> str:
-    """Let through a text that can be sent on.
+def text_hook(value: Any, _: type) -> str:
+    """Accept only texts that can be encoded as UTF-8.
 
-    JSON may hold half of a surrogate pair. Failure: one such name in a list makes its reader
-    stumble later, where only ``MalformedError`` is passed over, and the whole list is lost.
+    JSON may contain a lone surrogate. One such name in a list would raise another error than
+    ``MalformedError`` when it is encoded later, and the whole list would be lost.
     """
     if type(value) is not str:
-        raise TypeError(f"a text is wanted, not a {type(value).__name__}")
+        raise TypeError(f"expected a text, got {type(value).__name__}")
     if not value.isascii():
         value.encode()
     return value
 
 
-def _number(value: Any, _: type) -> float:
+def finite_number_hook(value: Any, _: type) -> float:
     if type(value) not in (int, float) or not math.isfinite(value):
-        raise TypeError(f"a finite number is wanted, not {str(value)[:20]}")
+        raise TypeError(f"expected a finite number, got {str(value)[:20]}")
     return float(value)
--- a/src/marjoramtide/checked/_whole_number.py
+++ b/src/marjoramtide/checked/_whole_number.py
@@ -1,8 +1,8 @@
-"""Whole numbers in what other nodes send."""
+"""Checks of whole numbers in messages from other nodes."""
 
 BELOW_64_BITS = 1 << 64
 
 
 def is_unsigned_int(value: object, below: int = BELOW_64_BITS) -> bool:
-    """Tell whether a value is a whole number from 0 on and ``below`` this; ``True`` is none."""
+    """Return whether a value is an int from 0 to below ``below``; ``True`` is not an int here."""
     return type(value) is int and 0 <= value < below
--- a/src/marjoramtide/platform/_heartbeat.py
+++ b/src/marjoramtide/platform/_heartbeat.py
@@ -84,7 +84,7 @@
     for part, names in (("info", INFO), ("status", STATUS)):
         fields[part] = rename_keys(fields.get(part), names)
     if "born" in fields and fields["born"] is None:
-        raise MalformedError("born: a whole number is wanted, not null")
+        raise MalformedError("born: expected a whole number, got null")
     heard = structure_as(Heartbeat, fields)
     return Registration(
         instance=read_identity(instance),
--- a/src/marjoramtide/store/_epoch.py
+++ b/src/marjoramtide/store/_epoch.py
@@ -17,17 +17,17 @@
     restore could have lost.
     """
 
-    epoch: int = 0
+    epoch_number: int = 0
     is_known: bool = False
     listeners: list[Callable[[int], None]] = attrs.Factory(list)
 
-    def observe(self, epoch: int, peer: str) -> None:
+    def observe(self, epoch_number: int, peer: str) -> None:
         """Record an epoch; an earlier one, from a late response, is ignored."""
-        has_advanced = self.is_known and epoch > self.epoch
-        self.epoch = max(epoch, self.epoch)
+        has_advanced = self.is_known and epoch_number > self.epoch_number
+        self.epoch_number = max(epoch_number, self.epoch_number)
         self.is_known = True
         if not has_advanced:
             return
-        log.warning("store.epoch", step="store.epoch", peer=peer, epoch=epoch)
+        log.warning("store.epoch", step="store.epoch", peer=peer, epoch=epoch_number)
         for listener in self.listeners:
-            listener(epoch)
+            listener(epoch_number)
--- a/src/marjoramtide/store/_http_object_store.py
+++ b/src/marjoramtide/store/_http_object_store.py
@@ -78,7 +78,7 @@
 
     @property
     def epoch(self) -> int:
-        return self.epoch_tracker.epoch
+        return self.epoch_tracker.epoch_number
 
     def on_epoch_change(self, listener: Callable[[int], None]) -> None:
         self.epoch_tracker.listeners.append(listener)
