--- a/features/claims/claims.feature
+++ b/features/claims/claims.feature
@@ -1,18 +1,18 @@
 Feature: A request with an idempotency key runs at most once
-  A caller that lost an answer sends its booking again with the same key, through any node. Each
-  scenario breaks the store, a node or the way between them, and counts which attempts may run.
+  A caller that lost a response retries its request with the same key, through any node. Each
+  scenario makes the store, a node or the network between them fail, and checks which attempts run.
 
   Scenario: Two nodes race with one key
-    The caller's own retry and its first try arrive at two nodes at the same moment, fifty times
-    over. Both ask the store at once; its conditional create lets one of them through.
+    The first attempt and a retry arrive at two nodes at the same time, for fifty keys. Both nodes
+    ask the store concurrently; its conditional create lets one of them win.
     Given two nodes with claims
     When both nodes claim each of 50 keys at once
     Then each key is held by exactly one of them
     And the other attempts met a conflict "in-progress"
 
   Scenario: The answer of the claim's write is lost
-    The store has the claim, the node does not know. Dispatching on a guess could run the request
-    twice; refusing would leave a claim behind that no one can use.
+    The store has the claim, but the node does not know. Dispatching anyway could run the request
+    twice; refusing would leave a claim that no attempt can use.
     Given two nodes with claims
     When the store loses the answer to the claim's write
     And node A claims "booking-1"
@@ -27,8 +27,8 @@
     Then node A's result is "conflict"
 
   Scenario Outline: The store is down when the claim is asked for
-    Without the store no node can know whether another one ran the request. It is refused at once,
-    as not run, with a time to come back; a route's settings may choose otherwise.
+    Without the store a node can't know whether another one ran the request. It is refused
+    immediately, as not run and with a retry time, unless the route's settings say otherwise.
     Given two nodes with claims
     And the route's claims_when_store_down is "<setting>"
     When the store goes down by "<mode>"
@@ -45,9 +45,9 @@
       | run     | hang   | held-unclaimed |
 
   Scenario Outline: The claim of a refused attempt takes effect late
-    The connection breaks, the node refuses the request as not run, and the claim's write arrives
-    after that, before or after the node comes to free the key. The caller was told to come back: its
-    next try must not find the key held for nobody, nor run beside an attempt.
+    The connection breaks, the node refuses the request as not run, and the write of the claim
+    arrives later, before or after the node frees the key. The caller was told to retry: the retry
+    must neither find the key held although nothing runs, nor run concurrently with another attempt.
     Given two nodes with claims
     When the store holds every write back and node A claims "booking-1"
     Then node A's result is "unavailable"
@@ -61,8 +61,8 @@
       | after  |
 
   Scenario: A stale read while a key is being freed
-    The claim of a refused attempt has taken effect. The node that frees the key finds it taken, and
-    its read of it shows nothing.
+    The claim of a refused attempt has taken effect. The node that frees the key gets a conflict,
+    and the read after it returns no object.
     Given two nodes with claims
     When the store holds every write back and node A claims "booking-1"
     And the next 1 reads of claims are stale
@@ -70,8 +70,8 @@
     Then node B's claim of "booking-1" is "held"
 
   Scenario: A late take-over of a released claim
-    A key is free again after a release. Node A's update that takes it over is held back, A refuses
-    the request, and the update arrives after A has freed the key.
+    A key was released. Node A's update that takes it over is delayed, A refuses the request, and
+    the update arrives after A has freed the key.
     Given two nodes with claims
     And node B has claimed and released "booking-1"
     When the store holds every update back and node A claims "booking-1"
@@ -80,16 +80,16 @@
     Then node B's claim of "booking-1" is "held"
 
   Scenario: An attempt is cancelled while its claim is on the way
-    The caller goes away in the middle. Nobody waits for the claim's answer any more, and the store
-    carries the write out when it is back.
+    The caller disconnects during the write of the claim. Nothing waits for its response any more,
+    and the store executes the write once it is up again.
     Given two nodes with claims
     When node A's claim of "booking-1" is cancelled while the store hangs
     And the store comes back and node A settles its claims
     Then node B's claim of "booking-1" is "held"
 
   Scenario: The store goes down between the claim and its record
-    The booking ran and its answer went to the caller, but the store does not have the outcome. A
-    retry must neither run nor be told "not run".
+    The request ran and its response went to the caller, but the store does not have the outcome. A
+    retry must neither run nor be refused as "not run".
     Given two nodes with claims
     And node A has claimed "booking-1"
     When the store goes down by "refuse"
@@ -104,8 +104,8 @@
     And the recorded answer is 201 with the body "booked"
 
   Scenario: A stale read of the claim
-    Node A's claim is completed. The read after node B's conflict shows the state before that, or
-    nothing at all; B waits for a read that fits the conflict, and whatever it sees, it does not run.
+    Node A's claim is completed. The read after node B's conflict returns the earlier state or no
+    object; B retries until a read is consistent with the conflict, and never runs the request.
     Given two nodes with claims
     And node A has claimed "booking-1"
     When the next 1 reads of claims are stale
@@ -124,8 +124,8 @@
     And a refusal says when to come back
 
   Scenario: A frozen holder wakes after the retention
-    Node A is stopped between its claim and the dispatch. A day later the claim has ended, the
-    caller's retry runs through node B, and A wakes up in the middle of its work.
+    Node A is suspended between its claim and the dispatch. A day later the claim has expired, the
+    caller's retry runs through node B, and A resumes where it was suspended.
     Given two nodes with claims
     And node A has claimed "booking-1"
     And node A may dispatch "booking-1"
@@ -134,15 +134,15 @@
     And node A may not dispatch "booking-1"
 
   Scenario: A holder that died is not replaced
-    Node A is gone after its claim; whether it dispatched, nobody can tell. The claim stands until
-    the retention ends, however old it looks.
+    Node A crashes after its claim, and it is unknown whether it dispatched. The claim stays valid
+    until the retention time ends.
     Given two nodes with claims
     And node A has claimed "booking-1"
     When 80000 s pass on every clock
     Then node B's claim of "booking-1" is "conflict"
 
   Scenario: A retention shorter than a request may last
-    The settings keep claims for a second. A second run would begin while the first still goes on.
+    The settings keep claims for 1 s. A second run would begin while the first is in progress.
     Given two nodes with claims
     And the route's claim_retention_s is 1
     And node A has claimed "booking-1"
@@ -150,8 +150,8 @@
     Then node B's claim of "booking-1" is "conflict"
 
   Scenario Outline: A node whose own clock is wrong
-    Node <wrong>'s clock is <seconds> s off. By it, the claim that node A holds would have ended long
-    ago, and the request would run a second time beside the first.
+    By node <wrong>'s clock, which is <seconds> s off, node A's claim would have expired long ago,
+    and the request would run a second time concurrently with the first.
     Given two nodes with claims
     And node <wrong>'s clock is <seconds> s off
     And node A has claimed "booking-1"
@@ -163,8 +163,8 @@
       | B     | 200000  |
 
   Scenario: A cleaner that was stopped in the middle of a call does not mistake the time
-    The cleaner notes its own clock, is stopped for two days, and then gets the store's time with the
-    list. By the difference it would take today's claims for ended ones and free keys that run.
+    The cleaner reads its own clock, is suspended for two days, and then gets the store's time with
+    the list. A clock offset from both would make valid claims look expired and free their keys.
     Given two nodes with claims
     When a cleaner lists the slice of "booking-1", stopped for 200000 s while node A claims it
     Then the cleaners have deleted 0 claims
@@ -180,7 +180,7 @@
       | 256   |
 
   Scenario: A key is used again with another request
-    A caller's fault: the answer of the first request must not be given for the second.
+    An error of the caller: the response to the first request must not be returned for the second.
     Given two nodes with claims
     And node A has claimed "booking-1"
     And node A has recorded "booking-1" as completed with the body "booked"
@@ -194,8 +194,8 @@
     And node B's claim of "booking-1" is "held"
 
   Scenario: A copy of the claim arrives after its release
-    The first copy of the create was held back, the second one was answered, the request could not
-    be sent and its key is free again. Then the first copy arrives.
+    The first copy of the create is delayed and the second one succeeds; the request can't be sent
+    and its key is released. Then the first copy arrives.
     Given two nodes with claims
     When the store holds one write back and node A claims "booking-1"
     And node A releases "booking-1"
@@ -204,7 +204,7 @@
 
   Scenario: An answer that comes after "unknown"
     The connection to the backend server broke and the outcome was recorded as unknown; then the
-    answer came after all. What is recorded as completed never becomes unknown again.
+    response arrived after all. A completed outcome never changes back to unknown.
     Given two nodes with claims
     And node A has claimed "booking-1"
     When node A records "booking-1" as unknown
@@ -216,8 +216,8 @@
     And the recorded answer is 201 with the body "booked"
 
   Scenario: A slow cleaner meets a key that is claimed anew
-    Two cleaners list the same ended claim. The first deletes it, a caller claims the key again, and
-    only now the second deletes; without the version it would free a key that is running.
+    Two cleaners list the same expired claim. The first deletes it, a caller claims the key again,
+    and then the second deletes. An unconditional delete would free the key of a running request.
     Given two nodes with claims
     And node A has claimed "booking-1"
     When 90000 s pass on every clock
@@ -236,8 +236,8 @@
     Then the cleaners have deleted 0 claims
 
   Scenario: The store's process is killed while a request runs
-    The store is a process of its own and dies between the claim and its record. The request that
-    holds its claim goes on; new ones are refused and none of them may run.
+    The store's process dies between the claim and the record of its outcome. The request that holds
+    its claim continues; new ones are refused and none of them may run.
     Given two nodes with claims and the store as a process
     And node A has claimed "booking-1"
     When the store's process dies
@@ -247,16 +247,16 @@
     And node B's claim of "booking-2" is "unavailable"
 
   Scenario: The cleaners of a large fleet read no more than the store can spare
-    Each node lists a slice of the claims now and then. Were that as often in a fleet of any size,
-    790 nodes would read 8 MB of claims a second and see each slice a hundred times before any of
-    its claims ends; callers' own claims would wait behind those reads.
+    Each node periodically lists a slice of the claims. With a fixed interval per node, 790 nodes
+    would read 8 MB of claims per second and list each slice a hundred times before any of its
+    claims expires, and these reads would delay the claims of callers.
     Given two nodes with claims
     Then the cleaners of 22 nodes list 2 to 2.5 slices a second in all
     And the cleaners of 790 nodes list 4.5 to 5.5 slices a second in all
 
   Scenario: A key whose claim is lost with the store's newest state, while its holder lives
-    # The store comes back from a copy made before the claim. The booking has run, its caller lost the
-    # answer and asks again with the same key, which the store takes for free.
+    # The store is restored from a copy made before the claim. The request has run, its caller lost
+    # the response and retries with the same key, which the store shows as free.
     Given two nodes with claims
     And a copy of the store of claims is kept
     And node A has claimed "booking-1"
@@ -269,8 +269,8 @@
     And node B's claim of "booking-2" is "held"
 
   Scenario: A key whose claim is lost with the store's newest state, and its holder with it
-    # As before, and the node that ran the booking is lost at the same time. Another node was told of
-    # the claim before the booking was sent.
+    # As before, and the node that ran the request is lost at the same time. Another node received
+    # the claim before the request was sent.
     Given two nodes with claims
     And node B is told of what node A claims
     And a copy of the store of claims is kept
@@ -283,7 +283,7 @@
     Then node B's claim of "booking-1" is "conflict"
 
   Scenario: A key that is claimed as the store comes back
-    # The node hears of it by the answer to its own claim, which the store has taken.
+    # The node learns of the restore from the response to its own claim, which the store accepted.
     Given two nodes with claims
     And a copy of the store of claims is kept
     And node A has claimed "booking-1"
--- a/features/platform/object_store.feature
+++ b/features/platform/object_store.feature
@@ -1,11 +1,11 @@
 Feature: The store's answers are told truly
-  What the rest of a node decides rests on three words of a write: it took effect, it did not, or
-  nobody knows yet. Each scenario breaks the way between a node and the store and checks the word.
+  The rest of a node depends on one of three outcomes of a write: it took effect, it did not, or
+  that is unknown. Each scenario makes the connection or the store fail and checks the outcome.
 
   Scenario: A write whose answer is lost is not taken for a conflict
-    The store applies a create and the connection breaks before the answer. HTTP calls PUT
-    idempotent, so the client library would send it again; the copy meets the object that the first
-    one made, and the writer would hear that somebody else was faster.
+    The store applies a create and the connection breaks before the response. HTTP defines PUT as
+    idempotent, so the client library would resend it; the copy would conflict with the object that
+    the first one created, and the writer would believe that another writer had won.
     Given an object store
     And the node has called the store before
     When the store loses the answer to the next write
@@ -20,7 +20,7 @@
     Then the write is its own
 
   Scenario: A lost answer is resolved to another writer's object
-    Another node's object is there already. The answer that is lost said so.
+    Another node's object already exists. The lost response reported the conflict.
     Given an object store
     And another node created "settings/tree" as "theirs"
     When the store loses the answer to the next write
@@ -28,9 +28,9 @@
     Then the write lost to "theirs"
 
   Scenario: A write that takes effect late is not reported as failed
-    The connection breaks while the create is still under way inside the platform. A read at that
-    moment finds nothing, and a writer that went by it would report "not done" of a write that comes
-    into force a moment later.
+    The connection breaks while the create is still in transit inside the platform. A read at that
+    moment finds no object, and a writer that relied on it would report as failed a write that takes
+    effect a moment later.
     Given an object store
     When the store holds the next write back
     And the node creates "settings/tree" as "mine" and resolves the outcome
@@ -39,8 +39,8 @@
     And the store holds "mine" under "settings/tree"
 
   Scenario: A late update does not undo a newer one
-    The first copy of an update is held back, the second one is applied and answered. When the first
-    arrives, another node has built on the second.
+    The first copy of an update is delayed, the second one succeeds. When the first arrives, another
+    node has already updated the object again.
     Given an object store
     And another node created "settings/tree" as "first"
     When the store holds the next write back
@@ -51,8 +51,8 @@
     And the store holds "mine+theirs" under "settings/tree"
 
   Scenario: A lost update is known again after another node has built on it
-    The update takes effect, its answer is lost, and before the writer asks, another node replaces
-    the object with one that carries the first writer's id in its history.
+    The update takes effect and its response is lost. Before the writer reads, another node replaces
+    the object with one whose history contains the first writer's id.
     Given an object store
     And another node created "settings/tree" as "first"
     When the store loses the answer to the next write
@@ -62,8 +62,8 @@
     And the store holds "mine+theirs" under "settings/tree"
 
   Scenario: A stale read is not taken for the winner
-    The write loses to another node's. The read that follows shows the version from before it, which
-    would tell the writer that nobody has won.
+    The write conflicts with another node's. The read that follows returns the version from before
+    both writes, which would suggest that neither took effect.
     Given an object store
     And another node created "settings/tree" as "first"
     And another node has updated "settings/tree" to "theirs" meanwhile
@@ -72,14 +72,14 @@
     Then the write lost to "theirs"
 
   Scenario: A write that is never answered stays undecided
-    The store hangs for longer than the deadline. Neither "done" nor "not done" would be true.
+    The store hangs for longer than the deadline, so the outcome is unknown.
     Given an object store
     When the store is in mode "hang"
     And the node creates "settings/tree" as "mine" and resolves the outcome within 0.3 s
     Then the call fails as "store-ambiguous"
 
   Scenario Outline: A refusal counts as without effect only on the store's own word
-    A gateway before the store answers 5xx for what the store behind it may have applied.
+    A gateway in front of the store may return 5xx for a write that the store applied.
     Given an object store
     When the store is in mode "<mode>"
     And the node creates "settings/tree" as "mine"
@@ -92,7 +92,7 @@
       | drop   | store-ambiguous   |
 
   Scenario: An answer that is not the store's decides nothing
-    A proxy on the way answers 200 with a page of its own.
+    A proxy between the node and the store returns 200 with its own page.
     Given an object store
     When the store is in mode "garbage"
     And the node creates "settings/tree" as "mine"
@@ -101,8 +101,8 @@
     Then every read failed as "store-unavailable"
 
   Scenario: A node gives way when the store refuses over its rate
-    The limit holds for the whole fleet. A node that only repeated what was refused would take the
-    calls that others need.
+    The limit applies to the whole fleet. A node that kept retrying at its full rate would use up
+    calls that other nodes need.
     Given an object store that refuses every call over its rate
     When the node creates "settings/tree" as "mine"
     Then the call fails as "store-throttled"
@@ -112,7 +112,7 @@
     Then the node's write budget is 100 calls a second
 
   Scenario: A node keeps its own budget
-    A fault in a node, or a storm of its callers, asks for far more calls than the node may make.
+    A bug in a node, or a burst of its callers, would make far more calls than its limit.
     Given an object store
     And a node that may make 5 writes at once and 1 a second
     When the node makes 50 writes within 0.2 s
@@ -120,8 +120,8 @@
     And the others failed as "store-throttled"
 
   Scenario: An outage costs no timeout for each call, and no flood at its end
-    The store hangs. The first calls wait out their timeouts; the next are refused at once. When it
-    is back, one call tries it before the others are let through.
+    The store hangs. The first calls time out; later ones fail immediately. When it is up again, one
+    call probes it before others are sent.
     Given an object store
     When the store is in mode "hang"
     And the node reads 5 times with a timeout of 0.3 s
@@ -138,8 +138,8 @@
     And the node can read again
 
   Scenario: Callers in a hurry do not close the store to others
-    The store is well and takes a tenth of a second. Requests whose deadlines are shorter than that
-    fail; they say nothing of the store, and a circuit opened by them would refuse everyone.
+    The store is healthy and responds after 100 ms. Calls with shorter deadlines fail, which says
+    nothing about the store; a circuit breaker opened by them would fail the calls of everyone.
     Given an object store
     When the store takes 100 ms for each call
     And the node reads 8 times with a timeout of 0.03 s
@@ -147,8 +147,8 @@
     And the node can read again
 
   Scenario: A watch goes on from the version of the list
-    The newest change under the prefix was a deletion and has left the history. A watch from the
-    newest object listed would meet a gap after every list.
+    The newest change under the prefix was a deletion and is no longer in the history. A watch from
+    the newest listed object would hit a gap after every list.
     Given an object store that keeps 3 changes
     When 6 objects are made and the newest 4 deleted under "members/"
     Then a watch of "members/" from the list's version reports the next change
--- a/features/steps/claim_epoch_steps.py
+++ b/features/steps/claim_epoch_steps.py
@@ -1,4 +1,4 @@
-"""Steps for claims in a store that comes back from a copy."""
+"""Steps for claims in a store that is restored from a copy."""
 
 from typing import Any
 
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -45,7 +45,7 @@
 
 
 def close_circuits(context: Any) -> None:
-    """Let so much time pass that the nodes try the store again."""
+    """Advance the clock so that the circuit breakers allow a probe of the store."""
     context.store.clock.added += 10
 
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the way to the platform's store."""
+"""Steps for the client of the object store."""
 
 import asyncio
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def resolve(context: Any, write: Any, *place: Any, within: float = 3.0) -> None:
-    """Make a write of the value "mine" and keep its resolution, or its error."""
+    """Run a resolved write of the value "mine" and keep its resolution or error."""
     harness = context.store
     context.result = harness.outcome(
         write(
@@ -64,8 +64,8 @@
 
 
 @given("a node that may make {burst:d} writes at once and {rate:d} a second")
-def given_small_budget(context: Any, burst: int, rate_per_s: int) -> None:
-    limits = StoreLimits(writes_per_s=rate_per_s, write_burst=burst)
+def given_small_budget(context: Any, burst: int, rate: int) -> None:
+    limits = StoreLimits(writes_per_s=rate, write_burst=burst)
     context.node = context.store.client(limits)
 
 
@@ -257,14 +257,14 @@
 
 
 @then("the node's write budget is at most {rate:d} calls a second")
-def then_budget_below(context: Any, rate_per_s: int) -> None:
-    assert context.node.write_budget.rate_per_s <= rate_per_s, context.node.write_budget.rate_per_s
+def then_budget_below(context: Any, rate: int) -> None:
+    assert context.node.write_budget.rate_per_s <= rate, context.node.write_budget.rate_per_s
 
 
 @then("the node's write budget is {rate:d} calls a second")
-def then_budget_is(context: Any, rate_per_s: int) -> None:
+def then_budget_is(context: Any, rate: int) -> None:
     context.node.write_budget.refill()
-    assert context.node.write_budget.rate_per_s == rate_per_s, context.node.write_budget.rate_per_s
+    assert context.node.write_budget.rate_per_s == rate, context.node.write_budget.rate_per_s
 
 
 @then('the others failed as "{code}"')
@@ -279,7 +279,7 @@
 
 
 async def next_event(context: Any, prefix: str, since: int) -> Any:
-    """Return the first event of a watch, during which one object is made."""
+    """Create an object while a watch is open, and return the watch's first event."""
 
     async def change() -> None:
         await asyncio.sleep(0.05)
--- a/features/store_harness.py
+++ b/features/store_harness.py
@@ -1,4 +1,4 @@
-"""The object store's stand-in over loopback HTTP, inside a scenario's own event loop."""
+"""The stand-in object store over loopback HTTP, in the event loop of a scenario."""
 
 import asyncio
 import json
@@ -20,7 +20,7 @@
 
 
 class LeapingClock(SystemClock):
-    """The machine's time, and what the scenario adds to it."""
+    """The system clock plus offsets that the scenario sets."""
 
     def __init__(self) -> None:
         self.added = 0.0
@@ -34,7 +34,7 @@
 
 
 class StoreHarness:
-    """A store, the clock and the event loop of one scenario; ``close`` ends them."""
+    """A store, the clock and the event loop of one scenario, until ``close``."""
 
     def __init__(self, server: ObjectStoreServer) -> None:
         self.loop = asyncio.new_event_loop()
@@ -48,18 +48,18 @@
         self.clients: list[HttpObjectStore] = []
 
     def run(self, work: Coroutine[Any, Any, T]) -> T:
-        """Run to the end what must not take longer than a few seconds."""
+        """Run a coroutine that must finish within 30 s."""
         return self.loop.run_until_complete(asyncio.wait_for(work, 30))
 
     def outcome(self, work: Coroutine[Any, Any, Any]) -> Any:
-        """Return the result, or the product's error where one is raised."""
+        """Return the result, or the ``MarjoramtideError`` that was raised."""
         try:
             return self.run(work)
         except MarjoramtideError as error:
             return error
 
     def client(self, limits: StoreLimits | None = None, url: str = "") -> HttpObjectStore:
-        """Return another node's way to the store."""
+        """Return the store client of another node."""
         rng = random.Random(SEED + len(self.clients))
         store = open_object_store(url or self.url, clock=self.clock, rng=rng, limits=limits)
         self.clients.append(store)
@@ -74,7 +74,7 @@
 
 
 def start_harness(context: Any, **limits: Any) -> StoreHarness:
-    """Start a store for the scenario, which ends it."""
+    """Start a store that is closed at the end of the scenario."""
     context.store = StoreHarness(make_server(**limits))
     context.cleanup.callback(context.store.close)
     return context.store
@@ -83,7 +83,7 @@
 def start_process(
     context: Any, address: str = "127.0.0.1:0"
 ) -> tuple["subprocess.Popen[bytes]", str]:
-    """Start the stand-in as a process of its own; return it and its URL."""
+    """Start the stand-in as a separate process; return the process and its URL."""
     command = [sys.executable, "-m", "standins.object_store", "--listen", address]
     process = subprocess.Popen(command, stdout=subprocess.PIPE)
     assert process.stdout is not None
