--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -59,7 +59,7 @@
 )
 from marjoramtide.platform._configuration import OperatorConfiguration
 from marjoramtide.platform._heartbeat import read_departure, read_registration
-from marjoramtide.platform._store_protocol import PlatformStore
+from marjoramtide.platform._store_protocol import PlatformStoreProtocol
 from marjoramtide.policy import EvacuationSnapshot, ServerCrash, SuspectReport
 from marjoramtide.quarantine import is_quarantine_news, pack_news, unpack_news
 from marjoramtide.quota import is_quota_message
@@ -252,11 +252,11 @@
 
 
 def read_page(data: bytes) -> None:
-    PlatformStore().read_page("kind/", StoreResponse(200, {}, data, CallOutcome.DONE))
+    PlatformStoreProtocol().read_page("kind/", StoreResponse(200, {}, data, CallOutcome.DONE))
 
 
 def read_events(data: bytes) -> None:
-    PlatformStore().read_events("kind/", data)
+    PlatformStoreProtocol().read_events("kind/", data)
 
 
 def read_announcement(data: bytes) -> None:
@@ -309,7 +309,7 @@
 
 
 def read_epoch(data: bytes) -> None:
-    PlatformStore().epoch({"Store-Era": data.decode("latin-1")})
+    PlatformStoreProtocol().epoch({"Store-Era": data.decode("latin-1")})
 
 
 async def send(address: str, data: bytes) -> bytes:
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -14,7 +14,7 @@
 from marjoramtide.clock import FreezeDetector, ManualClock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.platform import platform_interface
-from marjoramtide.platform._backends import PlatformBackend
+from marjoramtide.platform._backends import PlatformBackendProtocol
 from marjoramtide.serving import EndpointResponse
 from marjoramtide.settings import (
     Envelope,
@@ -164,7 +164,7 @@
     pairs = () if headers == "nothing" else headers.split(", ")
     fields = [each.partition(":")[::2] for each in pairs]
     answer = EndpointResponse(200, tuple((name, value.strip(" ")) for name, value in fields))
-    context.reading = PlatformBackend().read_health(answer)
+    context.reading = PlatformBackendProtocol().read_health(answer)
 
 
 @then("it is read to take {rate} a second, {leaving}, with {count:d} malformed")
--- a/features/steps/foreign_writers_steps.py
+++ b/features/steps/foreign_writers_steps.py
@@ -11,7 +11,7 @@
 from marjoramtide.claims._claim_record import ClaimRecord, decode_record
 from marjoramtide.claims._claim_state import ClaimState
 from marjoramtide.platform._backends import read_load
-from marjoramtide.platform._store_protocol import PlatformStore
+from marjoramtide.platform._store_protocol import PlatformStoreProtocol
 from marjoramtide.serving import ServerLoad
 from marjoramtide.store import CallOutcome, StoreResponse
 
@@ -107,7 +107,7 @@
 @when("the store answers a list of which every second entry is spoiled")
 def when_list(context: Any) -> None:
     body = {"items": mixed(), "HasMore": True, "CurrentRev": 9}
-    context.page = PlatformStore().read_page("announcements/", answer(body))
+    context.page = PlatformStoreProtocol().read_page("announcements/", answer(body))
 
 
 @then("the sound entries are read and the others counted")
@@ -122,7 +122,7 @@
 def when_watch(context: Any) -> None:
     events = [{"Removed": False, "Object": entry} for entry in mixed()]
     body = {"events": [*events, {"Removed": "no", "Object": stored(9)}, 3], "CurrentRev": 9}
-    context.changes = PlatformStore().read_events("announcements/", answer(body).body)
+    context.changes = PlatformStoreProtocol().read_events("announcements/", answer(body).body)
 
 
 @then("the sound changes are read and the others counted")
--- a/features/steps/store_epoch_steps.py
+++ b/features/steps/store_epoch_steps.py
@@ -10,7 +10,7 @@
 from features.steps.platform_evacuation_steps import add
 from features.steps.platform_node_steps import run, start_fleet
 from marjoramtide.errors import ErrorCode, MarjoramtideError
-from marjoramtide.platform._store_protocol import PlatformStore
+from marjoramtide.platform._store_protocol import PlatformStoreProtocol
 from marjoramtide.store import HttpObjectStore, open_object_store
 
 use_step_matcher("parse")
@@ -104,7 +104,7 @@
 def client_of(context: Any) -> HttpObjectStore:
     """Return a client of a store on the platform that ends with the scenario."""
     fleet = start_fleet(context)
-    client = open_object_store(run(context, fleet.open_store()), protocol=PlatformStore())
+    client = open_object_store(run(context, fleet.open_store()), protocol=PlatformStoreProtocol())
     context.cleanup.callback(lambda: run(context, client.close()))
     return client
 
--- a/src/marjoramtide/platform/__init__.py
+++ b/src/marjoramtide/platform/__init__.py
@@ -1,7 +1,7 @@
 """The adapter to the users' platform: its names, formats and calls.
 
-Nothing here decides anything, and nothing outside of this package knows a name of the platform's
-wire. Each module translates between one part of that wire and types of the product.
+Nothing here makes decisions, and no other package knows a name of the platform's protocols. Each
+module translates between one part of these protocols and the project's own types.
 """
 
 from marjoramtide.platform._interface import platform_interface
--- a/src/marjoramtide/platform/_backends.py
+++ b/src/marjoramtide/platform/_backends.py
@@ -1,4 +1,4 @@
-"""What backend servers speak on the platform."""
+"""The protocol between a node and a backend server of the platform."""
 
 from collections.abc import Iterator
 
@@ -30,21 +30,21 @@
 )
 
 MISDIRECTED = 421
-HEALTHY = 200
-USUAL_SLOWDOWN = 100.0
-LOAD_FIGURES = 3
-# Of a count that a server states; more is no count.
+HEALTHY_STATUS = 200
+NORMAL_PERCENT = 100.0
+LOAD_COUNTS = 3
+# Longer counts are rejected as malformed.
 MAX_DIGITS = 9
-# A server that takes ten thousand times as long says nothing that could be acted on.
-MOST_SLOWDOWN = 10_000.0
-# No caller's deadline is as long as a day, and no server is cold for one.
-MOST_RETRY_AFTER_S = 86_400.0
-MOST_COLD_MS = 86_400_000.0
-STATEMENTS = StatementParser(SERVER_RATE, SERVER_LEAVING)
+# A larger slowdown than 10,000 is not plausible and is ignored.
+MAX_SLOWDOWN = 10_000.0
+# No deadline of a caller is as long as a day, and no server is cold for a day.
+MAX_RETRY_AFTER_S = 86_400.0
+MAX_COLD_MS = 86_400_000.0
+STATEMENT_PARSER = StatementParser(SERVER_RATE, SERVER_LEAVING)
 
 
-class PlatformBackend(BackendProtocol):
-    """Deadlines, expected instances, seals and load in headers."""
+class PlatformBackendProtocol(BackendProtocol):
+    """Deadlines, expected instances, response signatures and load in headers."""
 
     own_answer_headers = frozenset(
         name.lower() for name in ("Content-Length", "Date", "Server", LOAD, INSTANCE)
@@ -81,18 +81,18 @@
         )
 
     def read_health(self, answer: EndpointResponse) -> HealthCheckResult:
-        state = BackendState.READY if answer.status == HEALTHY else BackendState.DOWN
+        state = BackendState.READY if answer.status == HEALTHY_STATUS else BackendState.DOWN
         if answer.status == 503:
             state = BackendState.DRAINING
         load = read_load(answer.header(LOAD.lower()))
-        cold_left_s = read_cold(answer.header(COLD.lower()))
+        cold_remaining_s = read_cold(answer.header(COLD.lower()))
         instance = answer.header(INSTANCE.lower())
         statement, malformed = read_statement(answer)
         return HealthCheckResult(
             state,
             instance,
             load,
-            cold_remaining_s=cold_left_s,
+            cold_remaining_s=cold_remaining_s,
             statement=statement,
             malformed=malformed,
         )
@@ -101,52 +101,52 @@
 def read_statement(
     answer: BackendResponse | EndpointResponse,
 ) -> tuple[ServerStatement, tuple[str, ...]]:
-    """Read what a server says that it takes, and what of it can't be read."""
-    return STATEMENTS.parse(
+    """Read the rate and leaving statement of a server, and which of its headers are malformed."""
+    return STATEMENT_PARSER.parse(
         answer.header_values(SERVER_RATE.lower()),
         answer.header_values(SERVER_LEAVING.lower()),
     )
 
 
 def read_load(text: str) -> ServerLoad | None:
-    """Read a load header; ``None`` where it is missing or of another form."""
-    counts, percent = text.split(",")[:LOAD_FIGURES], text.split(",")[LOAD_FIGURES:]
-    if len(counts) < LOAD_FIGURES or not all(map(is_count, counts)):
+    """Read a load header; ``None`` if it is missing or malformed."""
+    counts, percent = text.split(",")[:LOAD_COUNTS], text.split(",")[LOAD_COUNTS:]
+    if len(counts) < LOAD_COUNTS or not all(map(is_count, counts)):
         return None
     slowdown = read_slowdown(percent[0]) if percent else 1.0
     if slowdown is None:
         return None
-    running, waiting, slots = map(int, counts)
-    return ServerLoad(running, waiting, slots, slowdown)
+    running, queued, slots = map(int, counts)
+    return ServerLoad(running, queued, slots, slowdown)
 
 
 def is_count(text: str) -> bool:
-    """Tell whether a text is a whole number from 0 on that a server may have counted."""
+    """Return whether a text is a non-negative integer of at most ``MAX_DIGITS`` digits."""
     return text.isascii() and text.strip(" ").isdigit() and len(text) <= MAX_DIGITS
 
 
 def read_slowdown(text: str) -> float | None:
-    """Read how long work takes now, in percent of the usual; returns a factor."""
+    """Read the current execution time in percent of the usual one; returns a factor."""
     try:
-        slowdown = float(text) / USUAL_SLOWDOWN
+        slowdown = float(text) / NORMAL_PERCENT
     except ValueError:
         return None
-    return slowdown if 0 < slowdown <= MOST_SLOWDOWN else None
+    return slowdown if 0 < slowdown <= MAX_SLOWDOWN else None
 
 
 def read_cold(text: str) -> float | None:
-    """Read milliseconds; returns seconds, ``None`` where it says nothing."""
+    """Read milliseconds; returns seconds, ``None`` if invalid."""
     try:
-        left_ms = float(text)
+        remaining_ms = float(text)
     except ValueError:
         return None
-    return left_ms / 1000 if 0 <= left_ms <= MOST_COLD_MS else None
+    return remaining_ms / 1000 if 0 <= remaining_ms <= MAX_COLD_MS else None
 
 
 def read_retry_after(text: str) -> int | None:
-    """Read seconds with a fraction; returns milliseconds, ``None`` where it says nothing."""
+    """Read seconds with a fraction; returns milliseconds, ``None`` if invalid."""
     try:
         seconds = float(text)
     except ValueError:
         return None
-    return round(seconds * 1000) if 0 <= seconds <= MOST_RETRY_AFTER_S else None
+    return round(seconds * 1000) if 0 <= seconds <= MAX_RETRY_AFTER_S else None
--- a/src/marjoramtide/platform/_bounds.py
+++ b/src/marjoramtide/platform/_bounds.py
@@ -1,4 +1,4 @@
-"""The platform's figures, which a node's settings hold as a list of texts."""
+"""The platform's limits, which a node's settings contain as a list of texts."""
 
 from collections.abc import Iterable
 
@@ -7,15 +7,14 @@
 
 @attrs.frozen(slots=True)
 class Bounds:
-    """Those that a node goes by, in seconds, or as shares and numbers; ``None`` where not told.
-
-    ``stop_grace_s`` is the time between the signal to stop and the end by force.
-    ``retry_ratio`` and ``retry_slack`` bound the arrivals at a service beyond the first of each
-    request, over ``retry_window_s``: a share of its requests, and a number besides.
-    A key that was taken away opens nothing after ``revoke_ms``, told where that holds at any node.
-    ``evacuation_ms`` is told where data centres can be evacuated. What reaches a cold backend
-    server in any second is bounded by ``cold_excess`` times the rate that it bears, and
-    ``cold_slack`` besides.
+    """The limits that a node observes; ``None`` if not set.
+
+    ``stop_grace_s`` is the time from the stop signal until the process is killed. The arrivals at a
+    service beyond the first attempt of each request are limited, over ``retry_window_s``, to
+    ``retry_ratio`` of its requests plus ``retry_slack``. A revoked key is accepted nowhere after
+    ``revoke_ms``, set if that must hold at any node. ``evacuation_ms`` is set if data centres can
+    be evacuated. The requests that a cold backend server gets in any second are limited to
+    ``cold_excess`` times the rate that it can sustain, plus ``cold_slack``.
     """
 
     stop_grace_s: float | None = None
@@ -28,7 +27,7 @@
     revoke_ms: float | None = None
 
 
-FIELDS = {
+BOUND_FIELDS = {
     "GraceS": "stop_grace_s",
     "RetryBudgetRatio": "retry_ratio",
     "RetryBudgetSlack": "retry_slack",
@@ -43,20 +42,20 @@
 
 
 def read_bounds(texts: Iterable[str]) -> Bounds:
-    """Read ``name=value`` texts; names that a node doesn't go by are passed over.
+    """Read ``name=value`` texts; names that a node does not use are ignored.
 
-    Raises ``ValueError`` for a text of another form and for a figure of ours that isn't a number.
+    Raises ``ValueError`` for a text of another form and for a value in use that is not a number.
     """
     texts = list(texts)
-    if nameless := [text for text in texts if "=" not in text]:
-        # Passed over, it would leave the node without any bound, and nobody would hear of it.
-        raise ValueError(f"{', '.join(nameless)}; allowed: name=value")
+    if unnamed := [text for text in texts if "=" not in text]:
+        # If it were ignored, the node would run without the limit and nobody would notice.
+        raise ValueError(f"{', '.join(unnamed)}; allowed: name=value")
     pairs = [text.partition("=")[::2] for text in texts]
-    passed_over = set() if STRICT_REVOKE in texts else {REVOKE_MS}
+    ignored = set() if STRICT_REVOKE in texts else {REVOKE_MS}
     return Bounds(
         **{
-            FIELDS[name]: float(value)
+            BOUND_FIELDS[name]: float(value)
             for name, value in pairs
-            if name in FIELDS.keys() - passed_over
+            if name in BOUND_FIELDS.keys() - ignored
         }
     )
--- a/src/marjoramtide/platform/_callers.py
+++ b/src/marjoramtide/platform/_callers.py
@@ -1,4 +1,4 @@
-"""What callers speak on the platform."""
+"""The protocol between callers of the platform and a node."""
 
 from collections.abc import Iterable
 
@@ -24,7 +24,7 @@
 from marjoramtide.settings import RouteSettings, SettingsView
 from marjoramtide.telemetry import Tracer
 
-WRITTEN_ANEW = frozenset(
+REPLACED_HEADERS = frozenset(
     name.lower()
     for name in (
         "Content-Length",
@@ -36,12 +36,12 @@
     )
 )
 MAX_ID_CHARACTERS = 255
-# A call made by a running request has that request's id, this, and a part of its own for an id.
+# The id of a call made by a running request is that request's id, this, and a suffix.
 CALL_SEPARATOR = "."
-# The platform takes 429 and 503 for a promise that the request has not run and never will; 408 and
-# 421 too. 502 and 504 promise nothing.
-REFUSED = 503
-REFUSALS = {
+# On the platform, 408, 421, 429 and 503 guarantee that the request has not run and never will; 502
+# and 504 guarantee nothing.
+DEFAULT_REFUSAL_STATUS = 503
+REFUSAL_STATUSES = {
     ErrorCode.BAD_REQUEST: 400,
     ErrorCode.UNKNOWN_SERVICE: 404,
     ErrorCode.BODY_TOO_LARGE: 413,
@@ -50,40 +50,44 @@
     ErrorCode.UNAUTHENTICATED: 401,
     ErrorCode.WORKSPACE_LIMITED: 429,
 }
-UNKNOWN = 502
-UNKNOWNS = {ErrorCode.DEADLINE: 504, ErrorCode.BAD_REQUEST: 400, ErrorCode.BODY_TOO_LARGE: 413}
-TURNED_AWAY = (
+DEFAULT_UNKNOWN_STATUS = 502
+UNKNOWN_STATUSES = {
+    ErrorCode.DEADLINE: 504,
+    ErrorCode.BAD_REQUEST: 400,
+    ErrorCode.BODY_TOO_LARGE: 413,
+}
+CONNECTION_LIMIT_RESPONSE = (
     b"HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\nContent-Length: 0\r\n"
     b"Retry-After: 0.2\r\n\r\n"
 )
 
 
-class PlatformCallers(CallerProtocol):
-    """Attempt ids and deadlines in headers; statuses that promise, with ``Retry-After``.
+class PlatformCallerProtocol(CallerProtocol):
+    """Attempt ids and deadlines in headers; statuses with guarantees, and ``Retry-After``.
 
-    ``calling_service`` is the service on this node's instance, where every request begins.
+    ``calling_service`` is the service on this node's instance, where every request originates.
     """
 
-    connection_limit_response = TURNED_AWAY
+    connection_limit_response = CONNECTION_LIMIT_RESPONSE
     scheme = "Token"
 
     def __init__(self, calling_service: str) -> None:
         self.calling_service = calling_service
 
     def read(
-        self, http: web.BaseRequest, view: SettingsView, tracer: Tracer, now: float
+        self, http_request: web.BaseRequest, view: SettingsView, tracer: Tracer, now: float
     ) -> tuple[Request, RouteSettings]:
-        settings = read_route(http, view)
-        request_id = single_header(http, REQUEST_ID)[:MAX_ID_CHARACTERS]
-        headers = end_to_end(http.headers.items(), WRITTEN_ANEW)
+        settings = read_route(http_request, view)
+        request_id = single_header(http_request, REQUEST_ID)[:MAX_ID_CHARACTERS]
+        headers = end_to_end(http_request.headers.items(), REPLACED_HEADERS)
         request = Request(
             service=settings.service,
-            method=http.method,
-            target=http.raw_path,
+            method=http_request.method,
+            target=http_request.raw_path,
             headers=(*headers, (CALLING_SERVICE, self.calling_service)),
             urgent=settings.priority == "urgent",
-            idempotent=read_idempotent(http.method, settings),
-            deadline=now + read_remaining_ms(http, settings) / 1000,
+            idempotent=read_idempotent(http_request.method, settings),
+            deadline=now + read_remaining_ms(http_request, settings) / 1000,
             depth=1 + request_id.count(CALL_SEPARATOR),
             parent_run=request_id.rpartition(CALL_SEPARATOR)[0],
             trace=tracer.begin("", settings.trace_share).header(),
@@ -95,23 +99,23 @@
 
     def refusal(self, error: MarjoramtideError, node: str, request_id: str = "") -> web.Response:
         if isinstance(error, UnknownOutcomeError):
-            status = UNKNOWNS.get(error.code, UNKNOWN)
+            status = UNKNOWN_STATUSES.get(error.code, DEFAULT_UNKNOWN_STATUS)
         else:
-            status = REFUSALS.get(error.code, REFUSED)
+            status = REFUSAL_STATUSES.get(error.code, DEFAULT_REFUSAL_STATUS)
         headers = {REQUEST_ID: request_id} if request_id else {}
-        if status == REFUSALS[ErrorCode.UNAUTHENTICATED]:
+        if status == REFUSAL_STATUSES[ErrorCode.UNAUTHENTICATED]:
             headers["WWW-Authenticate"] = self.scheme
-        if error.retry_after_ms is not None and status not in UNKNOWNS.values():
+        if error.retry_after_ms is not None and status not in UNKNOWN_STATUSES.values():
             headers[RETRY_AFTER] = f"{error.retry_after_ms / 1000:.3f}"
         return web.Response(status=status, headers=headers, text=f"{error.code}: {error.message}\n")
 
-    def response_headers(self, answer: Response, node: str) -> Iterable[tuple[str, str]]:
-        return answer.headers
+    def response_headers(self, response: Response, node: str) -> Iterable[tuple[str, str]]:
+        return response.headers
 
 
-def read_remaining_ms(http: web.BaseRequest, settings: RouteSettings) -> float:
-    """Return the milliseconds that the caller gives, bounded by the route's timeout."""
-    text = single_header(http, DEADLINE)
+def read_remaining_ms(http_request: web.BaseRequest, settings: RouteSettings) -> float:
+    """Return the milliseconds until the caller's deadline, at most the route's timeout."""
+    text = single_header(http_request, DEADLINE)
     if not text:
         return settings.timeout_ms
     try:
--- a/src/marjoramtide/platform/_configuration.py
+++ b/src/marjoramtide/platform/_configuration.py
@@ -1,28 +1,28 @@
-"""The operator's configuration as the project's settings tree."""
+"""Conversion of the operator's configuration to the project's settings tree."""
 
 import json
 from typing import Any
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
-from marjoramtide.platform._workspaces import exemption, workspace_tables
+from marjoramtide.platform._workspaces import authentication_exemption, workspace_tables
 from marjoramtide.settings import Envelope
 from marjoramtide.settings.sync import TreeSource
 from marjoramtide.store import ObjectStore, StoredObject
 
-KIND = "config/"
+CONFIG_PREFIX = "config/"
 LINEAGE = "operator"
-IDEMPOTENT = {"idempotent": "yes", "non_idempotent": "no"}
+IDEMPOTENT_VALUES = {"idempotent": "yes", "non_idempotent": "no"}
 HIGHEST_PRIORITY = 0
 
 
 class OperatorConfiguration(TreeSource):
-    """The operator's newest configuration, laid over ``base``, a tree of our own as plain tables.
+    """The operator's latest configuration, merged over ``base``, tables of the settings tree.
 
-    Each host becomes a branch of its own whose routes tell which service runs their requests; each
-    service of the operator's becomes a branch with its capacity, which no caller can address.
+    Each host becomes a branch whose routes name the services that run their requests. Each service
+    of the operator becomes a branch with its capacity, which callers can't address.
     """
 
-    key = KIND + "main"
+    key = CONFIG_PREFIX + "main"
     may_be_absent = False
     is_ours = False
 
@@ -30,8 +30,8 @@
         self.base = base
 
     async def read(self, store: ObjectStore, timeout: float) -> tuple[StoredObject | None, int]:
-        # A list, since it also tells where a watch goes on; the kind holds this one object.
-        listing = await store.list(KIND, timeout=timeout)
+        # A list, since it also returns the version to watch from; the kind has only this object.
+        listing = await store.list(CONFIG_PREFIX, timeout=timeout)
         found = next((each for each in listing if each.key == self.key), None)
         return found, listing.version
 
@@ -44,7 +44,7 @@
         except (AttributeError, KeyError, TypeError, ValueError) as error:
             raise MarjoramtideError(
                 ErrorCode.BAD_SETTINGS,
-                f"not a configuration: {error!r}",
+                f"invalid configuration: {error!r}",
                 step="settings.decode",
                 peer=stored.key,
             ) from error
@@ -61,18 +61,18 @@
 
 
 def settings_tree(configuration: dict[str, Any]) -> dict[str, Any]:
-    """Return the operator's configuration as the tables of a settings tree."""
+    """Convert the operator's configuration to the tables of a settings tree."""
     services = {service["Name"]: service_branch(service) for service in configuration["Services"]}
     for route in configuration["Routes"]:
         host = route["Host"].lower()
         branch = services.setdefault(host, {"hosts": [host], "unmatched": "refuse", "routes": {}})
         branch["routes"][route["PathPrefix"]] = route_branch(route)
-    tables = limits(configuration.get("Limits") or {}) | {"services": services}
+    tables = request_limits(configuration.get("Limits") or {}) | {"services": services}
     return tables | workspace_tables(configuration)
 
 
-def limits(given: dict[str, Any]) -> dict[str, Any]:
-    """Return the values of the tree's root that bound what callers may send."""
+def request_limits(given: dict[str, Any]) -> dict[str, Any]:
+    """Return the root settings that limit the size and duration of callers' requests."""
     names = {
         "MaxHeaderBytes": ("max_head_bytes", "max_line_bytes"),
         "MaxBodyBytes": ("max_body_bytes",),
@@ -95,24 +95,24 @@
 
 
 def route_branch(route: dict[str, Any]) -> dict[str, Any]:
-    parts = route.get("WeightedSplit") or [{"Service": route["Service"], "Weight": 1}]
+    shares = route.get("WeightedSplit") or [{"Service": route["Service"], "Weight": 1}]
     priority = route.get("Priority", HIGHEST_PRIORITY + 1)
     return {
-        "split": {part["Service"]: part["Weight"] for part in parts},
-        "idempotent": IDEMPOTENT.get(route["Kind"], "no"),
+        "split": {share["Service"]: share["Weight"] for share in shares},
+        "idempotent": IDEMPOTENT_VALUES.get(route["Kind"], "no"),
         "timeout_ms": route["TimeoutMs"],
         "max_timeout_ms": route["TimeoutMs"],
         "goal_ms": route.get("TargetLatencyMs") or 0,
         "max_attempts": route["MaxAttempts"],
         "priority": "urgent" if priority == HIGHEST_PRIORITY else "routine",
         "rank": priority,
-    } | exemption(route)
+    } | authentication_exemption(route)
 
 
-def merge(below: dict[str, Any], above: dict[str, Any]) -> dict[str, Any]:
-    """Return both sets of tables in one, where ``above`` wins."""
-    both = below | above
-    for key in below.keys() & above.keys():
-        if isinstance(below[key], dict) and isinstance(above[key], dict):
-            both[key] = merge(below[key], above[key])
-    return both
+def merge(base_tables: dict[str, Any], overrides: dict[str, Any]) -> dict[str, Any]:
+    """Merge two sets of tables recursively; ``overrides`` takes precedence."""
+    merged = base_tables | overrides
+    for key in base_tables.keys() & overrides.keys():
+        if isinstance(base_tables[key], dict) and isinstance(overrides[key], dict):
+            merged[key] = merge(base_tables[key], overrides[key])
+    return merged
--- a/src/marjoramtide/platform/_headers.py
+++ b/src/marjoramtide/platform/_headers.py
@@ -1,43 +1,43 @@
-"""The names of the platform's headers, for what they hold."""
+"""The platform's HTTP headers."""
 
 REQUEST_ID = "X-Attempt-Id"
-"""One attempt of a caller; each repetition by the caller has a new one."""
+"""The id of one attempt of a caller; each retry by the caller has a new id."""
 
 DEADLINE = "X-Deadline-Ms"
-"""Milliseconds that whoever sent the request will wait from now on."""
+"""Milliseconds for which the sender of the request will still wait."""
 
 SEAL = "X-Response-Seal"
-"""A backend server's signature of its answer."""
+"""A backend server's signature of its response."""
 
 EXPECTED_INSTANCE = "X-Expected-Instance"
-"""The start of a backend server that is to run the request; any other refuses it."""
+"""The incarnation of the backend server that must run the request; any other refuses it."""
 
 INSTANCE = "X-Instance-Id"
-"""The start of a backend server that answers."""
+"""The incarnation of the backend server that sent the response."""
 
 LOAD = "X-Server-Load"
-"""Running, waiting and slots of a backend server, and how long work takes now, in percent."""
+"""Running and queued requests and slots of a backend server, and its slowdown in percent."""
 
 NOT_RUN = "X-Not-Executed"
-"""Stands on an answer to a request that the backend server did not run."""
+"""Set on a response to a request that the backend server did not run."""
 
 CALLING_SERVICE = "X-Calling-Service"
-"""The service on whose instance the request began."""
+"""The service on whose instance the request originated."""
 
 WORKSPACE = "X-Tenant-Name"
-"""The workspace of the caller, as the node knows it by the key."""
+"""The workspace of the caller, which the node determines by the key."""
 
 RETRY_AFTER = "Retry-After"
-"""Seconds, with a fraction where need be."""
+"""Seconds, possibly with a fraction."""
 
 COLD = "X-Cold-Remaining-Ms"
-"""For how many milliseconds more a backend server is cold, in its health's answers."""
+"""For how many more milliseconds a backend server is cold, in health check responses."""
 
 SERVER_RATE = "Server-Limit"
-"""How many requests a second a backend server takes from all callers together."""
+"""How many requests per second a backend server accepts from all callers together."""
 
 SERVER_LEAVING = "Server-Leaving"
-"""Is 1 in each answer of a backend server that leaves."""
+"""1 in each response of a backend server that is leaving."""
 
 STORE_EPOCH = "Store-Era"
-"""How often the store has come back from a copy, in all its answers."""
+"""How often the store was restored from a copy, in all its responses."""
--- a/src/marjoramtide/platform/_heartbeat.py
+++ b/src/marjoramtide/platform/_heartbeat.py
@@ -1,4 +1,4 @@
-"""What a backend server says of itself on the platform, checked."""
+"""Validated heartbeats of the platform's backend servers."""
 
 from enum import StrEnum
 from typing import Any
@@ -10,26 +10,26 @@
 from marjoramtide.serving import Registration
 from marjoramtide.settings import check_address
 
-# Identities go into the heads of requests and into logs: one line of visible characters.
+# Identities are sent in request headers and logged: one line of visible ASCII characters.
 IDENTITY = r"[!-~]{1,128}"
-# Names of services, data centres and releases: printable, and short enough for a log line.
+# Names of services, data centres and releases: printable and short enough for a log line.
 NAME = r"[^\x00-\x1f\x7f]{1,128}"
-# Above what any server runs at once; queues and limits are sized by the slots.
-MOST_SLOTS = 100_000
-# The largest whole number that every JSON writer keeps exactly.
-MOST_EXACT = 2**53
-# A server that says it is cold for longer than a day is not one of this platform.
-MOST_COLD_MS = 86_400_000
+# More than any server runs concurrently; queues and limits are sized by the slots.
+MAX_SLOTS = 100_000
+# Every JSON implementation represents integers up to this one exactly.
+MAX_SAFE_INTEGER = 2**53
+# No server of the platform is cold for longer than a day.
+MAX_COLD_MS = 86_400_000
 
-BORN: Any = optional([ge(1), le(MOST_EXACT)])  # type: ignore[arg-type]
+START_TIME: Any = optional([ge(1), le(MAX_SAFE_INTEGER)])  # type: ignore[arg-type]
 
-HEARTBEAT = {"Address": "address", "Info": "info", "Status": "status", "born": "born"}
-INFO = {"Service": "service", "Version": "software", "Zone": "data_centre", "Slots": "slots"}
-STATUS = {"State": "state", "SeqNo": "sequence", "ColdLeftMs": "cold_left_ms"}
+HEARTBEAT_FIELDS = {"Address": "address", "Info": "info", "Status": "status", "born": "born"}
+INFO_FIELDS = {"Service": "service", "Version": "software", "Zone": "data_centre", "Slots": "slots"}
+STATUS_FIELDS = {"State": "state", "SeqNo": "sequence", "ColdLeftMs": "cold_left_ms"}
 
 
 class ServerState(StrEnum):
-    """Whether a backend server takes new work."""
+    """Whether a backend server accepts new requests."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -37,38 +37,38 @@
 
 @attrs.frozen(slots=True)
 class ServerInfo:
-    """What stays for as long as the server runs."""
+    """Properties that do not change while the server runs."""
 
     service: str = attrs.field(validator=matches_re(NAME))
     software: str = attrs.field(validator=matches_re(NAME))
     data_centre: str = attrs.field(validator=matches_re(NAME))
-    slots: int = attrs.field(validator=[ge(1), le(MOST_SLOTS)])
+    slots: int = attrs.field(validator=[ge(1), le(MAX_SLOTS)])
 
 
 @attrs.frozen(slots=True)
 class ServerStatus:
-    """What changes from one heartbeat to the next."""
+    """Properties that change between heartbeats."""
 
     state: ServerState
-    sequence: int = attrs.field(validator=[ge(0), le(MOST_EXACT)])
-    cold_left_ms: float = attrs.field(validator=[ge(0), le(MOST_COLD_MS)])
+    sequence: int = attrs.field(validator=[ge(0), le(MAX_SAFE_INTEGER)])
+    cold_left_ms: float = attrs.field(validator=[ge(0), le(MAX_COLD_MS)])
 
 
 @attrs.frozen(slots=True)
 class Heartbeat:
-    """One heartbeat; ``born`` is the Unix millisecond of the start, where the server tells it."""
+    """A heartbeat; ``born`` is the start time in Unix milliseconds, if the server sends it."""
 
     address: str = attrs.field(validator=check_address)
     info: ServerInfo
     status: ServerStatus
-    born: int | None = attrs.field(default=None, validator=BORN)
+    born: int | None = attrs.field(default=None, validator=START_TIME)
 
 
 @attrs.frozen(slots=True)
 class Departure:
-    """What may come with the word that a server leaves."""
+    """The optional body of a deregistration."""
 
-    born: int | None = attrs.field(default=None, validator=BORN)
+    born: int | None = attrs.field(default=None, validator=START_TIME)
 
 
 @attrs.frozen(slots=True)
@@ -79,32 +79,32 @@
 
 
 def read_registration(instance: str, body: Any) -> Registration:
-    """Read the body of a heartbeat; raises ``MalformedError`` where another writer spoiled it."""
-    fields = rename_keys(body, HEARTBEAT)
-    for part, names in (("info", INFO), ("status", STATUS)):
+    """Read the body of a heartbeat; raises ``MalformedError`` if it is invalid."""
+    fields = rename_keys(body, HEARTBEAT_FIELDS)
+    for part, names in (("info", INFO_FIELDS), ("status", STATUS_FIELDS)):
         fields[part] = rename_keys(fields.get(part), names)
     if "born" in fields and fields["born"] is None:
         raise MalformedError("born: expected a whole number, got null")
-    heard = structure_as(Heartbeat, fields)
+    heartbeat = structure_as(Heartbeat, fields)
     return Registration(
         instance=read_identity(instance),
-        address=heard.address,
-        service=heard.info.service,
-        data_centre=heard.info.data_centre,
-        software=heard.info.software,
-        slots=heard.info.slots,
-        is_draining=heard.status.state is ServerState.DRAINING,
-        sequence=heard.status.sequence,
-        cold_remaining_s=heard.status.cold_left_ms / 1000,
-        start_time_ms=heard.born,
+        address=heartbeat.address,
+        service=heartbeat.info.service,
+        data_centre=heartbeat.info.data_centre,
+        software=heartbeat.info.software,
+        slots=heartbeat.info.slots,
+        is_draining=heartbeat.status.state is ServerState.DRAINING,
+        sequence=heartbeat.status.sequence,
+        cold_remaining_s=heartbeat.status.cold_left_ms / 1000,
+        start_time_ms=heartbeat.born,
     )
 
 
 def read_identity(text: str) -> str:
-    """Return an identity; raises ``MalformedError`` for what can't be one."""
+    """Return an identity; raises ``MalformedError`` if it is invalid."""
     return structure_as(Identity, {"text": text}).text
 
 
 def read_departure(body: Any) -> int | None:
-    """Return the time of birth that came with a departure, if any; raises ``MalformedError``."""
+    """Return the start time in a deregistration, if any; raises ``MalformedError``."""
     return structure_as(Departure, rename_keys(body, {"born": "born"})).born
--- a/src/marjoramtide/platform/_interface.py
+++ b/src/marjoramtide/platform/_interface.py
@@ -1,4 +1,4 @@
-"""All that a node needs to run on the platform."""
+"""The interface of a node that runs on the platform."""
 
 import tomllib
 from pathlib import Path
@@ -7,22 +7,22 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.interface import Interface
 from marjoramtide.platform._apps import make_readiness_app, make_registration_app
-from marjoramtide.platform._backends import PlatformBackend
+from marjoramtide.platform._backends import PlatformBackendProtocol
 from marjoramtide.platform._bounds import Bounds, read_bounds
-from marjoramtide.platform._callers import PlatformCallers
+from marjoramtide.platform._callers import PlatformCallerProtocol
 from marjoramtide.platform._configuration import OperatorConfiguration
-from marjoramtide.platform._store_protocol import PlatformStore
+from marjoramtide.platform._store_protocol import PlatformStoreProtocol
 from marjoramtide.settings import NodeSettings
 
-# The platform asks for readiness once a second and sends callers elsewhere after two refusals; they
-# come within this time of the first one, in seconds.
-READINESS_MISSES_S = 2.2
-# The kind of the operator's entries, one for each data centre that is to get nothing.
-EVACUATIONS = "evacuations/"
+# The platform checks readiness every second and redirects callers after two failed checks, which
+# takes at most this time after the node is no longer ready.
+READINESS_LAG_S = 2.2
+# The key prefix of the operator's evacuations, one object for each evacuated data centre.
+EVACUATION_PREFIX = "evacuations/"
 
 
 def platform_interface(settings: NodeSettings) -> Interface:
-    """Return the platform's interface; raises ``bad-settings`` for a base tree that isn't one."""
+    """Return the platform's interface; raises ``bad-settings`` for invalid settings."""
     try:
         bounds = read_bounds(settings.bounds)
     except ValueError as error:
@@ -30,26 +30,26 @@
             ErrorCode.BAD_SETTINGS, f"bounds: {error}", step="settings.load"
         ) from error
     return Interface(
-        store=PlatformStore(),
+        store=PlatformStoreProtocol(),
         tree=OperatorConfiguration(
-            read_base(settings.base_tree)
-            | second_tries(bounds)
-            | cold_servers(bounds)
-            | revocation(bounds)
+            read_base_tree(settings.base_tree)
+            | second_try_settings(bounds)
+            | cold_server_settings(bounds)
+            | revocation_settings(bounds)
         ),
-        callers=PlatformCallers(settings.service),
-        backend=PlatformBackend(),
+        callers=PlatformCallerProtocol(settings.service),
+        backend=PlatformBackendProtocol(),
         readiness_app=make_readiness_app,
         registration_app=make_registration_app,
         stop_grace_s=bounds.stop_grace_s,
-        stop_linger_s=READINESS_MISSES_S,
+        stop_linger_s=READINESS_LAG_S,
         uses_idempotency_keys=False,
-        evacuations=EVACUATIONS if bounds.evacuation_ms is not None else "",
+        evacuations=EVACUATION_PREFIX if bounds.evacuation_ms is not None else "",
     )
 
 
-def second_tries(bounds: Bounds) -> dict[str, float]:
-    """Return the settings that bound what all nodes together send beyond first tries."""
+def second_try_settings(bounds: Bounds) -> dict[str, float]:
+    """Return the settings that limit the second tries of all nodes together."""
     if bounds.retry_ratio is None or bounds.retry_slack is None or not bounds.retry_window_s:
         return {}
     return {
@@ -58,21 +58,21 @@
     }
 
 
-def cold_servers(bounds: Bounds) -> dict[str, float]:
-    """Return the settings that bound what reaches a cold backend server."""
-    told = {"cold_excess": bounds.cold_excess, "cold_slack": bounds.cold_slack}
-    return {key: value for key, value in told.items() if value is not None}
+def cold_server_settings(bounds: Bounds) -> dict[str, float]:
+    """Return the settings that limit the requests to a cold backend server."""
+    values = {"cold_excess": bounds.cold_excess, "cold_slack": bounds.cold_slack}
+    return {key: value for key, value in values.items() if value is not None}
 
 
-def revocation(bounds: Bounds) -> dict[str, float]:
-    """Return the setting that bounds for how long a key that was taken away may be good."""
+def revocation_settings(bounds: Bounds) -> dict[str, float]:
+    """Return the setting that limits for how long a revoked key may be accepted."""
     if bounds.revoke_ms is None:
         return {}
     return {"revocation_s": bounds.revoke_ms / 1000}
 
 
-def read_base(path: str) -> dict[str, Any]:
-    """Read the tree that the operator's configuration is laid over; none without a path."""
+def read_base_tree(path: str) -> dict[str, Any]:
+    """Read the tables that the operator's configuration is merged over; none without a path."""
     if not path:
         return {}
     try:
--- a/src/marjoramtide/platform/_store_protocol.py
+++ b/src/marjoramtide/platform/_store_protocol.py
@@ -1,4 +1,4 @@
-"""The platform's metadata store."""
+"""The protocol of the platform's metadata store."""
 
 import base64
 import json
@@ -36,70 +36,68 @@
 
 T = TypeVar("T")
 
-READ = {200: CallOutcome.DONE, 404: CallOutcome.MISSING}
-LISTED = {200: CallOutcome.DONE}
-WATCHED = {200: CallOutcome.DONE, 410: CallOutcome.GAP}
-WRITTEN = {
+GET_OUTCOMES = {200: CallOutcome.DONE, 404: CallOutcome.MISSING}
+LIST_OUTCOMES = {200: CallOutcome.DONE}
+WATCH_OUTCOMES = {200: CallOutcome.DONE, 410: CallOutcome.GAP}
+WRITE_OUTCOMES = {
     200: CallOutcome.DONE,
     201: CallOutcome.DONE,
     204: CallOutcome.DONE,
     404: CallOutcome.MISSING,
     409: CallOutcome.CONFLICT,
 }
-CERTAINLY_NOTHING_DONE = 503
-LONGEST_WAIT_MS = 30_000
-# A store that has come back more often tells something else.
-MOST_EPOCH_DIGITS = 6
+NOT_APPLIED_STATUS = 503
+MAX_WAIT_MS = 30_000
+# A store is never restored often enough for more digits.
+MAX_EPOCH_DIGITS = 6
 JSON_BODY = {"Content-Type": "application/json"}
-# Kinds whose objects say all by their names; whatever else they hold is not read.
-TOLD_BY_NAME = frozenset(("evacuations",))
-# The field in which a value of ours that is text, or bytes, lies in an object's specification.
-TEXT = "text"
-BYTES = "base64"
+# Kinds whose objects carry all information in their names; their values are not read.
+KINDS_WITHOUT_VALUE = frozenset(("evacuations",))
+# The fields of an object's specification that contain a text or binary value of this project.
+TEXT_FIELD = "text"
+BYTES_FIELD = "base64"
 
 
-class PlatformStore(StoreProtocol):
-    """Objects by kind and name; our key ``kind/name`` is both.
+class PlatformStoreProtocol(StoreProtocol):
+    """Objects by kind and name, which together form the key ``kind/name``.
 
-    The platform reads no specification of our own kinds. Ours hold one field with the value, so
-    that what the operator writes, which is a specification as it stands, is told from them.
+    The platform does not read the specifications of this project's kinds. These contain the value
+    in a single field, which distinguishes them from the operator's plain specifications.
     """
 
     streams_watches = False
 
     def get(self, key: str) -> Call:
-        return Call("store.get", "GET", object_path(key), READ)
+        return Call("store.get", "GET", object_path(key), GET_OUTCOMES)
 
     def list_page(self, prefix: str, after: str, *, allow_stale: bool = False) -> Call:
         params = ({"after": after} if after else {}) | ({"StaleOk": "1"} if allow_stale else {})
-        return Call("store.list", "GET", kind_path(prefix), LISTED, params=params)
+        return Call("store.list", "GET", kind_path(prefix), LIST_OUTCOMES, params=params)
 
     def create(self, key: str, value: bytes) -> Call:
-        return write("store.create", "POST", kind_path(key), {"Name": name_of(key)}, value)
+        return write_call("store.create", "POST", kind_path(key), {"Name": name_of(key)}, value)
 
     def update(self, key: str, value: bytes, version: int) -> Call:
         metadata = {"Name": name_of(key), "Revision": version}
-        return write("store.update", "PUT", object_path(key), metadata, value)
+        return write_call("store.update", "PUT", object_path(key), metadata, value)
 
     def delete(self, key: str, version: int) -> Call:
         params = {"Revision": str(version)}
-        return Call("store.delete", "DELETE", object_path(key), WRITTEN, params=params)
+        return Call("store.delete", "DELETE", object_path(key), WRITE_OUTCOMES, params=params)
 
     def watch(self, prefix: str, since: int, wait_s: float) -> Call:
-        wait_ms = min(int(wait_s * 1000), LONGEST_WAIT_MS)
+        wait_ms = min(int(wait_s * 1000), MAX_WAIT_MS)
         params = {"Watch": str(since), "WaitMs": str(wait_ms)}
-        return Call("store.watch", "GET", kind_path(prefix), WATCHED, params=params)
+        return Call("store.watch", "GET", kind_path(prefix), WATCH_OUTCOMES, params=params)
 
     def read_object(self, key: str, response: StoreResponse) -> StoredObject:
-        return stored_object(kind_of(key), parse_json(response.body))
+        return decode_object(kind_of(key), parse_json(response.body))
 
     def read_page(self, prefix: str, response: StoreResponse) -> ListPage:
         listed = structure_as(Listed, rename_keys(parse_json(response.body), LISTED_FIELDS))
-        objects = list(readable(partial(stored_object, kind_of(prefix)), listed.items))
+        objects = list(decode_valid(partial(decode_object, kind_of(prefix)), listed.items))
         if listed.has_more and not objects:
-            raise MalformedError(
-                "a part of a list in which nothing can be read, so none may follow"
-            )
+            raise MalformedError("page of a list has no valid entry to continue from")
         return ListPage(
             [each for each in objects if each.key.startswith(prefix)],
             listed.revision,
@@ -108,14 +106,14 @@
         )
 
     def read_written(self, key: str, value: bytes, response: StoreResponse) -> StoredObject:
-        return attrs.evolve(stored_object(kind_of(key), parse_json(response.body)), value=value)
+        return attrs.evolve(decode_object(kind_of(key), parse_json(response.body)), value=value)
 
     def read_event(self, prefix: str, line: bytes) -> WatchEvent:
-        raise NotImplementedError("watches of this store don't stream")
+        raise NotImplementedError("watches of this store do not stream")
 
     def read_events(self, prefix: str, body: bytes) -> WatchResponse:
         watched = structure_as(Watched, rename_keys(parse_json(body), WATCHED_FIELDS))
-        events = list(readable(partial(watch_event, kind_of(prefix)), watched.events))
+        events = list(decode_valid(partial(decode_event, kind_of(prefix)), watched.events))
         return WatchResponse(
             [each for each in events if each.key.startswith(prefix)],
             watched.revision,
@@ -124,12 +122,12 @@
 
     def epoch(self, headers: Mapping[str, str]) -> int:
         text = headers.get(STORE_EPOCH, "0")
-        if not (text.isascii() and text.isdigit() and len(text) <= MOST_EPOCH_DIGITS):
-            raise MalformedError(f"{STORE_EPOCH}: {text[:40]!r} is no number")
+        if not (text.isascii() and text.isdigit() and len(text) <= MAX_EPOCH_DIGITS):
+            raise MalformedError(f"{STORE_EPOCH}: {text[:40]!r} is not a valid number")
         return int(text)
 
     def is_definite_refusal(self, status: int, headers: Mapping[str, str]) -> bool:
-        return status == CERTAINLY_NOTHING_DONE
+        return status == NOT_APPLIED_STATUS
 
 
 def kind_of(key: str) -> str:
@@ -148,62 +146,64 @@
     return f"{kind_path(key)}/{quote(name_of(key), safe='')}"
 
 
-def write(step: str, method: str, path: str, metadata: dict[str, Any], value: bytes) -> Call:
-    body = {"Metadata": metadata, "Specification": pack(value)}
-    return Call(step, method, path, WRITTEN, headers=JSON_BODY, body=json.dumps(body).encode())
+def write_call(step: str, method: str, path: str, metadata: dict[str, Any], value: bytes) -> Call:
+    body = {"Metadata": metadata, "Specification": encode_value(value)}
+    return Call(
+        step, method, path, WRITE_OUTCOMES, headers=JSON_BODY, body=json.dumps(body).encode()
+    )
 
 
-def pack(value: bytes) -> dict[str, str]:
-    """Return the specification that holds a value of ours."""
+def encode_value(value: bytes) -> dict[str, str]:
+    """Return the specification that contains a value of this project."""
     try:
-        return {TEXT: value.decode()}
+        return {TEXT_FIELD: value.decode()}
     except UnicodeDecodeError:
-        return {BYTES: base64.b64encode(value).decode()}
+        return {BYTES_FIELD: base64.b64encode(value).decode()}
 
 
-def unpack(specification: Any) -> bytes:
-    """Return the value in a specification; one that isn't ours is returned as its JSON text.
+def decode_value(specification: Any) -> bytes:
+    """Return the value in a specification; the operator's are returned as JSON text.
 
-    Raises ``MalformedError`` where one of ours was spoiled.
+    Raises ``MalformedError`` for a malformed specification of this project.
     """
     if isinstance(specification, dict) and len(specification) == 1:
-        if TEXT in specification:
+        if TEXT_FIELD in specification:
             return structure_as(TextValue, specification).text.encode()
-        if BYTES in specification:
-            return decoded(structure_as(BytesValue, specification).base64)
+        if BYTES_FIELD in specification:
+            return decode_base64(structure_as(BytesValue, specification).base64)
     return json.dumps(specification, separators=(",", ":")).encode()
 
 
-def decoded(text: str) -> bytes:
+def decode_base64(text: str) -> bytes:
     try:
         return base64.b64decode(text, validate=True)
     except ValueError as error:
-        raise MalformedError(f"no base64: {error}") from error
+        raise MalformedError(f"invalid base64: {error}") from error
 
 
-def readable(read: Callable[[Any], T], entries: list[Any]) -> Iterator[T]:
-    """Yield the entries that can be read.
+def decode_valid(decode: Callable[[Any], T], entries: list[Any]) -> Iterator[T]:
+    """Decode the valid entries and skip malformed ones.
 
-    Failure: another writer spoils one of two hundred announcements. Were the whole list refused for
-    it, a node that starts would find nobody until somebody has removed that one.
+    If one malformed announcement among two hundred made the whole list fail, a starting node would
+    find no other nodes until somebody removed that entry.
     """
     for entry in entries:
         with suppress(MalformedError):
-            yield read(entry)
+            yield decode(entry)
 
 
-def stored_object(kind: str, item: Any) -> StoredObject:
-    """Read one object of a kind; raises ``MalformedError``."""
+def decode_object(kind: str, item: Any) -> StoredObject:
+    """Decode an object of a kind; raises ``MalformedError``."""
     fields = rename_keys(item, {"Metadata": "metadata", "Specification": "specification"})
     metadata = structure_as(ObjectMetadata, rename_keys(fields.get("metadata"), METADATA_FIELDS))
-    value = b"" if kind in TOLD_BY_NAME else unpack(fields.get("specification"))
+    value = b"" if kind in KINDS_WITHOUT_VALUE else decode_value(fields.get("specification"))
     return StoredObject(f"{kind}/{metadata.name}", value, metadata.revision)
 
 
-def watch_event(kind: str, entry: Any) -> WatchEvent:
-    """Read one change of an object of a kind; raises ``MalformedError``."""
+def decode_event(kind: str, entry: Any) -> WatchEvent:
+    """Decode a change of an object of a kind; raises ``MalformedError``."""
     change = structure_as(
         ObjectChange, rename_keys(entry, {"Removed": "removed", "Object": "object"})
     )
-    stored = stored_object(kind, change.object)
+    stored = decode_object(kind, change.object)
     return WatchEvent(stored.key, stored.version, None if change.removed else stored)
--- a/src/marjoramtide/platform/_stored.py
+++ b/src/marjoramtide/platform/_stored.py
@@ -1,12 +1,12 @@
-"""What the platform's store answers with, as far as nodes read it."""
+"""The parts of the platform store's responses that nodes read."""
 
 from typing import Any
 
 import attrs
 from attrs.validators import ge, max_len, min_len
 
-# Above any name that we write; the path of a call must hold it.
-MOST_NAME_CHARACTERS = 512
+# Longer than any name that nodes write; names must fit into the path of a call.
+MAX_NAME_CHARACTERS = 512
 
 LISTED_FIELDS = {"items": "items", "HasMore": "has_more", "CurrentRev": "revision"}
 WATCHED_FIELDS = {"events": "events", "CurrentRev": "revision"}
@@ -15,7 +15,7 @@
 
 @attrs.frozen(slots=True)
 class Listed:
-    """A part of a list, and the store's revision; entries are read one by one."""
+    """A page of a list, and the store's revision; entries are decoded separately."""
 
     items: list[Any]
     revision: int = attrs.field(validator=ge(0))
@@ -24,7 +24,7 @@
 
 @attrs.frozen(slots=True)
 class Watched:
-    """What a watch has brought, and the store's revision; entries are read one by one."""
+    """The changes of a watch, and the store's revision; entries are decoded separately."""
 
     events: list[Any]
     revision: int = attrs.field(validator=ge(0))
@@ -32,7 +32,7 @@
 
 @attrs.frozen(slots=True)
 class ObjectChange:
-    """One change of an object, which is as it was before where it was removed."""
+    """A change of an object; for a removal, ``object`` is its last state."""
 
     removed: bool
     object: Any
@@ -40,21 +40,21 @@
 
 @attrs.frozen(slots=True)
 class ObjectMetadata:
-    """The name of an object within its kind, and the store's revision at its last change."""
+    """The name of an object within its kind, and the store's revision of its last change."""
 
-    name: str = attrs.field(validator=[min_len(1), max_len(MOST_NAME_CHARACTERS)])
+    name: str = attrs.field(validator=[min_len(1), max_len(MAX_NAME_CHARACTERS)])
     revision: int = attrs.field(validator=ge(0))
 
 
 @attrs.frozen(slots=True)
 class TextValue:
-    """A specification that holds a value of ours as text."""
+    """A specification of this project with a text value."""
 
     text: str
 
 
 @attrs.frozen(slots=True)
 class BytesValue:
-    """A specification that holds a value of ours as base64."""
+    """A specification of this project with a base64-encoded value."""
 
     base64: str
--- a/src/marjoramtide/platform/_workspaces.py
+++ b/src/marjoramtide/platform/_workspaces.py
@@ -1,17 +1,17 @@
-"""The operator's tenants as workspaces of the settings tree."""
+"""Conversion of the operator's tenants to workspaces of the settings tree."""
 
 from typing import Any
 
 from marjoramtide.settings import key_digest
 
 HIGHEST_PRIORITY = 0
-LONGEST_KEY = 4096
+MAX_KEY_CHARACTERS = 4096
 
 
 def workspace_tables(configuration: dict[str, Any]) -> dict[str, Any]:
-    """Return the tables that tell who may call, none where the configuration has no tenants.
+    """Return the tables of authentication, empty if the configuration has no tenants.
 
-    Raises ``ValueError`` for a key that can't be one, without naming it.
+    Raises ``ValueError`` for an invalid key; the message does not contain the key.
     """
     tenants = configuration.get("Tenants")
     if tenants is None:
@@ -22,14 +22,16 @@
     }
 
 
-def exemption(route: dict[str, Any]) -> dict[str, Any]:
-    """Return what a route sets where its callers need no key."""
+def authentication_exemption(route: dict[str, Any]) -> dict[str, Any]:
+    """Return the setting of a route whose callers need no key."""
     return {"authentication": "none"} if route.get("AuthExempt") else {}
 
 
 def workspace_branch(tenant: dict[str, Any]) -> dict[str, Any]:
     branch: dict[str, Any] = {
-        "key_digests": [digest(key) for key in dict.fromkeys(tenant.get("ApiKeys") or ())],
+        "key_digests": [
+            checked_key_digest(key) for key in dict.fromkeys(tenant.get("ApiKeys") or ())
+        ],
         "requests_per_s": tenant.get("RatePerS") or 0.0,
         "request_burst": tenant.get("Burst") or 0.0,
     }
@@ -40,8 +42,8 @@
     return branch
 
 
-def digest(key: Any) -> str:
-    """Return the digest of an operator's key."""
-    if not isinstance(key, str) or not 0 < len(key) <= LONGEST_KEY:
-        raise ValueError(f"a key that is empty, no text, or over {LONGEST_KEY} characters")
+def checked_key_digest(key: Any) -> str:
+    """Return the digest of a key from the operator's configuration."""
+    if not isinstance(key, str) or not 0 < len(key) <= MAX_KEY_CHARACTERS:
+        raise ValueError(f"key is not a text of 1 to {MAX_KEY_CHARACTERS} characters")
     return key_digest(key)
