--- a/features/platform/adapter.feature
+++ b/features/platform/adapter.feature
@@ -1,6 +1,6 @@
 Feature: The adapter holds names and decides nothing
-  The platform's names are decoded once. Outside of the adapter nothing knows them, so that a change
-  of the wire is a change of one small package, and a reader of the rest needs no page of theirs.
+  Only the adapter knows the platform's names. A change of the platform's protocols only affects one
+  small package, and the rest can be read without the platform's documentation.
 
   Scenario: No module outside of the adapter knows a name of the platform's wire
     Then no name of the wire stands outside of the adapter
@@ -9,14 +9,14 @@
     Then the adapter imports neither decisions nor clocks, chance or the event loop
 
   Scenario: A call of a running request is told from a caller's request
-    # Backend servers call through the node beside them like any caller. A call that is taken for a
-    # caller's request waits behind those, and the request that made it holds its slot.
+    # Backend servers send calls through their node like any caller. A call that is mistaken for a
+    # caller's request queues behind callers' requests, while the request that made it holds its slot.
     When a backend server that runs "9c41" calls, and a caller asks
     Then the call is known as one and the caller's request is not
 
   Scenario: The settings that the platform fills in name every bound that a node goes by
-    # The template writes the figures without their names. Nothing complains, no figure is known: a
-    # stop takes its own time and is cut off by force, and second tries are not bounded together.
+    # The template writes the limits without their names. Without an error no limit would be known: a
+    # stop would last until the process is killed, and second tries would have no common limit.
     Given the settings of a machine, filled into the deployed template
     Then the node stops within 6 s and shares 0.2 second tries for each request and 5.6 a second
 
@@ -26,7 +26,7 @@
     Then the settings are refused, and told is what is allowed
 
   Scenario Outline: What a server says that it takes is read strictly
-    # A limit that is none must not hold a server back, nor end in an error: the answer is its caller's.
+    # A malformed limit must neither reduce the requests to a server nor fail the caller's response.
     When a server answers with <headers>
     Then it is read to take <rate> a second, <leaving>, with <malformed> malformed
 
--- a/features/platform/foreign_writers.feature
+++ b/features/platform/foreign_writers.feature
@@ -1,11 +1,11 @@
 Feature: What another writer has spoiled names no server, and takes nothing away
-  A heartbeat or an entry in the store may come from another writer: fields missing or of another
-  type, a state that nobody knows, bytes that can't be read. It is refused or passed over, counted
-  and logged; what is sound beside it holds.
+  Another program may write a malformed heartbeat or store entry: with fields missing or of a wrong
+  type, an unknown state, or undecodable bytes. It is refused or skipped, counted and logged; valid
+  entries next to it are still used.
 
   Scenario Outline: A spoiled heartbeat brings no server
-    # No server is registered when such a heartbeat comes. Taken for one, callers' requests would be
-    # sent to a server that isn't there, or one that is not ready.
+    # If a malformed heartbeat registered a server, callers' requests would be sent to a server that
+    # does not exist or is not ready.
     Given a fleet on the platform whose server has not registered: mapdesk
     When a heartbeat arrives at node 1 whose <field> is <value>
     Then it is refused with 400 and counted
@@ -55,7 +55,7 @@
       | larger than 64 KB |
 
   Scenario: An identity that would begin a line of its own is refused
-    # Identities are written into the heads of requests. One with a line break would add a header.
+    # Identities are sent in request headers. One with a line break would inject another header.
     Given a fleet on the platform whose server has not registered: mapdesk
     When a heartbeat of the identity "i-1%0d%0aX-Other: 1" arrives at node 1
     Then it is refused with 400 and counted
@@ -68,8 +68,7 @@
     Then the client gets 200 with the seal and the whole body of its own request
 
   Scenario: One spoiled entry leaves the rest of a list readable
-    # An entry of the list of nodes is spoiled. Were the whole list refused for it, a node that
-    # starts would find nobody.
+    # If one malformed entry made the whole list of nodes fail, a starting node would find no others.
     When the store answers a list of which every second entry is spoiled
     Then the sound entries are read and the others counted
 
@@ -101,5 +100,5 @@
     And the load header "3,1,8,250" says 3 running, 1 waiting, 8 slots and 2.5 times as long
 
   Scenario: A claim that was spoiled is not taken for one
-    # A spoiled claim that passed for "released" would let a booking run a second time.
+    # A malformed claim that was read as "released" would let a request run a second time.
     Then a stored claim with a field missing or of another type is no claim
--- a/features/platform/store_epochs.feature
+++ b/features/platform/store_epochs.feature
@@ -1,16 +1,16 @@
 Feature: A store that comes back from a copy takes nothing back that was accepted
 
   Scenario: Nodes announce themselves again within two seconds
-    # The copy is older than the announcements. A node that starts would find nobody in the store, and
-    # the fleet would fall apart by and by.
+    # The copy is older than the announcements. A starting node would find no other nodes in the store,
+    # and the fleet would gradually lose its membership.
     Given an empty store on the platform of which a copy is kept
     And nodes join it beside mapdesk at east, mapdesk at west, licencehub at west
     When the store comes back from the copy
     Then within 2 s the store holds the announcement of each node
 
   Scenario: Settings that are in force stay, though the store has older ones
-    # A node heard of version 9, which the copy lacks. Its versions are the operator's own; what the
-    # store has now is older, whatever the store's revisions say.
+    # A node received version 9, which the copy lacks. Versions are assigned by the operator; the
+    # store's version is older now, whatever the store's revisions are.
     Given nodes on the platform beside mapdesk at east, mapdesk at west
     And a copy of the store is kept
     And the operator writes version 9 in which "/tiles/" goes nowhere
@@ -26,8 +26,8 @@
     Then it has taken callers by version 9 alone
 
   Scenario: A watch from a revision that the store has given out again misses nothing
-    # The store has counted past the watch's revision again. It takes the watch, and never tells of what
-    # changed between the copy and that revision.
+    # The store's revision has passed that of the watch again. The store accepts the watch and never
+    # reports the changes between the copy and that revision.
     Given nodes on the platform beside mapdesk at east, mapdesk at west
     And a copy of the store is kept
     And the operator writes 5 other entries
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -1,4 +1,4 @@
-"""Steps that read the sources of the adapter and of the rest."""
+"""Steps that check the sources of the adapter and of the other packages."""
 
 import ast
 import random
@@ -57,7 +57,7 @@
 
 
 def constants(path: Path) -> Iterator[str]:
-    """Yield the strings of a module, docstrings aside."""
+    """Yield the string constants of a module except docstrings."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
     prose = {
         id(node.value)
--- a/features/steps/foreign_writers_steps.py
+++ b/features/steps/foreign_writers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for heartbeats, entries and headers that another writer has spoiled."""
+"""Steps for malformed heartbeats, store entries and headers from other programs."""
 
 import asyncio
 import json
@@ -45,7 +45,7 @@
 
 
 def spoiled(body: dict[str, Any], field: str, value: str) -> dict[str, Any]:
-    """Return a heartbeat of which one field is replaced or taken out."""
+    """Return a heartbeat with one field replaced or removed."""
     *path, last = field.split(".")
     table = body
     for step in path:
@@ -96,7 +96,7 @@
 
 
 def mixed() -> list[Any]:
-    """Return sound entries and spoiled ones by turns."""
+    """Return valid and malformed entries alternately."""
     return [each for number in range(ENTRIES) for each in (stored(number), SPOILED[number])]
 
 
--- a/features/steps/store_epoch_steps.py
+++ b/features/steps/store_epoch_steps.py
@@ -1,4 +1,4 @@
-"""Steps with a store that comes back from a copy, and nodes or one client of it."""
+"""Steps for nodes and a client of a store that is restored from a copy."""
 
 import asyncio
 import time
@@ -102,7 +102,7 @@
 
 
 def client_of(context: Any) -> HttpObjectStore:
-    """Return a client of a store on the platform that ends with the scenario."""
+    """Return a client of a platform store, closed at the end of the scenario."""
     fleet = start_fleet(context)
     client = open_object_store(run(context, fleet.open_store()), protocol=PlatformStoreProtocol())
     context.cleanup.callback(lambda: run(context, client.close()))
--- a/src/marjoramtide/clock/__init__.py
+++ b/src/marjoramtide/clock/__init__.py
@@ -1,4 +1,4 @@
-"""Time, handed in wherever a decision depends on it."""
+"""Clocks, which are passed in wherever code depends on time."""
 
 from marjoramtide.clock._clock import Clock
 from marjoramtide.clock._freeze import FreezeDetector
--- a/src/marjoramtide/clock/_clock.py
+++ b/src/marjoramtide/clock/_clock.py
@@ -1,4 +1,4 @@
-"""The interface through which the product reads time."""
+"""The interface of clocks."""
 
 from abc import ABC, abstractmethod
 
@@ -8,12 +8,12 @@
 
     @abstractmethod
     def monotonic(self) -> float:
-        """Return seconds that never run backwards, for deadlines and ages."""
+        """Return monotonic seconds, for deadlines and ages."""
 
     @abstractmethod
     def wall(self) -> float:
-        """Return seconds since the Unix epoch, for what other machines read."""
+        """Return Unix time in seconds, for values that other machines read."""
 
     @abstractmethod
     async def sleep(self, seconds: float) -> None:
-        """Wait for ``seconds`` of this clock's time."""
+        """Sleep for ``seconds`` of this clock's time."""
--- a/src/marjoramtide/clock/_freeze.py
+++ b/src/marjoramtide/clock/_freeze.py
@@ -1,22 +1,22 @@
-"""Finding out that this process was stopped for a while."""
+"""Detection of suspensions of this process."""
 
 from collections.abc import Callable
 
 from marjoramtide.clock._clock import Clock
 
-TICK_S = 0.1
-FREEZE_S = 0.5
+CHECK_INTERVAL_S = 0.1
+MIN_FREEZE_S = 0.5
 RECOVERY_S = 0.1
 
 
 class FreezeDetector:
-    """Tells for a short while after a stop (SIGSTOP, a paused host) that there was one.
+    """Detects that the process was suspended (SIGSTOP, a paused host) a moment ago.
 
-    A task ticks; a gap between two looks at the clock far above the tick's period means that the
-    process did not run. Every look counts, so whoever acts first after the stop finds out, even
-    before the tick itself runs. For ``RECOVERY_S`` after the gap, whatever is read from sockets may
-    have waited there all along and is treated as out of date. A busy loop that does not come round
-    for ``FREEZE_S`` counts as a stop too, since its effect is the same.
+    A task checks the clock periodically; a gap between two checks far above that period means that
+    the process did not run. Every call of ``was_frozen`` is a check, so the first caller after the
+    suspension detects it, even before the task runs. For ``RECOVERY_S`` after the gap, data read
+    from sockets may have been buffered all along and is treated as out of date. An event loop that
+    is blocked for ``MIN_FREEZE_S`` counts as suspended too, since the effect is the same.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -27,12 +27,12 @@
         self.listeners: list[Callable[[], None]] = []
 
     def on_resume(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` when a stop has been found."""
+        """Call ``listener`` when a suspension is detected."""
         self.listeners.append(listener)
 
     def was_frozen(self, now: float) -> bool:
-        """Look at the clock; tell whether the process has just come back from a stop."""
-        if now - self.last_checked_at > FREEZE_S:
+        """Check the clock; returns whether the process has just resumed from a suspension."""
+        if now - self.last_checked_at > MIN_FREEZE_S:
             self.resumed_at = now
             self.count += 1
             self.last_checked_at = now
@@ -42,7 +42,7 @@
         return now - self.resumed_at < RECOVERY_S
 
     async def run(self) -> None:
-        """Tick until cancelled."""
+        """Check the clock periodically until cancelled."""
         while True:
             self.was_frozen(self.clock.monotonic())
-            await self.clock.sleep(TICK_S)
+            await self.clock.sleep(CHECK_INTERVAL_S)
--- a/src/marjoramtide/clock/_manual.py
+++ b/src/marjoramtide/clock/_manual.py
@@ -1,4 +1,4 @@
-"""A clock that stands still until it is moved, for tests."""
+"""A clock for tests that is advanced manually."""
 
 import asyncio
 import heapq
@@ -8,16 +8,16 @@
 
 
 class ManualClock(Clock):
-    """Time that passes only when ``advance`` is called.
+    """A clock whose time only changes when ``advance`` is called.
 
-    Sleepers wake in the order of their due times, so that a test gives the same verdict on every
-    run: ``clock.advance(2.0)`` wakes each task whose sleep ends within those two seconds.
+    Sleeping tasks wake in the order of their due times, which makes tests deterministic:
+    ``clock.advance(2.0)`` wakes each task whose sleep ends within those two seconds.
     """
 
     def __init__(self, start: float = 1000.0) -> None:
         self.now = start
         self.sleepers: list[tuple[float, int, asyncio.Future[None]]] = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
 
     def monotonic(self) -> float:
         return self.now
@@ -30,11 +30,11 @@
             await asyncio.sleep(0)
             return
         waiter = asyncio.get_running_loop().create_future()
-        heapq.heappush(self.sleepers, (self.now + seconds, next(self.order), waiter))
+        heapq.heappush(self.sleepers, (self.now + seconds, next(self.sequence), waiter))
         await waiter
 
     def advance(self, seconds: float) -> None:
-        """Move time on by ``seconds`` and wake every sleeper that is due."""
+        """Advance the time by ``seconds`` and wake every task that is due."""
         self.now += seconds
         while self.sleepers and self.sleepers[0][0] <= self.now:
             _, _, waiter = heapq.heappop(self.sleepers)
--- a/src/marjoramtide/clock/_system.py
+++ b/src/marjoramtide/clock/_system.py
@@ -1,4 +1,4 @@
-"""The clock of the machine."""
+"""The system clock."""
 
 import asyncio
 import time
@@ -7,11 +7,11 @@
 
 
 class SystemClock(Clock):
-    """Time as the machine tells it."""
+    """A clock that reads the time of the operating system."""
 
     def monotonic(self) -> float:
-        # Not time.monotonic(), which stands still while the machine is suspended: deadlines that
-        # passed meanwhile would seem to be ahead, and old views of others fresh.
+        # Not time.monotonic(), which stops while the machine is suspended: expired deadlines would
+        # seem to be in the future, and stale information about other nodes fresh.
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
     def wall(self) -> float:
--- a/src/marjoramtide/errors/__init__.py
+++ b/src/marjoramtide/errors/__init__.py
@@ -1,4 +1,4 @@
-"""Errors of the product: each carries a code, the step and the peer at which it arose."""
+"""Errors of the project, each with a code, a step and a peer."""
 
 from marjoramtide.errors._base import MarjoramtideError
 from marjoramtide.errors._codes import ErrorCode
--- a/src/marjoramtide/errors/_base.py
+++ b/src/marjoramtide/errors/_base.py
@@ -1,14 +1,14 @@
-"""The base class of every error of the product."""
+"""The base class of all errors of the project."""
 
 from marjoramtide.errors._codes import ErrorCode
 
 
 class MarjoramtideError(Exception):
-    """An error with a code, the step at which it arose, and the peer it concerns.
+    """An error with a code, the step that failed, and the peer involved.
 
-    ``step`` names what was being done in the words of the logs (``"peers.connect"``); ``peer`` is
-    the node, backend server or store address, or an empty string where no other party took part.
-    ``retry_after_ms`` tells a caller when to come back, in milliseconds, where that is known.
+    ``step`` names the operation as in the logs (``"peers.connect"``); ``peer`` is the address of
+    the node, backend server or store, or an empty string if no other party was involved.
+    ``retry_after_ms`` is the delay after which a caller should retry, if known.
 
     For example, ``MarjoramtideError(ErrorCode.PEER_LOST, "connection closed", step="peers.send",
     peer="10.0.0.7:7101")`` prints as
@@ -32,5 +32,5 @@
         self.retry_after_ms = retry_after_ms
 
     def __str__(self) -> str:
-        where = f"{self.step} ({self.peer})" if self.peer else self.step
-        return f"{self.code} at {where}: {self.message}"
+        location = f"{self.step} ({self.peer})" if self.peer else self.step
+        return f"{self.code} at {location}: {self.message}"
--- a/src/marjoramtide/errors/_codes.py
+++ b/src/marjoramtide/errors/_codes.py
@@ -1,12 +1,12 @@
-"""The codes by which operators and programs tell errors apart."""
+"""Error codes for operators and programs."""
 
 from enum import StrEnum
 
 
 class ErrorCode(StrEnum):
-    """What went wrong, as a stable word for logs, headers and exit codes.
+    """A stable error code for logs, headers and exit codes.
 
-    The incident guide under ``docs/operators`` explains each one, so a code is never renamed.
+    The incident guide under ``docs/operators`` documents each code, so a code is never renamed.
     """
 
     BAD_SETTINGS = "bad-settings"
--- a/src/marjoramtide/interface/__init__.py
+++ b/src/marjoramtide/interface/__init__.py
@@ -1,4 +1,4 @@
-"""What a node speaks with callers, backend servers, the store and whoever runs the machines."""
+"""The protocols between a node and callers, backend servers, the store and the platform."""
 
 from marjoramtide.interface._interface import Interface
 from marjoramtide.interface._own import default_interface
--- a/src/marjoramtide/interface/_interface.py
+++ b/src/marjoramtide/interface/_interface.py
@@ -1,4 +1,4 @@
-"""The set of protocols that a node speaks with others than its peers."""
+"""The set of protocols that a node speaks with everything but other nodes."""
 
 from collections.abc import Callable
 
@@ -13,16 +13,17 @@
 
 @attrs.frozen(slots=True)
 class Interface:
-    """One protocol for each party.
+    """The protocols with all other parties.
 
-    ``registration_app`` makes the HTTP application at which the backend server registers, ``None``
-    where it doesn't and is taken for registered; ``readiness_app`` the one that tells whether
-    callers may be sent here. ``stop_grace_s`` is how long a planned stop may take, in seconds,
-    where the interface tells it; for ``stop_linger_s`` of it callers may still be sent here, since
-    whoever sends them has not yet noticed. ``takes_keys`` is false where no caller ever sends an
-    idempotency key, so that there are no claims to keep or to clean. ``evacuations`` is the prefix
-    of the store's objects that name evacuated data centres, empty where there are none. ``runs``
-    finds the run that a call names; without it calls name the identity of its request.
+    ``registration_app`` creates the HTTP application at which the backend server registers, or is
+    ``None`` if the backend server always counts as registered. ``readiness_app`` creates the one that
+    reports whether callers may be sent here. ``stop_grace_s`` is how long a planned stop may take,
+    in seconds, if the interface specifies it; during the first ``stop_linger_s`` callers may still
+    be sent here, since the sender has not yet noticed the stop. ``uses_idempotency_keys`` is false
+    if no caller ever sends an idempotency key, so that there are no claims to keep or clean up.
+    ``evacuations`` is the prefix of the store's objects that name evacuated data centres, empty if
+    there are none. ``runs`` finds the run that a call refers to; without it, calls refer to the
+    identity of the run's request.
     """
 
     store: StoreProtocol
--- a/src/marjoramtide/interface/_own.py
+++ b/src/marjoramtide/interface/_own.py
@@ -1,4 +1,4 @@
-"""The interface that this project defines itself."""
+"""The default interface, defined by this project."""
 
 from marjoramtide.clock import SystemClock
 from marjoramtide.ingress import DefaultCallerProtocol
@@ -9,7 +9,7 @@
 
 
 def default_interface() -> Interface:
-    """Return the project's own protocols for all parties."""
+    """Return the project's default protocols for all parties."""
     tokens = RequestTokens(SystemClock())
     return Interface(
         DefaultStoreProtocol(),
--- a/src/marjoramtide/platform/_backends.py
+++ b/src/marjoramtide/platform/_backends.py
@@ -85,14 +85,14 @@
         if answer.status == 503:
             state = BackendState.DRAINING
         load = read_load(answer.header(LOAD.lower()))
-        cold_remaining_s = read_cold(answer.header(COLD.lower()))
+        cold_left_s = read_cold(answer.header(COLD.lower()))
         instance = answer.header(INSTANCE.lower())
         statement, malformed = read_statement(answer)
         return HealthCheckResult(
             state,
             instance,
             load,
-            cold_remaining_s=cold_remaining_s,
+            cold_remaining_s=cold_left_s,
             statement=statement,
             malformed=malformed,
         )
--- a/src/marjoramtide/sockets/__init__.py
+++ b/src/marjoramtide/sockets/__init__.py
@@ -1,4 +1,4 @@
-"""The sockets that a node opens: their options, and small HTTP servers."""
+"""Socket options and small HTTP servers."""
 
 from marjoramtide.sockets._app_server import AppServer
 from marjoramtide.sockets._silence import enable_keepalive
--- a/src/marjoramtide/sockets/_app_server.py
+++ b/src/marjoramtide/sockets/_app_server.py
@@ -1,14 +1,14 @@
-"""Owns the socket on which a node serves one HTTP application."""
+"""A server for one HTTP application."""
 
 from aiohttp import web
 
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 
-SHUTDOWN_S = 1.0
+SHUTDOWN_TIMEOUT_S = 1.0
 
 
 class AppServer:
-    """Serves an application at one address; ``name`` is that of its key in the node's settings.
+    """Serves an application at one address; ``name`` is its key in the node's settings.
 
     For example::
 
@@ -18,10 +18,10 @@
 
     def __init__(self, name: str, app: web.Application) -> None:
         self.name = name
-        self.runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_S)
+        self.runner = web.AppRunner(app, access_log=None, shutdown_timeout=SHUTDOWN_TIMEOUT_S)
 
     async def start(self, host: str, port: int) -> None:
-        """Listen; raises ``bad-settings`` where the address can't be bound."""
+        """Start listening; raises ``bad-settings`` if the address can't be bound."""
         await self.runner.setup()
         try:
             await web.TCPSite(self.runner, host, port).start()
@@ -34,5 +34,5 @@
             ) from error
 
     async def close(self) -> None:
-        """Stop listening; calls under way get ``SHUTDOWN_S`` seconds to end."""
+        """Stop listening; requests in flight get ``SHUTDOWN_TIMEOUT_S`` seconds to finish."""
         await self.runner.cleanup()
