--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -52,7 +52,7 @@
 from marjoramtide.peers._messages import CreditMessage, ReplyMessage, RequestMessage, RunsMessage
 from marjoramtide.peers._run_session import read_runs
 from marjoramtide.platform._backends import (
-    STATEMENTS,
+    STATEMENT_PARSER,
     read_cold,
     read_load,
     read_retry_after,
@@ -303,7 +303,7 @@
 def read_statements(data: bytes) -> None:
     """Read what a server says that it takes; what can't be read counts as refused."""
     texts = data.decode("latin-1").split(";")
-    statement, malformed = STATEMENTS.parse(texts[:1], texts[1:2])
+    statement, malformed = STATEMENT_PARSER.parse(texts[:1], texts[1:2])
     if malformed and not statement.is_empty and len(malformed) > 1:
         raise RuntimeError("taken and refused")
 
--- a/features/platform/configuration.feature
+++ b/features/platform/configuration.feature
@@ -75,7 +75,7 @@
     Then that connection answers another request
 
   Scenario: A request that is read amid a change doesn't hold later ones to the old service
-    # The route of a request moves to another service while its body is still being received. After the
+    # The route of a request moves to another service while its body is being received. After the
     # change had cleared the cached split of the route, this request cached the old one again, and all
     # later requests of the route went to the old service until the next change.
     Given a fleet on the platform: mapdesk, licencehub
--- a/features/platform/store_epochs.feature
+++ b/features/platform/store_epochs.feature
@@ -1,8 +1,8 @@
 Feature: A store that comes back from a copy takes nothing back that was accepted
 
   Scenario: Nodes announce themselves again within two seconds
-    # The copy is older than the announcements. A starting node would find no other nodes in the store,
-    # and the fleet would gradually lose its membership.
+    # The copy is older than the announcements. A starting node would find no others in the store, and
+    # the fleet would gradually lose its membership.
     Given an empty store on the platform of which a copy is kept
     And nodes join it beside mapdesk at east, mapdesk at west, licencehub at west
     When the store comes back from the copy
--- a/src/marjoramtide/interface/_interface.py
+++ b/src/marjoramtide/interface/_interface.py
@@ -16,10 +16,10 @@
     """The protocols with all other parties.
 
     ``registration_app`` creates the HTTP application at which the backend server registers, or is
-    ``None`` if the backend server always counts as registered. ``readiness_app`` creates the one that
-    reports whether callers may be sent here. ``stop_grace_s`` is how long a planned stop may take,
-    in seconds, if the interface specifies it; during the first ``stop_linger_s`` callers may still
-    be sent here, since the sender has not yet noticed the stop. ``uses_idempotency_keys`` is false
+    ``None`` if the backend server always counts as registered. ``readiness_app`` creates the one
+    that reports whether callers may be sent here. ``stop_grace_s`` is how long a planned stop may
+    take, in seconds, if the interface specifies it; during the first ``stop_linger_s`` callers may
+    still be sent here, as the stop is not noticed yet. ``uses_idempotency_keys`` is false
     if no caller ever sends an idempotency key, so that there are no claims to keep or clean up.
     ``evacuations`` is the prefix of the store's objects that name evacuated data centres, empty if
     there are none. ``runs`` finds the run that a call refers to; without it, calls refer to the
