--- a/features/claims/claims.feature
+++ b/features/claims/claims.feature
@@ -34,7 +34,7 @@
     When the store goes down by "<mode>"
     And node A claims "booking-1"
     Then node A's result is "<result>"
-    And a refusal says when to come back
+    And a refusal has a retry time
 
     Examples:
       | setting | mode   | result         |
@@ -49,9 +49,9 @@
     arrives later, before or after the node frees the key. The caller was told to retry: the retry
     must neither find the key held although nothing runs, nor run concurrently with another attempt.
     Given two nodes with claims
-    When the store holds every write back and node A claims "booking-1"
+    When the store delays every write and node A claims "booking-1"
     Then node A's result is "unavailable"
-    When the writes held back arrive <order> node A settles its claims
+    When the delayed writes arrive <order> node A flushes its claims
     Then node B's claim of "booking-1" is "held"
     And node A's claim of "booking-1" is "conflict"
 
@@ -64,9 +64,9 @@
     The claim of a refused attempt has taken effect. The node that frees the key gets a conflict,
     and the read after it returns no object.
     Given two nodes with claims
-    When the store holds every write back and node A claims "booking-1"
+    When the store delays every write and node A claims "booking-1"
     And the next 1 reads of claims are stale
-    And the writes held back arrive before node A settles its claims
+    And the delayed writes arrive before node A flushes its claims
     Then node B's claim of "booking-1" is "held"
 
   Scenario: A late take-over of a released claim
@@ -74,9 +74,9 @@
     the update arrives after A has freed the key.
     Given two nodes with claims
     And node B has claimed and released "booking-1"
-    When the store holds every update back and node A claims "booking-1"
+    When the store delays every update and node A claims "booking-1"
     Then node A's result is "unavailable"
-    When the writes held back arrive after node A settles its claims
+    When the delayed writes arrive after node A flushes its claims
     Then node B's claim of "booking-1" is "held"
 
   Scenario: An attempt is cancelled while its claim is on the way
@@ -84,7 +84,7 @@
     and the store executes the write once it is up again.
     Given two nodes with claims
     When node A's claim of "booking-1" is cancelled while the store hangs
-    And the store comes back and node A settles its claims
+    And the store comes back and node A flushes its claims
     Then node B's claim of "booking-1" is "held"
 
   Scenario: The store goes down between the claim and its record
@@ -97,9 +97,9 @@
     Then the record has not reached the store
     And node A's claim of "booking-1" is "recorded"
     And node B's claim of "booking-1" is "unavailable"
-    When the store goes up before node A settles its claims
+    When the store goes up before node A flushes its claims
     Then node B's claim of "booking-1" is "conflict"
-    When node A settles its claims
+    When node A flushes its claims
     Then node B's claim of "booking-1" is "recorded"
     And the recorded answer is 201 with the body "booked"
 
@@ -121,7 +121,7 @@
     When the store refuses every claim over its rate
     And node A claims "booking-1"
     Then node A's result is "unavailable"
-    And a refusal says when to come back
+    And a refusal has a retry time
 
   Scenario: A frozen holder wakes after the retention
     Node A is suspended between its claim and the dispatch. A day later the claim has expired, the
@@ -197,9 +197,9 @@
     The first copy of the create is delayed and the second one succeeds; the request can't be sent
     and its key is released. Then the first copy arrives.
     Given two nodes with claims
-    When the store holds one write back and node A claims "booking-1"
+    When the store delays one write and node A claims "booking-1"
     And node A releases "booking-1"
-    And the writes held back arrive
+    And the delayed writes arrive
     Then node B's claim of "booking-1" is "held"
 
   Scenario: An answer that comes after "unknown"
@@ -258,13 +258,13 @@
     # The store is restored from a copy made before the claim. The request has run, its caller lost
     # the response and retries with the same key, which the store shows as free.
     Given two nodes with claims
-    And a copy of the store of claims is kept
+    And a copy of the claim store is kept
     And node A has claimed "booking-1"
-    When the store of claims comes back from the copy
+    When the claim store is restored from the copy
     And node B claims "booking-1"
     Then node B's result is "unavailable"
-    And a refusal says when to come back
-    When the nodes write their claims again and 16 s pass
+    And a refusal has a retry time
+    When the nodes rewrite their claims and 16 s pass
     Then node B's claim of "booking-1" is "conflict"
     And node B's claim of "booking-2" is "held"
 
@@ -273,31 +273,31 @@
     # the claim before the request was sent.
     Given two nodes with claims
     And node B is told of what node A claims
-    And a copy of the store of claims is kept
+    And a copy of the claim store is kept
     And node A has claimed "booking-1"
     And node A is lost
-    When the store of claims comes back from the copy
+    When the claim store is restored from the copy
     And node B claims "booking-1"
     Then node B's result is "conflict"
-    When the nodes write their claims again and 16 s pass
+    When the nodes rewrite their claims and 16 s pass
     Then node B's claim of "booking-1" is "conflict"
 
   Scenario: A key that is claimed as the store comes back
     # The node learns of the restore from the response to its own claim, which the store accepted.
     Given two nodes with claims
-    And a copy of the store of claims is kept
+    And a copy of the claim store is kept
     And node A has claimed "booking-1"
     And node B has claimed "booking-2"
     And node A is lost
-    When the store of claims comes back from the copy
+    When the claim store is restored from the copy
     And node B claims "booking-1"
     Then node B's result is "unavailable"
 
   Scenario: The outcome of a booking that the store has lost is written again
     Given two nodes with claims
-    And a copy of the store of claims is kept
+    And a copy of the claim store is kept
     And node A has claimed "booking-1"
     And node A has recorded the answer of "booking-1"
-    When the store of claims comes back from the copy
-    And the nodes write their claims again and 16 s pass
+    When the claim store is restored from the copy
+    And the nodes rewrite their claims and 16 s pass
     Then node B's claim of "booking-1" is "recorded"
--- a/features/platform/object_store.feature
+++ b/features/platform/object_store.feature
@@ -32,10 +32,10 @@
     moment finds no object, and a writer that relied on it would report as failed a write that takes
     effect a moment later.
     Given an object store
-    When the store holds the next write back
+    When the store delays the next write
     And the node creates "settings/tree" as "mine" and resolves the outcome
     Then the write is its own
-    And the write held back is refused when it arrives
+    And the delayed write is refused when it arrives
     And the store holds "mine" under "settings/tree"
 
   Scenario: A late update does not undo a newer one
@@ -43,11 +43,11 @@
     node has already updated the object again.
     Given an object store
     And another node created "settings/tree" as "first"
-    When the store holds the next write back
+    When the store delays the next write
     And the node updates "settings/tree" to "mine" and resolves the outcome
     Then the write is its own
     When another node updates "settings/tree" to "mine+theirs"
-    Then the write held back is refused when it arrives
+    Then the delayed write is refused when it arrives
     And the store holds "mine+theirs" under "settings/tree"
 
   Scenario: A lost update is known again after another node has built on it
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -111,11 +111,11 @@
     "the node stops within {grace_s:g} s and shares {ratio:g} second tries for each request "
     "and {per_s:g} a second"
 )
-def goes_by_bounds(context: Any, grace_s: float, ratio: float, per_s: float) -> None:
+def observes_bounds(context: Any, grace_s: float, ratio: float, per_s: float) -> None:
     interface = platform_interface(context.settings)
     assert interface.stop_grace_s == grace_s, interface.stop_grace_s
-    told = interface.tree.base
-    assert (told["second_try_ratio"], told["second_tries_per_s"]) == (ratio, per_s), told
+    values = interface.tree.base
+    assert (values["second_try_ratio"], values["second_tries_per_s"]) == (ratio, per_s), values
 
 
 @when("a bound is written without its name")
@@ -169,7 +169,7 @@
 
 @then("it is read to take {rate} a second, {leaving}, with {count:d} malformed")
 def then_read(context: Any, rate: str, leaving: str, count: int) -> None:
-    said = context.reading.statement
-    assert said.rate_per_s == (None if rate == "nothing" else float(rate)), said
-    assert said.leaving == (leaving == "leaving"), said
+    statement = context.reading.statement
+    assert statement.rate_per_s == (None if rate == "nothing" else float(rate)), statement
+    assert statement.leaving == (leaving == "leaving"), statement
     assert len(context.reading.malformed) == count, context.reading.malformed
--- a/features/steps/claim_epoch_steps.py
+++ b/features/steps/claim_epoch_steps.py
@@ -9,7 +9,7 @@
 SETTLE_S = 2.0
 
 
-@given("a copy of the store of claims is kept")
+@given("a copy of the claim store is kept")
 def given_copy(context: Any) -> None:
     context.copy = context.store.server.state.copy()
 
@@ -35,12 +35,12 @@
     assert context.store.run(recorded)
 
 
-@when("the store of claims comes back from the copy")
+@when("the claim store is restored from the copy")
 def when_back(context: Any) -> None:
     context.store.server.state.restore(context.copy)
 
 
-@when("the nodes write their claims again and {seconds:d} s pass")
+@when("the nodes rewrite their claims and {seconds:d} s pass")
 def when_written(context: Any, seconds: int) -> None:
     for claims in context.nodes.values():
         claims.store.observe_epoch(context.store.server.state.epoch)
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -111,40 +111,40 @@
     claim(context, name, key, digest="request-2")
 
 
-@when('the store holds every write back and node {name:w} claims "{key}"')
+@when('the store delays every write and node {name:w} claims "{key}"')
 def when_claim_late(context: Any, name: str, key: str) -> None:
     context.store.server.faults.late_writes = -1
     claim(context, name, key, within=LATE_WITHIN_S)
     context.store.server.faults.late_writes = 0
 
 
-@when('the store holds every update back and node {name:w} claims "{key}"')
+@when('the store delays every update and node {name:w} claims "{key}"')
 def when_take_over_late(context: Any, name: str, key: str) -> None:
     context.store.server.faults.late_updates = -1
     claim(context, name, key, within=LATE_WITHIN_S)
     context.store.server.faults.late_updates = 0
 
 
-@when('the store holds one write back and node {name:w} claims "{key}"')
+@when('the store delays one write and node {name:w} claims "{key}"')
 def when_first_copy_late(context: Any, name: str, key: str) -> None:
     context.store.server.faults.late_writes = 1
     assert claim(context, name, key).outcome == "held", context.result
 
 
-@when("the writes held back arrive")
+@when("the delayed writes arrive")
 def when_late_arrive(context: Any) -> None:
     assert context.store.server.late
     context.store.server.apply_late_writes()
 
 
-@when("the writes held back arrive {order} node {name:w} settles its claims")
+@when("the delayed writes arrive {order} node {name:w} flushes its claims")
 def when_late_and_settle(context: Any, order: str, name: str) -> None:
     steps = [lambda: when_late_arrive(context), lambda: when_settled(context, name)]
     for act in steps if order == "before" else reversed(steps):
         act()
 
 
-@when("node {name:w} settles its claims")
+@when("node {name:w} flushes its claims")
 def when_settled(context: Any, name: str) -> None:
     close_circuits(context)
     assert context.store.run(context.nodes[name].flush(5.0))
@@ -164,13 +164,13 @@
     context.store.run(cancel())
 
 
-@when("the store comes back and node {name:w} settles its claims")
+@when("the store comes back and node {name:w} flushes its claims")
 def when_back_and_settled(context: Any, name: str) -> None:
     context.store.server.set_mode("up")
     when_settled(context, name)
 
 
-@when("the store goes up before node {name:w} settles its claims")
+@when("the store goes up before node {name:w} flushes its claims")
 def when_up_before_settled(context: Any, name: str) -> None:
     context.store.server.set_mode("up")
     close_circuits(context)
@@ -304,7 +304,7 @@
     assert context.result.reason == reason, context.result
 
 
-@then("a refusal says when to come back")
+@then("a refusal has a retry time")
 def then_retry_after(context: Any) -> None:
     assert context.result.can_run or context.result.retry_after_ms > 0, context.result
 
--- a/features/steps/foreign_writers_steps.py
+++ b/features/steps/foreign_writers_steps.py
@@ -18,7 +18,7 @@
 INSTANCE = "i-1"
 MISSING = "missing"
 ENTRIES = 8
-SPOILED: list[Any] = [
+MALFORMED: list[Any] = [
     None,
     7,
     {},
@@ -44,7 +44,7 @@
     run(context, fill(fleet, [service], instance=""))
 
 
-def spoiled(body: dict[str, Any], field: str, value: str) -> dict[str, Any]:
+def malformed(body: dict[str, Any], field: str, value: str) -> dict[str, Any]:
     """Return a heartbeat with one field replaced or removed."""
     *path, last = field.split(".")
     table = body
@@ -60,7 +60,7 @@
 @when("a heartbeat arrives at node 1 whose {field:S} is {value}")
 def when_spoiled(context: Any, field: str, value: str) -> None:
     registrant = seat(context, 1).registrant
-    body = spoiled(registrant.body(), field, value)
+    body = malformed(registrant.body(), field, value)
     data = json.dumps(body).encode()
     context.status = run(context, registrant.call("PUT", INSTANCE, data))
 
@@ -97,7 +97,7 @@
 
 def mixed() -> list[Any]:
     """Return valid and malformed entries alternately."""
-    return [each for number in range(ENTRIES) for each in (stored(number), SPOILED[number])]
+    return [each for number in range(ENTRIES) for each in (stored(number), MALFORMED[number])]
 
 
 def answer(body: Any) -> StoreResponse:
@@ -135,9 +135,9 @@
 @given("spoiled announcements in the store")
 def given_announcements(context: Any) -> None:
     state = context.fleet.store.state
-    (sound,) = state.kinds["announcements"].values()
-    value = json.loads(sound["Specification"]["text"])
-    spoiled_values = [
+    (valid,) = state.kinds["announcements"].values()
+    value = json.loads(valid["Specification"]["text"])
+    malformed_values = [
         "{",
         "[]",
         json.dumps(value | {"gossip_address": 5}),
@@ -146,7 +146,7 @@
         json.dumps(value | {"node": "another"}),
         json.dumps({key: each for key, each in value.items() if key != "service"}),
     ]
-    for number, text in enumerate(spoiled_values):
+    for number, text in enumerate(malformed_values):
         state.put("announcements", f"spoiled-{number}", Specification={"text": text})
     state.put("announcements", "spoiled-table", Specification={"text": 7})
 
@@ -168,8 +168,8 @@
 
 @then("these load headers say nothing")
 def then_no_load(context: Any) -> None:
-    taken = [row["header"] for row in context.table if read_load(row["header"]) is not None]
-    assert not taken, taken
+    accepted = [row["header"] for row in context.table if read_load(row["header"]) is not None]
+    assert not accepted, accepted
 
 
 @then(
@@ -184,9 +184,9 @@
 
 @then("a stored claim with a field missing or of another type is no claim")
 def then_no_claim(context: Any) -> None:
-    sound = ClaimRecord("attempt", "node", "digest", ClaimState.RELEASED, 5.0)
-    assert decode_record(sound.encode()) == sound
-    table = cbor2.loads(sound.encode())
+    valid = ClaimRecord("attempt", "node", "digest", ClaimState.RELEASED, 5.0)
+    assert decode_record(valid.encode()) == valid
+    table = cbor2.loads(valid.encode())
     changed = [
         {"state": "freed"},
         {"state": 1},
@@ -204,5 +204,5 @@
         for left_out in ("attempt", "node", "digest", "state", "expires")
     ]
     values += [b"", b"\xff", cbor2.dumps([1]), b"\x81" * 5000]
-    taken = [value for value in values if decode_record(value) is not None]
-    assert not taken, taken
+    accepted = [value for value in values if decode_record(value) is not None]
+    assert not accepted, accepted
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -89,7 +89,7 @@
     context.store.server.faults.lose_answers = 1
 
 
-@when("the store holds the next write back")
+@when("the store delays the next write")
 def when_write_late(context: Any) -> None:
     context.store.server.faults.late_writes = 1
 
@@ -231,7 +231,7 @@
     assert context.result.stored.value == value.encode(), context.result
 
 
-@then("the write held back is refused when it arrives")
+@then("the delayed write is refused when it arrives")
 def then_late_refused(context: Any) -> None:
     assert context.store.server.apply_late_writes() == [False]
 
--- a/features/steps/store_epoch_steps.py
+++ b/features/steps/store_epoch_steps.py
@@ -60,8 +60,8 @@
 @then("for {seconds:d} s no node has a version below {version:d} in force")
 def then_none_below(context: Any, seconds: int, version: int) -> None:
     async def look() -> None:
-        ends = time.monotonic() + seconds
-        while time.monotonic() < ends:
+        ends_at = time.monotonic() + seconds
+        while time.monotonic() < ends_at:
             held = [each.node.view.revision for each in context.fleet.seats]
             assert min(held) >= version, held
             await asyncio.sleep(POLL_S)
@@ -77,8 +77,8 @@
         await add(context, [place])
         started = fleet.seats[-1]
         context.revisions = set()
-        ends = time.monotonic() + 3.0
-        while time.monotonic() < ends:
+        ends_at = time.monotonic() + 3.0
+        while time.monotonic() < ends_at:
             if started.node.takes_callers():
                 context.revisions.add(started.node.view.revision)
             await asyncio.sleep(POLL_S)
@@ -109,7 +109,7 @@
     return client
 
 
-def outcome(context: Any, work: Any) -> Any:
+def result_or_code(context: Any, work: Any) -> Any:
     """Return the result of a call, or the code of its error."""
     try:
         return run(context, work)
@@ -133,7 +133,7 @@
     state.restore(context.copy)
     state.put("notes", "a", Specification={"text": "second"})
     assert state.get("notes", "a")["Metadata"]["Revision"] == context.read.version
-    context.undecided = outcome(
+    context.ambiguous_code = result_or_code(
         context, context.client.update("notes/a", b"mine", context.read.version)
     )
 
@@ -141,8 +141,10 @@
 @then("its conditional write is refused as a conflict")
 def then_conflict(context: Any) -> None:
     client, read = context.client, context.read
-    assert outcome(context, client.update("notes/a", b"x", read.version)) == "version-conflict"
-    assert outcome(context, client.delete("notes/a", read.version)) == "version-conflict"
+    assert (
+        result_or_code(context, client.update("notes/a", b"x", read.version)) == "version-conflict"
+    )
+    assert result_or_code(context, client.delete("notes/a", read.version)) == "version-conflict"
     again = run(context, client.get("notes/a"))
     assert again.version > read.version
     assert run(context, client.update("notes/a", b"known", again.version)).value == b"known"
@@ -150,7 +152,7 @@
 
 @then("a write that was on its way when the store came back is told to be undecided")
 def then_undecided(context: Any) -> None:
-    assert context.undecided is ErrorCode.STORE_AMBIGUOUS, context.undecided
+    assert context.ambiguous_code is ErrorCode.STORE_AMBIGUOUS, context.ambiguous_code
 
 
 @given('a client of the platform\'s store that is told of the epoch "{text}"')
@@ -162,5 +164,5 @@
 @then("its read fails as store-unavailable and its write as store-ambiguous")
 def then_fails(context: Any) -> None:
     client = context.client
-    assert outcome(context, client.get("notes/a")) is ErrorCode.STORE_UNAVAILABLE
-    assert outcome(context, client.create("notes/a", b"x")) is ErrorCode.STORE_AMBIGUOUS
+    assert result_or_code(context, client.get("notes/a")) is ErrorCode.STORE_UNAVAILABLE
+    assert result_or_code(context, client.create("notes/a", b"x")) is ErrorCode.STORE_AMBIGUOUS
--- a/src/marjoramtide/claims/_claims.py
+++ b/src/marjoramtide/claims/_claims.py
@@ -92,7 +92,7 @@
             expires = store_time(self.store, self.clock) + retention_s(settings)
             record = attrs.evolve(record, expires=expires)
             resolution = await self.claim(stored_key, record, deadline)
-            self.check_epoch()
+            self.rewrite_if_epoch_changed()
         except MarjoramtideError as error:
             return self.result_for_error(stored_key, record, settings, error)
         except BaseException:
@@ -208,7 +208,7 @@
             detail=detail,
         )
 
-    def check_epoch(self) -> None:
+    def rewrite_if_epoch_changed(self) -> None:
         """Treat the first known epoch as a new one too, since it may have just begun."""
         if self.store.epoch != self.epoch:
             self.rewrite_recent_claims(self.store.epoch)
--- a/src/marjoramtide/claims/_pending_writes.py
+++ b/src/marjoramtide/claims/_pending_writes.py
@@ -50,8 +50,8 @@
 
     def add_rewrite(self, entry: PendingWrite) -> None:
         """Add an entry for a claim that a restore may have lost, unless a newer one is pending."""
-        held = self.entries.setdefault(entry.record.attempt, entry)
-        held.version, held.was_stored = 0, True
+        pending = self.entries.setdefault(entry.record.attempt, entry)
+        pending.version, pending.was_stored = 0, True
         self.outcomes.setdefault(entry.key, entry.record)
 
     def remove(self, attempt: str) -> None:
--- a/src/marjoramtide/store/_http_object_store.py
+++ b/src/marjoramtide/store/_http_object_store.py
@@ -216,10 +216,10 @@
         await self.read_budget.take(self.clock.monotonic() + wait, call.step)
         self.circuit_breaker.check(call.step, self.url)
         timeout = aiohttp.ClientTimeout(total=wait + WATCH_GRACE_S, connect=WATCH_GRACE_S)
-        has_answered = False
+        has_responded = False
         try:
             async with self.send_request(call, timeout) as response:
-                has_answered = True
+                has_responded = True
                 if self.check_status(call, response.status, response.headers) is CallOutcome.GAP:
                     raise self.error(
                         ErrorCode.NOT_FOUND,
@@ -232,7 +232,7 @@
             self.circuit_breaker.on_failure()
             raise self.error(ErrorCode.STORE_UNAVAILABLE, describe(error), call.step) from error
         finally:
-            if not has_answered:
+            if not has_responded:
                 self.circuit_breaker.on_abandoned()
 
     def check_watch_epoch(self, call: Call, since: int) -> None:
@@ -288,9 +288,9 @@
                 return await self.call_once(call, deadline)
             except MarjoramtideError as error:
                 pause_s = full_jitter(attempt, self.rng)
-                too_late = self.clock.monotonic() + pause_s >= deadline
-                final = error.code not in RETRYABLE_CODES or attempt == MAX_ATTEMPTS
-                if final or too_late or self.circuit_breaker.is_open:
+                is_too_late = self.clock.monotonic() + pause_s >= deadline
+                is_final = error.code not in RETRYABLE_CODES or attempt == MAX_ATTEMPTS
+                if is_final or is_too_late or self.circuit_breaker.is_open:
                     raise
                 await self.clock.sleep(pause_s)
         raise AssertionError("unreachable")
