--- a/features/platform/configuration.feature
+++ b/features/platform/configuration.feature
@@ -64,7 +64,7 @@
     And a head that never ends is given up by node 1 within 1.2 s
     And a connection that rests is closed by node 1 within 1.5 s
 
-  Scenario: A longer time of rest holds for connections that are open already
+  Scenario: A longer idle timeout applies to connections that are already open
     # The operator raises the idle timeout, and callers reuse connections that were idle for up to
     # four fifths of the new one. Connections closed after the old one would fail callers' requests.
     Given a fleet on the platform: mapdesk
--- a/features/platform/foreign_writers.feature
+++ b/features/platform/foreign_writers.feature
@@ -1,9 +1,9 @@
-Feature: What another writer has spoiled names no server, and takes nothing away
+Feature: Malformed input from other programs registers no server and removes nothing
   Another program may write a malformed heartbeat or store entry: with fields missing or of a wrong
   type, an unknown state, or undecodable bytes. It is refused or skipped, counted and logged; valid
   entries next to it are still used.
 
-  Scenario Outline: A spoiled heartbeat brings no server
+  Scenario Outline: A malformed heartbeat registers no server
     # If a malformed heartbeat registered a server, callers' requests would be sent to a server that
     # does not exist or is not ready.
     Given a fleet on the platform whose server has not registered: mapdesk
@@ -54,36 +54,36 @@
       | a list            |
       | larger than 64 KB |
 
-  Scenario: An identity that would begin a line of its own is refused
+  Scenario: An identity with a line break is refused
     # Identities are sent in request headers. One with a line break would inject another header.
     Given a fleet on the platform whose server has not registered: mapdesk
     When a heartbeat of the identity "i-1%0d%0aX-Other: 1" arrives at node 1
     Then it is refused with 400 and counted
     And no server is registered at node 1
 
-  Scenario: A spoiled heartbeat takes no server away
+  Scenario: A malformed heartbeat removes no server
     Given a fleet on the platform: mapdesk
     When a heartbeat arrives at node 1 whose Status.State is 7
     And a client asks node 1 for "/tiles/7"
     Then the client gets 200 with the seal and the whole body of its own request
 
-  Scenario: One spoiled entry leaves the rest of a list readable
+  Scenario: One malformed entry leaves the rest of a list readable
     # If one malformed entry made the whole list of nodes fail, a starting node would find no others.
-    When the store answers a list of which every second entry is spoiled
-    Then the sound entries are read and the others counted
+    When the store answers a list of which every second entry is malformed
+    Then the valid entries are read and the others counted
 
-  Scenario: One spoiled change leaves the rest of a watch readable
-    When the store answers a watch of which every second change is spoiled
-    Then the sound changes are read and the others counted
+  Scenario: One malformed change leaves the rest of a watch readable
+    When the store answers a watch of which every second change is malformed
+    Then the valid changes are read and the others counted
 
-  Scenario: A node that starts finds the others beside spoiled announcements
+  Scenario: A starting node finds the others despite malformed announcements
     Given a fleet on the platform: mapdesk
-    And spoiled announcements in the store
+    And malformed announcements in the store
     When another node starts
     Then it knows 2 nodes within 5 s
 
-  Scenario: Load headers of another form say nothing
-    Then these load headers say nothing
+  Scenario: Malformed load headers are ignored
+    Then these load headers are ignored
       | header         |
       |                |
       | 1,2            |
@@ -99,6 +99,6 @@
       | 1e400,0,8      |
     And the load header "3,1,8,250" says 3 running, 1 waiting, 8 slots and 2.5 times as long
 
-  Scenario: A claim that was spoiled is not taken for one
+  Scenario: A malformed claim is not accepted
     # A malformed claim that was read as "released" would let a request run a second time.
-    Then a stored claim with a field missing or of another type is no claim
+    Then a stored claim with a field missing or of another type is not accepted as a claim
--- a/features/platform/object_store.feature
+++ b/features/platform/object_store.feature
@@ -1,4 +1,4 @@
-Feature: The store's answers are told truly
+Feature: The store client reports the true outcome of each call
   The rest of a node depends on one of three outcomes of a write: it took effect, it did not, or
   that is unknown. Each scenario makes the connection or the store fail and checks the outcome.
 
@@ -137,7 +137,7 @@
     Then the store has seen 7 reads
     And the node can read again
 
-  Scenario: Callers in a hurry do not close the store to others
+  Scenario: Calls with short deadlines do not open the circuit breaker
     The store is healthy and responds after 100 ms. Calls with shorter deadlines fail, which says
     nothing about the store; a circuit breaker opened by them would fail the calls of everyone.
     Given an object store
--- a/features/platform/store_epochs.feature
+++ b/features/platform/store_epochs.feature
@@ -1,4 +1,4 @@
-Feature: A store that comes back from a copy takes nothing back that was accepted
+Feature: A restore of the store from a copy reverts nothing that was accepted
 
   Scenario: Nodes announce themselves again within two seconds
     # The copy is older than the announcements. A starting node would find no others in the store, and
--- a/features/steps/foreign_writers_steps.py
+++ b/features/steps/foreign_writers_steps.py
@@ -104,13 +104,13 @@
     return StoreResponse(200, {}, json.dumps(body).encode(), CallOutcome.DONE)
 
 
-@when("the store answers a list of which every second entry is spoiled")
+@when("the store answers a list of which every second entry is malformed")
 def when_list(context: Any) -> None:
     body = {"items": mixed(), "HasMore": True, "CurrentRev": 9}
     context.page = PlatformStoreProtocol().read_page("announcements/", answer(body))
 
 
-@then("the sound entries are read and the others counted")
+@then("the valid entries are read and the others counted")
 def then_list(context: Any) -> None:
     values = [each.value for each in context.page.objects]
     assert values == [f"value {number}".encode() for number in range(ENTRIES)], values
@@ -118,21 +118,21 @@
     assert context.page.after == f"n-{ENTRIES - 1}", context.page.after
 
 
-@when("the store answers a watch of which every second change is spoiled")
+@when("the store answers a watch of which every second change is malformed")
 def when_watch(context: Any) -> None:
     events = [{"Removed": False, "Object": entry} for entry in mixed()]
     body = {"events": [*events, {"Removed": "no", "Object": stored(9)}, 3], "CurrentRev": 9}
     context.changes = PlatformStoreProtocol().read_events("announcements/", answer(body).body)
 
 
-@then("the sound changes are read and the others counted")
+@then("the valid changes are read and the others counted")
 def then_watch(context: Any) -> None:
     keys = [event.key for event in context.changes.events]
     assert keys == [f"announcements/n-{number}" for number in range(ENTRIES)], keys
     assert context.changes.unreadable == ENTRIES + 2
 
 
-@given("spoiled announcements in the store")
+@given("malformed announcements in the store")
 def given_announcements(context: Any) -> None:
     state = context.fleet.store.state
     (valid,) = state.kinds["announcements"].values()
@@ -166,7 +166,7 @@
     run(context, asyncio.wait_for(wait(), seconds + 1))
 
 
-@then("these load headers say nothing")
+@then("these load headers are ignored")
 def then_no_load(context: Any) -> None:
     accepted = [row["header"] for row in context.table if read_load(row["header"]) is not None]
     assert not accepted, accepted
@@ -182,7 +182,7 @@
     assert read_load(header) == ServerLoad(running, waiting, slots, times), read_load(header)
 
 
-@then("a stored claim with a field missing or of another type is no claim")
+@then("a stored claim with a field missing or of another type is not accepted as a claim")
 def then_no_claim(context: Any) -> None:
     valid = ClaimRecord("attempt", "node", "digest", ClaimState.RELEASED, 5.0)
     assert decode_record(valid.encode()) == valid
