--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -24,8 +24,8 @@
 import attrs
 import cbor2
 
-from marjoramtide.checked import MalformedError, read_json
-from marjoramtide.claims import is_claim_news, pack_claim, unpack_claim
+from marjoramtide.checked import MalformedError, parse_json
+from marjoramtide.claims import is_claim_bulletin, pack_claim, unpack_claim
 from marjoramtide.claims._claim_record import ClaimRecord, decode_record
 from marjoramtide.claims._claim_state import ClaimState
 from marjoramtide.errors import MarjoramtideError
@@ -57,14 +57,14 @@
 )
 from marjoramtide.peers._run_session import validate_in_flight_message
 from marjoramtide.platform._backends import (
-    STATEMENTS,
+    STATEMENT_PARSER,
     read_cold,
     read_load,
     read_retry_after,
 )
 from marjoramtide.platform._configuration import OperatorConfiguration
 from marjoramtide.platform._heartbeat import read_departure, read_registration
-from marjoramtide.platform._store_protocol import PlatformStore
+from marjoramtide.platform._store_protocol import PlatformStoreProtocol
 from marjoramtide.policy import EvacuationSnapshot, ServerCrash, SuspectReport
 from marjoramtide.quarantine import (
     is_quarantine_bulletin,
@@ -76,7 +76,7 @@
 from marjoramtide.quota._messages import unpack_quota_message as unpack_quota
 from marjoramtide.settings import decode_envelope, parse_tree
 from marjoramtide.settings.sync._peer_settings import decode_pull_response
-from marjoramtide.store import Answer, Meaning, StoredObject
+from marjoramtide.store import CallOutcome, StoredObject, StoreResponse
 from standins.mesh import Mesh, MeshNode, make_plan
 from standins.raw_caller import read_answer
 
@@ -257,15 +257,15 @@
 
 
 def read_heartbeat(data: bytes) -> None:
-    read_registration("i-1", read_json(data))
+    read_registration("i-1", parse_json(data))
 
 
 def read_page(data: bytes) -> None:
-    PlatformStore().read_page("kind/", Answer(200, {}, data, Meaning.DONE))
+    PlatformStoreProtocol().read_page("kind/", StoreResponse(200, {}, data, CallOutcome.DONE))
 
 
 def read_events(data: bytes) -> None:
-    PlatformStore().read_events("kind/", data)
+    PlatformStoreProtocol().read_events("kind/", data)
 
 
 def read_announcement(data: bytes) -> None:
@@ -285,7 +285,7 @@
         unpack_suspect_reports(fields)
     elif is_store_bulletin(fields):
         unpack_store_bulletin(fields)
-    elif is_claim_news(fields):
+    elif is_claim_bulletin(fields):
         unpack_claim(fields)
     elif is_quota_bulletin(fields):
         unpack_quota(fields)
@@ -312,13 +312,13 @@
 def read_statements(data: bytes) -> None:
     """Read what a server says that it takes; what can't be read counts as refused."""
     texts = data.decode("latin-1").split(";")
-    statement, malformed = STATEMENTS.parse(texts[:1], texts[1:2])
+    statement, malformed = STATEMENT_PARSER.parse(texts[:1], texts[1:2])
     if malformed and not statement.is_empty and len(malformed) > 1:
         raise RuntimeError("taken and refused")
 
 
 def read_epoch(data: bytes) -> None:
-    PlatformStore().epoch({"Store-Era": data.decode("latin-1")})
+    PlatformStoreProtocol().epoch({"Store-Era": data.decode("latin-1")})
 
 
 async def send(address: str, data: bytes) -> bytes:
@@ -395,7 +395,7 @@
     claim = record.encode()
     foreign: dict[str, tuple[Callable[[bytes], Any], bytes]] = {
         "heartbeats": (read_heartbeat, HEARTBEAT),
-        "departures": (lambda data: read_departure(read_json(data)), b'{"born":1764731292000}'),
+        "departures": (lambda data: read_departure(parse_json(data)), b'{"born":1764731292000}'),
         "objects": (read_page, PAGE),
         "events": (read_events, EVENTS),
         "announced": (read_announcement, ANNOUNCEMENT),
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -1,4 +1,4 @@
-"""Steps that read the sources of the adapter and of the rest."""
+"""Steps that check the sources of the adapter and of the other packages."""
 
 import ast
 import random
@@ -14,7 +14,7 @@
 from marjoramtide.clock import FreezeDetector, ManualClock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.platform import platform_interface
-from marjoramtide.platform._backends import PlatformBackend
+from marjoramtide.platform._backends import PlatformBackendProtocol
 from marjoramtide.serving import EndpointResponse
 from marjoramtide.settings import (
     Envelope,
@@ -57,7 +57,7 @@
 
 
 def constants(path: Path) -> Iterator[str]:
-    """Yield the strings of a module, docstrings aside."""
+    """Yield the string constants of a module except docstrings."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
     prose = {
         id(node.value)
@@ -111,11 +111,11 @@
     "the node stops within {grace_s:g} s and shares {ratio:g} second tries for each request "
     "and {per_s:g} a second"
 )
-def goes_by_bounds(context: Any, grace_s: float, ratio: float, per_s: float) -> None:
+def observes_bounds(context: Any, grace_s: float, ratio: float, per_s: float) -> None:
     interface = platform_interface(context.settings)
     assert interface.stop_grace_s == grace_s, interface.stop_grace_s
-    told = interface.tree.base
-    assert (told["second_try_ratio"], told["second_tries_per_s"]) == (ratio, per_s), told
+    values = interface.tree.base
+    assert (values["second_try_ratio"], values["second_tries_per_s"]) == (ratio, per_s), values
 
 
 @when("a bound is written without its name")
@@ -164,12 +164,12 @@
     pairs = () if headers == "nothing" else headers.split(", ")
     fields = [each.partition(":")[::2] for each in pairs]
     answer = EndpointResponse(200, tuple((name, value.strip(" ")) for name, value in fields))
-    context.reading = PlatformBackend().read_health(answer)
+    context.reading = PlatformBackendProtocol().read_health(answer)
 
 
 @then("it is read to take {rate} a second, {leaving}, with {count:d} malformed")
 def then_read(context: Any, rate: str, leaving: str, count: int) -> None:
-    said = context.reading.statement
-    assert said.rate_per_s == (None if rate == "nothing" else float(rate)), said
-    assert said.leaving == (leaving == "leaving"), said
+    statement = context.reading.statement
+    assert statement.rate_per_s == (None if rate == "nothing" else float(rate)), statement
+    assert statement.leaving == (leaving == "leaving"), statement
     assert len(context.reading.malformed) == count, context.reading.malformed
--- a/features/steps/claim_epoch_steps.py
+++ b/features/steps/claim_epoch_steps.py
@@ -1,4 +1,4 @@
-"""Steps for claims in a store that comes back from a copy."""
+"""Steps for claims in a store that is restored from a copy."""
 
 from typing import Any
 
@@ -9,16 +9,18 @@
 SETTLE_S = 2.0
 
 
-@given("a copy of the store of claims is kept")
+@given("a copy of the claim store is kept")
 def given_copy(context: Any) -> None:
     context.copy = context.store.server.state.copy()
 
 
 @given("node {name:w} is told of what node {other:w} claims")
 def given_told(context: Any, name: str, other: str) -> None:
-    memory = context.nodes[name].memory
+    recent_claims = context.nodes[name].recent_claims
     claims = context.nodes[other]
-    claims.witnesses = lambda key, record: memory.hear(*unpack_claim(pack_claim(key, record)))
+    claims.replicate_claim = lambda key, record: recent_claims.add_remote(
+        *unpack_claim(pack_claim(key, record))
+    )
 
 
 @given("node {name:w} is lost")
@@ -33,14 +35,14 @@
     assert context.store.run(recorded)
 
 
-@when("the store of claims comes back from the copy")
+@when("the claim store is restored from the copy")
 def when_back(context: Any) -> None:
     context.store.server.state.restore(context.copy)
 
 
-@when("the nodes write their claims again and {seconds:d} s pass")
+@when("the nodes rewrite their claims and {seconds:d} s pass")
 def when_written(context: Any, seconds: int) -> None:
     for claims in context.nodes.values():
-        claims.store.hear_epoch(context.store.server.state.epoch)
-        context.store.run(claims.settle(SETTLE_S))
+        claims.store.observe_epoch(context.store.server.state.epoch)
+        context.store.run(claims.flush(SETTLE_S))
     context.store.clock.added += seconds
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -45,7 +45,7 @@
 
 
 def close_circuits(context: Any) -> None:
-    """Let so much time pass that the nodes try the store again."""
+    """Advance the clock so that the circuit breakers allow a probe of the store."""
     context.store.clock.added += 10
 
 
@@ -111,43 +111,43 @@
     claim(context, name, key, digest="request-2")
 
 
-@when('the store holds every write back and node {name:w} claims "{key}"')
+@when('the store delays every write and node {name:w} claims "{key}"')
 def when_claim_late(context: Any, name: str, key: str) -> None:
     context.store.server.faults.late_writes = -1
     claim(context, name, key, within=LATE_WITHIN_S)
     context.store.server.faults.late_writes = 0
 
 
-@when('the store holds every update back and node {name:w} claims "{key}"')
+@when('the store delays every update and node {name:w} claims "{key}"')
 def when_take_over_late(context: Any, name: str, key: str) -> None:
     context.store.server.faults.late_updates = -1
     claim(context, name, key, within=LATE_WITHIN_S)
     context.store.server.faults.late_updates = 0
 
 
-@when('the store holds one write back and node {name:w} claims "{key}"')
+@when('the store delays one write and node {name:w} claims "{key}"')
 def when_first_copy_late(context: Any, name: str, key: str) -> None:
     context.store.server.faults.late_writes = 1
     assert claim(context, name, key).outcome == "held", context.result
 
 
-@when("the writes held back arrive")
+@when("the delayed writes arrive")
 def when_late_arrive(context: Any) -> None:
     assert context.store.server.late
     context.store.server.apply_late_writes()
 
 
-@when("the writes held back arrive {order} node {name:w} settles its claims")
+@when("the delayed writes arrive {order} node {name:w} flushes its claims")
 def when_late_and_settle(context: Any, order: str, name: str) -> None:
     steps = [lambda: when_late_arrive(context), lambda: when_settled(context, name)]
     for act in steps if order == "before" else reversed(steps):
         act()
 
 
-@when("node {name:w} settles its claims")
+@when("node {name:w} flushes its claims")
 def when_settled(context: Any, name: str) -> None:
     close_circuits(context)
-    assert context.store.run(context.nodes[name].settle(5.0))
+    assert context.store.run(context.nodes[name].flush(5.0))
 
 
 @when('node {name:w}\'s claim of "{key}" is cancelled while the store hangs')
@@ -164,13 +164,13 @@
     context.store.run(cancel())
 
 
-@when("the store comes back and node {name:w} settles its claims")
+@when("the store comes back and node {name:w} flushes its claims")
 def when_back_and_settled(context: Any, name: str) -> None:
     context.store.server.set_mode("up")
     when_settled(context, name)
 
 
-@when("the store goes up before node {name:w} settles its claims")
+@when("the store goes up before node {name:w} flushes its claims")
 def when_up_before_settled(context: Any, name: str) -> None:
     context.store.server.set_mode("up")
     close_circuits(context)
@@ -221,7 +221,7 @@
     clock = LeapingClock()
     clock.added_wall = seconds
     node = context.nodes[name]
-    node.clock = node.store.clock = node.unsettled.clock = clock
+    node.clock = node.store.clock = node.pending_writes.clock = clock
 
 
 @when(
@@ -304,9 +304,9 @@
     assert context.result.reason == reason, context.result
 
 
-@then("a refusal says when to come back")
+@then("a refusal has a retry time")
 def then_retry_after(context: Any) -> None:
-    assert context.result.may_run or context.result.retry_after_ms > 0, context.result
+    assert context.result.can_run or context.result.retry_after_ms > 0, context.result
 
 
 @then("the record has not reached the store")
@@ -327,12 +327,12 @@
 
 @step('node {name:w} may dispatch "{key}"')
 def then_may_dispatch(context: Any, name: str, key: str) -> None:
-    assert context.handles[name, key].may_dispatch(context.store.clock.monotonic())
+    assert context.handles[name, key].can_dispatch(context.store.clock.monotonic())
 
 
 @then('node {name:w} may not dispatch "{key}"')
 def then_may_not_dispatch(context: Any, name: str, key: str) -> None:
-    assert not context.handles[name, key].may_dispatch(context.store.clock.monotonic())
+    assert not context.handles[name, key].can_dispatch(context.store.clock.monotonic())
 
 
 @then('a claim of a key of {count:d} characters fails as "{code}"')
--- a/features/steps/foreign_writers_steps.py
+++ b/features/steps/foreign_writers_steps.py
@@ -1,4 +1,4 @@
-"""Steps for heartbeats, entries and headers that another writer has spoiled."""
+"""Steps for malformed heartbeats, store entries and headers from other programs."""
 
 import asyncio
 import json
@@ -11,14 +11,14 @@
 from marjoramtide.claims._claim_record import ClaimRecord, decode_record
 from marjoramtide.claims._claim_state import ClaimState
 from marjoramtide.platform._backends import read_load
-from marjoramtide.platform._store_protocol import PlatformStore
+from marjoramtide.platform._store_protocol import PlatformStoreProtocol
 from marjoramtide.serving import ServerLoad
-from marjoramtide.store import Answer, Meaning
+from marjoramtide.store import CallOutcome, StoreResponse
 
 INSTANCE = "i-1"
 MISSING = "missing"
 ENTRIES = 8
-SPOILED: list[Any] = [
+MALFORMED: list[Any] = [
     None,
     7,
     {},
@@ -44,8 +44,8 @@
     run(context, fill(fleet, [service], instance=""))
 
 
-def spoiled(body: dict[str, Any], field: str, value: str) -> dict[str, Any]:
-    """Return a heartbeat of which one field is replaced or taken out."""
+def malformed(body: dict[str, Any], field: str, value: str) -> dict[str, Any]:
+    """Return a heartbeat with one field replaced or removed."""
     *path, last = field.split(".")
     table = body
     for step in path:
@@ -60,7 +60,7 @@
 @when("a heartbeat arrives at node 1 whose {field:S} is {value}")
 def when_spoiled(context: Any, field: str, value: str) -> None:
     registrant = seat(context, 1).registrant
-    body = spoiled(registrant.body(), field, value)
+    body = malformed(registrant.body(), field, value)
     data = json.dumps(body).encode()
     context.status = run(context, registrant.call("PUT", INSTANCE, data))
 
@@ -96,21 +96,21 @@
 
 
 def mixed() -> list[Any]:
-    """Return sound entries and spoiled ones by turns."""
-    return [each for number in range(ENTRIES) for each in (stored(number), SPOILED[number])]
+    """Return valid and malformed entries alternately."""
+    return [each for number in range(ENTRIES) for each in (stored(number), MALFORMED[number])]
 
 
-def answer(body: Any) -> Answer:
-    return Answer(200, {}, json.dumps(body).encode(), Meaning.DONE)
+def answer(body: Any) -> StoreResponse:
+    return StoreResponse(200, {}, json.dumps(body).encode(), CallOutcome.DONE)
 
 
-@when("the store answers a list of which every second entry is spoiled")
+@when("the store answers a list of which every second entry is malformed")
 def when_list(context: Any) -> None:
     body = {"items": mixed(), "HasMore": True, "CurrentRev": 9}
-    context.page = PlatformStore().read_page("announcements/", answer(body))
+    context.page = PlatformStoreProtocol().read_page("announcements/", answer(body))
 
 
-@then("the sound entries are read and the others counted")
+@then("the valid entries are read and the others counted")
 def then_list(context: Any) -> None:
     values = [each.value for each in context.page.objects]
     assert values == [f"value {number}".encode() for number in range(ENTRIES)], values
@@ -118,26 +118,26 @@
     assert context.page.after == f"n-{ENTRIES - 1}", context.page.after
 
 
-@when("the store answers a watch of which every second change is spoiled")
+@when("the store answers a watch of which every second change is malformed")
 def when_watch(context: Any) -> None:
     events = [{"Removed": False, "Object": entry} for entry in mixed()]
     body = {"events": [*events, {"Removed": "no", "Object": stored(9)}, 3], "CurrentRev": 9}
-    context.changes = PlatformStore().read_events("announcements/", answer(body).body)
+    context.changes = PlatformStoreProtocol().read_events("announcements/", answer(body).body)
 
 
-@then("the sound changes are read and the others counted")
+@then("the valid changes are read and the others counted")
 def then_watch(context: Any) -> None:
     keys = [event.key for event in context.changes.events]
     assert keys == [f"announcements/n-{number}" for number in range(ENTRIES)], keys
     assert context.changes.unreadable == ENTRIES + 2
 
 
-@given("spoiled announcements in the store")
+@given("malformed announcements in the store")
 def given_announcements(context: Any) -> None:
     state = context.fleet.store.state
-    (sound,) = state.kinds["announcements"].values()
-    value = json.loads(sound["Specification"]["text"])
-    spoiled_values = [
+    (valid,) = state.kinds["announcements"].values()
+    value = json.loads(valid["Specification"]["text"])
+    malformed_values = [
         "{",
         "[]",
         json.dumps(value | {"gossip_address": 5}),
@@ -146,7 +146,7 @@
         json.dumps(value | {"node": "another"}),
         json.dumps({key: each for key, each in value.items() if key != "service"}),
     ]
-    for number, text in enumerate(spoiled_values):
+    for number, text in enumerate(malformed_values):
         state.put("announcements", f"spoiled-{number}", Specification={"text": text})
     state.put("announcements", "spoiled-table", Specification={"text": 7})
 
@@ -166,10 +166,10 @@
     run(context, asyncio.wait_for(wait(), seconds + 1))
 
 
-@then("these load headers say nothing")
+@then("these load headers are ignored")
 def then_no_load(context: Any) -> None:
-    taken = [row["header"] for row in context.table if read_load(row["header"]) is not None]
-    assert not taken, taken
+    accepted = [row["header"] for row in context.table if read_load(row["header"]) is not None]
+    assert not accepted, accepted
 
 
 @then(
@@ -182,11 +182,11 @@
     assert read_load(header) == ServerLoad(running, waiting, slots, times), read_load(header)
 
 
-@then("a stored claim with a field missing or of another type is no claim")
+@then("a stored claim with a field missing or of another type is not accepted as a claim")
 def then_no_claim(context: Any) -> None:
-    sound = ClaimRecord("attempt", "node", "digest", ClaimState.RELEASED, 5.0)
-    assert decode_record(sound.encode()) == sound
-    table = cbor2.loads(sound.encode())
+    valid = ClaimRecord("attempt", "node", "digest", ClaimState.RELEASED, 5.0)
+    assert decode_record(valid.encode()) == valid
+    table = cbor2.loads(valid.encode())
     changed = [
         {"state": "freed"},
         {"state": 1},
@@ -204,5 +204,5 @@
         for left_out in ("attempt", "node", "digest", "state", "expires")
     ]
     values += [b"", b"\xff", cbor2.dumps([1]), b"\x81" * 5000]
-    taken = [value for value in values if decode_record(value) is not None]
-    assert not taken, taken
+    accepted = [value for value in values if decode_record(value) is not None]
+    assert not accepted, accepted
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the way to the platform's store."""
+"""Steps for the client of the object store."""
 
 import asyncio
 from typing import Any
@@ -11,7 +11,7 @@
 
 
 def resolve(context: Any, write: Any, *place: Any, within: float = 3.0) -> None:
-    """Make a write of the value "mine" and keep its resolution, or its error."""
+    """Run a resolved write of the value "mine" and keep its resolution or error."""
     harness = context.store
     context.result = harness.outcome(
         write(
@@ -89,7 +89,7 @@
     context.store.server.faults.lose_answers = 1
 
 
-@when("the store holds the next write back")
+@when("the store delays the next write")
 def when_write_late(context: Any) -> None:
     context.store.server.faults.late_writes = 1
 
@@ -231,7 +231,7 @@
     assert context.result.stored.value == value.encode(), context.result
 
 
-@then("the write held back is refused when it arrives")
+@then("the delayed write is refused when it arrives")
 def then_late_refused(context: Any) -> None:
     assert context.store.server.apply_late_writes() == [False]
 
@@ -258,13 +258,13 @@
 
 @then("the node's write budget is at most {rate:d} calls a second")
 def then_budget_below(context: Any, rate: int) -> None:
-    assert context.node.writes.rate <= rate, context.node.writes.rate
+    assert context.node.write_budget.rate_per_s <= rate, context.node.write_budget.rate_per_s
 
 
 @then("the node's write budget is {rate:d} calls a second")
 def then_budget_is(context: Any, rate: int) -> None:
-    context.node.writes.refill()
-    assert context.node.writes.rate == rate, context.node.writes.rate
+    context.node.write_budget.refill()
+    assert context.node.write_budget.rate_per_s == rate, context.node.write_budget.rate_per_s
 
 
 @then('the others failed as "{code}"')
@@ -279,7 +279,7 @@
 
 
 async def next_event(context: Any, prefix: str, since: int) -> Any:
-    """Return the first event of a watch, during which one object is made."""
+    """Create an object while a watch is open, and return the watch's first event."""
 
     async def change() -> None:
         await asyncio.sleep(0.05)
--- a/features/steps/server_ends_steps.py
+++ b/features/steps/server_ends_steps.py
@@ -160,7 +160,7 @@
     node = seat(context, 1).node
     now = node.clock.monotonic()
     if "stopped" in when:
-        node.freeze_detector.thawed_at = now
+        node.freeze_detector.resumed_at = now
 
     async def note() -> None:
         node.server.record_health_check(
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -30,7 +30,7 @@
     PeerCrashDetector,
     StartupGrace,
 )
-from marjoramtide.interface import Interface, own_interface
+from marjoramtide.interface import Interface, default_interface
 from marjoramtide.membership import Member, MemberState, make_membership
 from marjoramtide.operators import make_operators_app
 from marjoramtide.peers import (
@@ -76,7 +76,7 @@
     ) -> None:
         """``started_at`` is the start of the process on the monotonic clock, in seconds."""
         self.settings = settings
-        self.interface = interface = interface or own_interface()
+        self.interface = interface = interface or default_interface()
         self.stop_grace_s = interface.stop_grace_s or settings.stop_grace_s
         self.clock = SystemClock()
         rng = self.rng = random.Random()
@@ -217,7 +217,7 @@
         self.membership.on_bulletin(self.bulletins.handle)
         self.membership.relay_targets = self.bulletins.relay_recipients
         self.serving.load_listener = self.bulletins.publish_load
-        self.claims.witnesses = self.bulletins.publish_claim
+        self.claims.replicate_claim = self.bulletins.publish_claim
         self.drained_by_operator = False
         self.app_servers = self.make_app_servers()
         self.is_stopping = False
@@ -254,7 +254,7 @@
             "run teller": self.run_teller.run,
             "evacuations": self.evacuations.run,
         }
-        if self.interface.takes_keys:
+        if self.interface.uses_idempotency_keys:
             loops |= self.claim_tasks()
         for name, run in loops.items():
             self.spawn(supervise(name, run, self.clock, self.metrics))
--- a/src/marjoramtide/daemon/_process.py
+++ b/src/marjoramtide/daemon/_process.py
@@ -12,7 +12,7 @@
 from marjoramtide.daemon._settings_file_watcher import SettingsFileWatcher
 from marjoramtide.daemon._supervision import supervise
 from marjoramtide.errors import MarjoramtideError
-from marjoramtide.interface import Interface, own_interface
+from marjoramtide.interface import Interface, default_interface
 from marjoramtide.settings import NodeSettings, load_node_settings
 from marjoramtide.telemetry import configure_logs
 
@@ -24,7 +24,7 @@
 def make_interface(settings: NodeSettings) -> Interface:
     """Return the interface named in the settings; the other one is not imported."""
     if settings.interface == "own":
-        return own_interface()
+        return default_interface()
     from marjoramtide.platform import platform_interface
 
     return platform_interface(settings)
--- a/src/marjoramtide/evacuation/_evacuation_service.py
+++ b/src/marjoramtide/evacuation/_evacuation_service.py
@@ -104,7 +104,7 @@
             )
             return
         self.is_receiving = True
-        self.store.hear_epoch(bulletin.epoch)
+        self.store.observe_epoch(bulletin.epoch)
         self.is_receiving = False
         self._merge(bulletin.evacuated, source)
 
@@ -230,7 +230,7 @@
     With an empty ``prefix`` the store holds no evacuations, and is not read.
     """
     service = EvacuationService(store, directory, publish, clock, on_change)
-    store.on_epoch(service.epoch_changed)
+    store.on_epoch_change(service.epoch_changed)
     if prefix:
         service.evacuations = EvacuationStore(store, prefix, clock, rng)
         service.watch = EvacuationWatch(
--- a/src/marjoramtide/evacuation/_store_news.py
+++ b/src/marjoramtide/evacuation/_store_news.py
@@ -4,7 +4,7 @@
 
 import attrs
 
-from marjoramtide.checked import MalformedError, is_number
+from marjoramtide.checked import MalformedError, is_unsigned_int
 from marjoramtide.policy import EVACUATION_HOLD_S, EvacuationSnapshot
 
 SUBJECT = "store"
@@ -47,7 +47,7 @@
     if not is_store_bulletin(fields) or len(fields[0]) < 1 + FIELD_COUNT:
         raise MalformedError("not a bulletin about the store")
     epoch, version, names, holds = fields[0][1 : 1 + FIELD_COUNT]
-    if not (is_number(epoch, MAX_EPOCH) and is_number(version)):
+    if not (is_unsigned_int(epoch, MAX_EPOCH) and is_unsigned_int(version)):
         raise MalformedError("malformed epoch or version")
     if not isinstance(names, list) or not isinstance(holds, list):
         raise MalformedError("the data centres are not lists")
@@ -62,7 +62,7 @@
     if not isinstance(fields, list) or len(fields) != 2:
         raise MalformedError("malformed hold of a data centre")
     name, left_ms = fields
-    if not is_valid_name(name) or not is_number(left_ms, round(EVACUATION_HOLD_S * 1000) + 1):
+    if not is_valid_name(name) or not is_unsigned_int(left_ms, round(EVACUATION_HOLD_S * 1000) + 1):
         raise MalformedError("malformed hold of a data centre")
     return name, left_ms / 1000
 
--- a/src/marjoramtide/peers/_run_session.py
+++ b/src/marjoramtide/peers/_run_session.py
@@ -4,7 +4,7 @@
 from websockets.asyncio.server import ServerConnection
 from websockets.exceptions import ConnectionClosed, ConnectionClosedError
 
-from marjoramtide.checked import is_number
+from marjoramtide.checked import is_unsigned_int
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.peers._codec import decode
@@ -71,8 +71,8 @@
 def validate_in_flight_message(message: object) -> InFlightMessage:
     """Return a well-formed report of requests in flight; raises ``bad-frame`` for anything else."""
     if isinstance(message, InFlightMessage):
-        is_sound = all(map(is_number, message.finished)) and all(
-            isinstance(entry, list) and len(entry) == 2 and all(map(is_number, entry))
+        is_sound = all(map(is_unsigned_int, message.finished)) and all(
+            isinstance(entry, list) and len(entry) == 2 and all(map(is_unsigned_int, entry))
             for entry in message.started
         )
         if is_sound:
--- a/src/marjoramtide/peers/_server.py
+++ b/src/marjoramtide/peers/_server.py
@@ -22,7 +22,7 @@
 from marjoramtide.peers._run_session import InFlightSession
 from marjoramtide.peers._server_connection import PeerServerConnection
 from marjoramtide.peers._session import QuestionHandler, Session
-from marjoramtide.sockets import notice_silence
+from marjoramtide.sockets import enable_keepalive
 
 log = structlog.get_logger()
 
@@ -64,7 +64,7 @@
     async def accept(self, socket: ServerConnection) -> None:
         """Authenticate one connection, then serve it."""
         peer = "{}:{}".format(*socket.remote_address[:2])
-        notice_silence(socket.transport.get_extra_info("socket"))
+        enable_keepalive(socket.transport.get_extra_info("socket"))
         try:
             async with asyncio.timeout(HANDSHAKE_TIMEOUT_S):
                 lane = await open_as_server(socket, self.key, peer)
--- a/src/marjoramtide/quarantine/_news_codec.py
+++ b/src/marjoramtide/quarantine/_news_codec.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Any
 
-from marjoramtide.checked import MalformedError, is_number
+from marjoramtide.checked import MalformedError, is_unsigned_int
 from marjoramtide.policy import MAX_CRASHES, ServerCrash, SuspectReport
 
 SUBJECT = "quarantine"
@@ -75,7 +75,7 @@
     fingerprint, crashes, cleared, trial_ms = fields[:REPORT_FIELDS]
     if not all(isinstance(each, list) and len(each) <= MAX_CRASHES for each in (crashes, cleared)):
         raise MalformedError("malformed list of crashes, or too many of them")
-    if not all(map(is_number, (fingerprint, *cleared))):
+    if not all(map(is_unsigned_int, (fingerprint, *cleared))):
         raise MalformedError("fingerprint or crash number is not a 64-bit integer")
     if not is_duration(trial_ms):
         raise MalformedError("malformed duration of a trial")
@@ -89,7 +89,7 @@
     if not isinstance(fields, list) or len(fields) < CRASH_FIELDS:
         raise MalformedError("malformed crash")
     number, age_ms, ran_ms = fields[:CRASH_FIELDS]
-    if not is_number(number) or not all(map(is_duration, (age_ms, ran_ms))):
+    if not is_unsigned_int(number) or not all(map(is_duration, (age_ms, ran_ms))):
         raise MalformedError("malformed number or time of a crash")
     return ServerCrash(number, age_ms / 1000, ran_ms / 1000)
 
--- a/src/marjoramtide/serving/_idempotency_key_dispatcher.py
+++ b/src/marjoramtide/serving/_idempotency_key_dispatcher.py
@@ -62,7 +62,7 @@
             )
         except MarjoramtideError as error:
             raise NotRunError(error.code, error.message, step=CLAIM_STEP) from error
-        if not result.may_run:
+        if not result.can_run:
             return self.replay_or_reject(result)
         if result.handle is None:
             log.warning("serving.unclaimed", reason=result.detail, service=request.service)
@@ -75,7 +75,7 @@
         handle: ClaimHandle,
         forward: Callable[[Execution], Awaitable[Response]],
     ) -> Response:
-        if not handle.may_dispatch(self.clock.monotonic()):
+        if not handle.can_dispatch(self.clock.monotonic()):
             # If this process was suspended between claim and dispatch, the claim may have expired.
             # Nothing was sent, so the key can be released.
             await self.release(execution, handle)
@@ -135,7 +135,7 @@
     async def drain(self) -> None:
         """Wait for pending writes to the store, during a planned stop."""
         await asyncio.gather(*self.background, return_exceptions=True)
-        await self.claims.settle(2.0)
+        await self.claims.flush(2.0)
 
 
 def replayed_response(record: ClaimRecord) -> Response:
--- a/src/marjoramtide/settings/sync/_proof_renewer.py
+++ b/src/marjoramtide/settings/sync/_proof_renewer.py
@@ -64,7 +64,7 @@
         end, since their calls had failed for a while.
         """
         if self.max_proof_age_s:
-            self.follower.trees.store.ask_again_within(STORE_PAUSE_SHARE * self.max_proof_age_s)
+            self.follower.trees.store.set_max_retry_pause(STORE_PAUSE_SHARE * self.max_proof_age_s)
 
     def _next_check_s(self) -> float:
         """Return the delay until the next check whether the proof is due."""
--- a/src/marjoramtide/store/_call_failed.py
+++ b/src/marjoramtide/store/_call_failed.py
@@ -1,29 +1,30 @@
-"""What a single HTTP call to the store can end in, short of an answer."""
+"""Errors of a single HTTP call to the store that got no response."""
 
 import aiohttp
 
 
 class CallNotSentError(Exception):
-    """No connection came about: the store has seen nothing of the call."""
+    """No connection was established, so the store did not receive the call."""
 
 
-class AnswerLostError(Exception):
-    """The connection ended before the answer: the store may have acted on the call."""
+class ResponseLostError(Exception):
+    """The connection broke before the response, so the store may have executed the call."""
 
 
-async def no_resend(
+async def disable_resend(
     request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
 ) -> aiohttp.ClientResponse:
-    """Keep aiohttp from sending a PUT or DELETE again when its connection is lost.
+    """Keep aiohttp from resending a PUT or DELETE after a lost connection.
 
-    aiohttp does so once for methods that HTTP calls idempotent. A conditional write is not: where
-    the first took effect and its answer was lost, the second meets its own result, and the writer
-    is told ``version-conflict`` for a write that it won. Errors other than aiohttp's own pass
-    through its loop, so that the caller hears of the lost answer.
+    aiohttp resends methods that HTTP defines as idempotent once. A conditional write is not
+    idempotent: if the first copy took effect and its response was lost, the second conflicts with
+    the first, and the writer gets ``version-conflict`` for its own successful write. aiohttp's
+    retry loop only catches its own errors, so raising others reports the lost response to the
+    caller.
     """
     try:
         return await handler(request)
     except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
         raise CallNotSentError(str(error)) from error
     except (aiohttp.ClientConnectionError, aiohttp.ClientPayloadError) as error:
-        raise AnswerLostError(str(error) or type(error).__name__) from error
+        raise ResponseLostError(str(error) or type(error).__name__) from error
--- a/src/marjoramtide/store/_epoch.py
+++ b/src/marjoramtide/store/_epoch.py
@@ -1,4 +1,4 @@
-"""How often the store has come back from a copy, as far as a node knows."""
+"""The newest epoch of the store that a node knows of."""
 
 from collections.abc import Callable
 
@@ -9,24 +9,25 @@
 
 
 @attrs.define(slots=True, eq=False, repr=False)
-class Epoch:
-    """The newest epoch of the store that a node has heard of, from the store or another node.
+class EpochTracker:
+    """The newest epoch of the store that a node learned from the store or from another node.
 
-    ``listeners`` are called with each one that follows the first: a node that has just started has
-    written nothing yet that could be lost.
+    The epoch counts how often the store was restored from a copy. ``listeners`` are called with
+    each epoch after the first known one: a node that has just started has written nothing that a
+    restore could have lost.
     """
 
-    number: int = 0
+    epoch_number: int = 0
     is_known: bool = False
     listeners: list[Callable[[int], None]] = attrs.Factory(list)
 
-    def hear(self, number: int, peer: str) -> None:
-        """Take note of an epoch; an earlier one, of an answer that was late, changes nothing."""
-        is_new = self.is_known and number > self.number
-        self.number = max(number, self.number)
+    def observe(self, epoch_number: int, peer: str) -> None:
+        """Record an epoch; an earlier one, from a late response, is ignored."""
+        has_advanced = self.is_known and epoch_number > self.epoch_number
+        self.epoch_number = max(epoch_number, self.epoch_number)
         self.is_known = True
-        if not is_new:
+        if not has_advanced:
             return
-        log.warning("store.epoch", step="store.epoch", peer=peer, epoch=number)
+        log.warning("store.epoch", step="store.epoch", peer=peer, epoch=epoch_number)
         for listener in self.listeners:
-            listener(number)
+            listener(epoch_number)
