--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -31,7 +31,7 @@
 from marjoramtide.errors import MarjoramtideError
 from marjoramtide.evacuation import EvacuationRecord, StoreBulletin, is_store_bulletin
 from marjoramtide.evacuation._evacuation_store import read_record
-from marjoramtide.evacuation._store_news import unpack_store_bulletin
+from marjoramtide.evacuation._store_bulletin import unpack_store_bulletin
 from marjoramtide.exchange import LoadReport, ServerStatement
 from marjoramtide.membership import Member, decode_announcement
 from marjoramtide.membership._bulletin import BULLETIN_MAGIC, BulletinCodec
@@ -49,13 +49,13 @@
     unpack_statement,
 )
 from marjoramtide.peers._handshake import open_as_client, open_as_server
+from marjoramtide.peers._in_flight_session import validate_in_flight_message
 from marjoramtide.peers._messages import (
     CreditMessage,
     InFlightMessage,
     ReplyMessage,
     RequestMessage,
 )
-from marjoramtide.peers._run_session import validate_in_flight_message
 from marjoramtide.platform._backends import (
     STATEMENTS,
     read_cold,
--- a/bench/model/_mechanisms.py
+++ b/bench/model/_mechanisms.py
@@ -23,7 +23,7 @@
     Mechanism("follow the grid of changes", f"{POLICY}.pace._interference", "fit_grid", NOTHING),
     Mechanism(
         "length of slow stretches",
-        f"{POLICY}.pace._stretches",
+        f"{POLICY}.pace._duration_history",
         "DurationHistory.remaining_s",
         ZERO,
     ),
@@ -53,7 +53,7 @@
     ),
     Mechanism(
         "calls ranked as their parents",
-        f"{INGRESS}._calls",
+        f"{INGRESS}._nested_calls",
         "NestedCalls.inherit_from_parent",
         "lambda self, request: None",
     ),
@@ -122,7 +122,7 @@
     Mechanism("explorer", f"{PLACING}._explorer", "Explorer.pick", NOTHING),
     Mechanism("sound nodes first", FORECAST, "ForecastSelector._is_healthy", "lambda *args: True"),
     Mechanism("hedges", f"{INGRESS}._service_state", "ServiceState.may_hedge", NEVER),
-    Mechanism("first moments", f"{INGRESS}._start_up", "STARTUP_GRACE_S", "0.0"),
+    Mechanism("first moments", f"{INGRESS}._startup_grace", "STARTUP_GRACE_S", "0.0"),
     Mechanism(
         "places dealt to refused callers",
         f"{POLICY}.budgets._retry_after_hint",
--- a/features/steps/evacuation_policy_steps.py
+++ b/features/steps/evacuation_policy_steps.py
@@ -8,7 +8,7 @@
 
 from bench.evacuation import SpreadPlan, spread
 from marjoramtide.checked import MalformedError
-from marjoramtide.evacuation._store_news import unpack_store_bulletin
+from marjoramtide.evacuation._store_bulletin import unpack_store_bulletin
 from marjoramtide.policy import EvacuationSnapshot, EvacuationState
 from marjoramtide.store._versions import version_of
 
--- a/features/steps/pace_steps.py
+++ b/features/steps/pace_steps.py
@@ -14,7 +14,7 @@
 from features.steps.serving_steps import SilentTransport
 from marjoramtide.clock import FreezeDetector, ManualClock
 from marjoramtide.policy.pace import Pace
-from marjoramtide.policy.pace._stretches import DurationHistory
+from marjoramtide.policy.pace._duration_history import DurationHistory
 from marjoramtide.serving import ServerLoad, ServingService
 from marjoramtide.settings import Freshness, Locality, TreeSettingsView
 from marjoramtide.telemetry import Metrics, Tracer
--- a/features/steps/story_steps.py
+++ b/features/steps/story_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from marjoramtide.cli._request_story import format_timeline, read_timeline
+from marjoramtide.cli._request_timeline import format_timeline, read_timeline
 
 use_step_matcher("parse")
 
--- a/src/marjoramtide/cli/_commands.py
+++ b/src/marjoramtide/cli/_commands.py
@@ -9,7 +9,7 @@
 from marjoramtide.cli._node_client import NodeClient, query_nodes
 from marjoramtide.cli._output import format_records
 from marjoramtide.cli._quarantine_commands import QuarantineCommands
-from marjoramtide.cli._request_story import format_timeline, read_timeline
+from marjoramtide.cli._request_timeline import format_timeline, read_timeline
 from marjoramtide.cli._service_commands import ServiceCommands
 from marjoramtide.cli._session import Session
 from marjoramtide.cli._settings_commands import REVISION_LINE_PATTERN, SettingsCommands, read_file
--- a/src/marjoramtide/daemon/_own_server.py
+++ b/src/marjoramtide/daemon/_backend_server_monitor.py
@@ -5,7 +5,7 @@
 import structlog
 
 from marjoramtide.clock import Clock, FreezeDetector
-from marjoramtide.daemon._own_statements import ServerStatements
+from marjoramtide.daemon._server_statements import ServerStatements
 from marjoramtide.errors import MarjoramtideError
 from marjoramtide.interface import Interface
 from marjoramtide.serving import (
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -14,11 +14,11 @@
     make_claims,
 )
 from marjoramtide.clock import FreezeDetector, SystemClock
+from marjoramtide.daemon._backend_server_monitor import BackendServerMonitor
 from marjoramtide.daemon._gauges import node_gauges
+from marjoramtide.daemon._graceful_shutdown import shut_down_gracefully
 from marjoramtide.daemon._node_bulletins import NodeBulletins
 from marjoramtide.daemon._operators import make_node_handle
-from marjoramtide.daemon._own_server import BackendServerMonitor
-from marjoramtide.daemon._planned_stop import shut_down_gracefully
 from marjoramtide.daemon._supervision import supervise
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.evacuation import make_evacuation_service
--- a/src/marjoramtide/evacuation/__init__.py
+++ b/src/marjoramtide/evacuation/__init__.py
@@ -2,7 +2,7 @@
 
 from marjoramtide.evacuation._evacuation_record import EvacuationRecord
 from marjoramtide.evacuation._evacuation_service import EvacuationService, make_evacuation_service
-from marjoramtide.evacuation._store_news import StoreBulletin, is_store_bulletin
+from marjoramtide.evacuation._store_bulletin import StoreBulletin, is_store_bulletin
 
 __all__ = [
     "EvacuationRecord",
--- a/src/marjoramtide/evacuation/_evacuation_service.py
+++ b/src/marjoramtide/evacuation/_evacuation_service.py
@@ -14,7 +14,7 @@
 from marjoramtide.evacuation._evacuation_record import EvacuationRecord
 from marjoramtide.evacuation._evacuation_store import EvacuationStore, read_record
 from marjoramtide.evacuation._evacuation_watch import EvacuationWatch
-from marjoramtide.evacuation._store_news import StoreBulletin, unpack_store_bulletin
+from marjoramtide.evacuation._store_bulletin import StoreBulletin, unpack_store_bulletin
 from marjoramtide.membership import Directory, Member
 from marjoramtide.policy import EvacuationSnapshot, EvacuationState
 from marjoramtide.settings.sync import PiggybackedState
--- a/src/marjoramtide/evacuation/_evacuation_store.py
+++ b/src/marjoramtide/evacuation/_evacuation_store.py
@@ -10,7 +10,7 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.evacuation._evacuation_record import EvacuationRecord, decode_record
-from marjoramtide.evacuation._store_news import is_valid_name
+from marjoramtide.evacuation._store_bulletin import is_valid_name
 from marjoramtide.policy import EvacuationSnapshot
 from marjoramtide.store import ObjectStore
 
--- a/src/marjoramtide/exchange/__init__.py
+++ b/src/marjoramtide/exchange/__init__.py
@@ -23,7 +23,7 @@
     stream_body,
 )
 from marjoramtide.exchange._response import Response
-from marjoramtide.exchange._runs import EmptyRunRegistry, RunRegistry
+from marjoramtide.exchange._run_registry import EmptyRunRegistry, RunRegistry
 from marjoramtide.exchange._server_statement import ServerStatement
 from marjoramtide.exchange._target import is_origin_form
 
--- a/src/marjoramtide/ingress/__init__.py
+++ b/src/marjoramtide/ingress/__init__.py
@@ -2,10 +2,10 @@
 
 from marjoramtide.ingress._authenticator import Authenticator
 from marjoramtide.ingress._caller_protocol import CallerProtocol
-from marjoramtide.ingress._calls import NestedCalls
 from marjoramtide.ingress._default_caller_protocol import DefaultCallerProtocol
 from marjoramtide.ingress._dispatcher import Dispatcher
 from marjoramtide.ingress._ingress import Ingress
+from marjoramtide.ingress._nested_calls import NestedCalls
 from marjoramtide.ingress._peer_crash_detector import PeerCrashDetector
 from marjoramtide.ingress._read_request import (
     bad_request,
@@ -14,7 +14,7 @@
     single_header,
 )
 from marjoramtide.ingress._request_quota import NoQuota, QuotaLease, RequestQuota
-from marjoramtide.ingress._start_up import StartupGrace
+from marjoramtide.ingress._startup_grace import StartupGrace
 
 __all__ = [
     "Authenticator",
--- a/src/marjoramtide/ingress/_authenticator.py
+++ b/src/marjoramtide/ingress/_authenticator.py
@@ -11,7 +11,7 @@
     unauthenticated,
     without_key,
 )
-from marjoramtide.ingress._calls import NestedCalls
+from marjoramtide.ingress._nested_calls import NestedCalls
 from marjoramtide.settings import (
     RouteSettings,
     SettingsView,
--- a/src/marjoramtide/ingress/_dispatcher.py
+++ b/src/marjoramtide/ingress/_dispatcher.py
@@ -29,7 +29,7 @@
 from marjoramtide.ingress._known_statements import KnownStatements
 from marjoramtide.ingress._peer_crash_detector import PeerCrashDetector
 from marjoramtide.ingress._service_state import ServiceState, make_service_state
-from marjoramtide.ingress._start_up import StartupGrace
+from marjoramtide.ingress._startup_grace import StartupGrace
 from marjoramtide.membership import Directory, Member
 from marjoramtide.peers import PeerClient
 from marjoramtide.policy import (
--- a/src/marjoramtide/ingress/_ingress.py
+++ b/src/marjoramtide/ingress/_ingress.py
@@ -29,7 +29,7 @@
 from marjoramtide.ingress._dispatcher import Dispatcher
 from marjoramtide.ingress._read_body import read_body
 from marjoramtide.ingress._request_quota import NoQuota, QuotaLease, RequestQuota
-from marjoramtide.ingress._start_up import StartupGrace
+from marjoramtide.ingress._startup_grace import StartupGrace
 from marjoramtide.settings import RouteSettings, SettingsView
 from marjoramtide.telemetry import Metrics, Tracer, parse_traceparent
 
--- a/src/marjoramtide/peers/__init__.py
+++ b/src/marjoramtide/peers/__init__.py
@@ -3,12 +3,12 @@
 from marjoramtide.peers._client import PeerClient
 from marjoramtide.peers._codec import report_fields, unpack_report
 from marjoramtide.peers._control_channel import ControlChannel
+from marjoramtide.peers._in_flight_link import InFlightLink
+from marjoramtide.peers._in_flight_listener import InFlightListener
 from marjoramtide.peers._peer_control import PeerControlChannel
-from marjoramtide.peers._peer_sign import PeerProbeResult
-from marjoramtide.peers._run_link import InFlightLink
-from marjoramtide.peers._run_listener import InFlightListener
+from marjoramtide.peers._peer_probe_result import PeerProbeResult
+from marjoramtide.peers._reported_request import ReportedRequest
 from marjoramtide.peers._server import PeerServer
-from marjoramtide.peers._told_run import ReportedRequest
 
 __all__ = [
     "ControlChannel",
--- a/src/marjoramtide/peers/_client.py
+++ b/src/marjoramtide/peers/_client.py
@@ -17,6 +17,7 @@
 )
 from marjoramtide.peers._client_connection import PeerClientConnection
 from marjoramtide.peers._handshake import HANDSHAKE_TIMEOUT_S, open_as_client
+from marjoramtide.peers._in_flight_link import InFlightLink
 from marjoramtide.peers._lanes import CONTROL, IN_FLIGHT, ROUTINE, URGENT
 from marjoramtide.peers._limits import (
     CLOSE_TIMEOUT_S,
@@ -25,8 +26,7 @@
     PING_TIMEOUT_S,
 )
 from marjoramtide.peers._link import Link
-from marjoramtide.peers._peer_sign import PeerProbeResult
-from marjoramtide.peers._run_link import InFlightLink
+from marjoramtide.peers._peer_probe_result import PeerProbeResult
 from marjoramtide.sockets import notice_silence
 
 CONNECT_TIMEOUT_S = 0.5
--- a/src/marjoramtide/peers/_run_listener.py
+++ b/src/marjoramtide/peers/_in_flight_listener.py
@@ -3,7 +3,7 @@
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
 
-from marjoramtide.peers._told_run import ReportedRequest
+from marjoramtide.peers._reported_request import ReportedRequest
 
 
 class InFlightListener(ABC):
--- a/src/marjoramtide/peers/_run_session.py
+++ b/src/marjoramtide/peers/_in_flight_session.py
@@ -8,9 +8,9 @@
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.peers._codec import decode
+from marjoramtide.peers._in_flight_listener import InFlightListener
 from marjoramtide.peers._messages import InFlightMessage
-from marjoramtide.peers._run_listener import InFlightListener
-from marjoramtide.peers._told_run import ReportedRequest
+from marjoramtide.peers._reported_request import ReportedRequest
 
 log = structlog.get_logger()
 
--- a/src/marjoramtide/peers/_link.py
+++ b/src/marjoramtide/peers/_link.py
@@ -40,7 +40,7 @@
     ResponseChunk,
     ResponseMessage,
 )
-from marjoramtide.peers._pending import PendingRequest
+from marjoramtide.peers._pending_request import PendingRequest
 
 log = structlog.get_logger()
 
--- a/src/marjoramtide/peers/_server.py
+++ b/src/marjoramtide/peers/_server.py
@@ -11,6 +11,8 @@
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.exchange import RequestHandler
 from marjoramtide.peers._handshake import HANDSHAKE_TIMEOUT_S, open_as_server
+from marjoramtide.peers._in_flight_listener import InFlightListener
+from marjoramtide.peers._in_flight_session import InFlightSession
 from marjoramtide.peers._lanes import IN_FLIGHT
 from marjoramtide.peers._limits import (
     CLOSE_TIMEOUT_S,
@@ -18,8 +20,6 @@
     PING_INTERVAL_S,
     PING_TIMEOUT_S,
 )
-from marjoramtide.peers._run_listener import InFlightListener
-from marjoramtide.peers._run_session import InFlightSession
 from marjoramtide.peers._server_connection import PeerServerConnection
 from marjoramtide.peers._session import QuestionHandler, Session
 from marjoramtide.sockets import notice_silence
--- a/src/marjoramtide/policy/pace/__init__.py
+++ b/src/marjoramtide/policy/pace/__init__.py
@@ -7,7 +7,7 @@
 from marjoramtide.policy.pace._interference import Interference
 from marjoramtide.policy.pace._pace import Pace
 from marjoramtide.policy.pace._run_forecast import run_ms
-from marjoramtide.policy.pace._silence import stall_threshold_ms, stalled_ms
+from marjoramtide.policy.pace._stall import stall_threshold_ms, stalled_ms
 from marjoramtide.policy.pace._work_times import DEFAULT_WORK_MS, WorkTimes
 
 __all__ = [
--- a/src/marjoramtide/policy/pace/_interference.py
+++ b/src/marjoramtide/policy/pace/_interference.py
@@ -9,8 +9,8 @@
 from marjoramtide.exchange import LoadReport
 from marjoramtide.policy._ewma import Ewma
 from marjoramtide.policy.pace._change_grid import ChangeGrid, Window, fit_grid
+from marjoramtide.policy.pace._duration_history import DurationHistory
 from marjoramtide.policy.pace._pace import SLOW_FACTOR, Pace
-from marjoramtide.policy.pace._stretches import DurationHistory
 
 # Slowdowns that differ by less than this factor are the same state.
 SAME_STATE_FACTOR = 1.15
--- a/src/marjoramtide/policy/pace/_pace.py
+++ b/src/marjoramtide/policy/pace/_pace.py
@@ -4,8 +4,8 @@
 
 import attrs
 
+from marjoramtide.policy.pace._duration_history import DurationHistory
 from marjoramtide.policy.pace._run_forecast import run_ms
-from marjoramtide.policy.pace._stretches import DurationHistory
 
 # A server counts as slow at this multiple of its best slowdown: above what many busy slots cause
 # among each other, below what a neighbour that takes the processor causes.
--- a/src/marjoramtide/policy/placing/__init__.py
+++ b/src/marjoramtide/policy/placing/__init__.py
@@ -5,7 +5,7 @@
 retry.
 """
 
-from marjoramtide.policy.placing._bulletin_readers import bulletin_recipients
+from marjoramtide.policy.placing._bulletin_recipients import bulletin_recipients
 from marjoramtide.policy.placing._bulletin_routes import BulletinRoutes
 from marjoramtide.policy.placing._factories import SELECTORS, make_selector
 from marjoramtide.policy.placing._selector import Selector
--- a/src/marjoramtide/policy/placing/_bulletin_routes.py
+++ b/src/marjoramtide/policy/placing/_bulletin_routes.py
@@ -7,7 +7,7 @@
 import attrs
 
 from marjoramtide.membership import Member
-from marjoramtide.policy.placing._bulletin_readers import bulletin_recipients
+from marjoramtide.policy.placing._bulletin_recipients import bulletin_recipients
 
 # Up to this many recipients in another data centre are sent to directly: losing a bulletin with a
 # failed relay costs more than these datagrams.
--- a/src/marjoramtide/quarantine/_quarantine_service.py
+++ b/src/marjoramtide/quarantine/_quarantine_service.py
@@ -21,8 +21,8 @@
     Suspect,
     SuspectReport,
 )
-from marjoramtide.quarantine._news_codec import unpack_suspect_reports
-from marjoramtide.quarantine._news_spreader import Publish, ReportDisseminator
+from marjoramtide.quarantine._report_codec import unpack_suspect_reports
+from marjoramtide.quarantine._report_disseminator import Publish, ReportDisseminator
 from marjoramtide.serving import InFlightRequest, RequestGuard
 from marjoramtide.settings import RouteSettings
 from marjoramtide.telemetry import Metrics
--- a/src/marjoramtide/quarantine/_news_spreader.py
+++ b/src/marjoramtide/quarantine/_report_disseminator.py
@@ -9,8 +9,8 @@
 from marjoramtide.clock import Clock
 from marjoramtide.membership import Directory, Member
 from marjoramtide.policy import Quarantine, Suspect, SuspectReport
-from marjoramtide.quarantine._gathered_news import ReportBatch
-from marjoramtide.quarantine._news_codec import pack_state_request, pack_suspect_reports
+from marjoramtide.quarantine._report_batch import ReportBatch
+from marjoramtide.quarantine._report_codec import pack_state_request, pack_suspect_reports
 
 # The interval of rounds in which reports are repeated, while there are any.
 ROUND_S = 0.25
--- a/src/marjoramtide/quota/_owned_pools.py
+++ b/src/marjoramtide/quota/_owned_pools.py
@@ -9,8 +9,8 @@
 from marjoramtide.membership import Directory
 from marjoramtide.policy.quota import QuotaPool, make_quota_pool
 from marjoramtide.quota._messages import TokenGrant, TokenRequest
-from marjoramtide.quota._owners import QuotaOwners
-from marjoramtide.quota._questions import TokenRequester
+from marjoramtide.quota._quota_owners import QuotaOwners
+from marjoramtide.quota._token_requester import TokenRequester
 from marjoramtide.settings import SettingsView
 from marjoramtide.telemetry import Metrics
 
--- a/src/marjoramtide/quota/_quota_service.py
+++ b/src/marjoramtide/quota/_quota_service.py
@@ -17,9 +17,9 @@
 from marjoramtide.policy.quota import QuotaAccount
 from marjoramtide.quota._messages import TokenGrant, TokenRequest, unpack_quota_message
 from marjoramtide.quota._owned_pools import OwnedPools
-from marjoramtide.quota._owners import QuotaOwners
-from marjoramtide.quota._questions import Publish, TokenRequester
-from marjoramtide.quota._silent_owners import UnresponsiveOwners
+from marjoramtide.quota._quota_owners import QuotaOwners
+from marjoramtide.quota._token_requester import Publish, TokenRequester
+from marjoramtide.quota._unresponsive_owners import UnresponsiveOwners
 from marjoramtide.settings import SettingsView, WorkspaceSettings
 from marjoramtide.telemetry import Metrics
 
