--- a/src/marjoramtide/settings/_schema.py
+++ b/src/marjoramtide/settings/_schema.py
@@ -1,4 +1,4 @@
-"""The schema of the settings tree: validation and the reference page are derived from it."""
+"""The schema of the settings tree, used for validation and to generate the reference page."""
 
 from typing import Any
 
@@ -23,11 +23,11 @@
 REQUESTS = "Requests"
 CALLERS = "Callers and workspaces"
 CAPACITY = "Capacity of one backend server"
-COLD_START = "Cold backend servers"
-SELECTION = "Choice of a backend server"
-RETRIES = "Second tries"
-QUARANTINE = "Requests that end backend servers"
-HEALTH_CHECKS = "Measuring a backend server"
+COLD_START = "Cold start of backend servers"
+SELECTION = "Selection of a backend server"
+RETRIES = "Retries and hedged requests"
+QUARANTINE = "Quarantine of requests that crash backend servers"
+HEALTH_CHECKS = "Health checks"
 CLAIMS = "Claims for requests with an Idempotency-Key"
 TELEMETRY = "Telemetry"
 NODES = "Nodes"
@@ -37,97 +37,97 @@
         name="hosts",
         group=REQUESTS,
         levels=frozenset({Level.SERVICE}),
-        meaning="Host names by which callers address the service; its own name by default.",
+        meaning="Host names by which callers address the service; defaults to the service's name.",
     ),
     ChoiceKey(
         name="unmatched",
         group=REQUESTS,
         levels=frozenset({Level.SERVICE}),
         choices=("serve", "refuse"),
-        meaning="What becomes of a request whose path no route covers: served by the settings of "
-        "the service, or refused as not found.",
+        meaning="Handling of requests whose path matches no route: `serve` applies the settings "
+        "of the service, `refuse` rejects them as not found.",
     ),
     SplitKey(
         name="split",
         group=REQUESTS,
         levels=frozenset({Level.SERVICE, Level.ROUTE}),
-        meaning="Services whose backend servers run the requests, with the weight of each; empty "
-        "where the service's own backend servers do.",
+        meaning="Services whose backend servers handle the requests, with their weights; if "
+        "empty, the service's own backend servers handle them.",
     ),
     NumberKey(
         name="rank",
         group=REQUESTS,
         minimum=0,
         maximum=1000,
-        meaning="The order of requests inside a class: lower ranks go first.",
+        meaning="Order of requests within a priority class; lower ranks go first.",
     ),
     NumberKey(
         name="goal_ms",
         group=REQUESTS,
         minimum=0,
         maximum=600_000,
-        meaning="Milliseconds within which an answer is worth most to its caller; 0 where that is "
-        "not known.",
+        meaning="Target latency in milliseconds: a later response is worth less to the caller; 0 "
+        "means unknown.",
     ),
     NumberKey(
         name="timeout_ms",
         group=REQUESTS,
         minimum=1,
         maximum=600_000,
-        meaning="Milliseconds until the deadline of a request whose caller names none.",
+        meaning="Timeout in milliseconds of requests for which the caller sets no deadline.",
     ),
     NumberKey(
         name="max_timeout_ms",
         group=REQUESTS,
         minimum=1,
         maximum=600_000,
-        meaning="The longest deadline a caller may ask for, in milliseconds.",
+        meaning="Longest timeout that a caller may ask for, in milliseconds.",
     ),
     NumberKey(
         name="max_depth",
         group=REQUESTS,
         minimum=1,
         maximum=100,
-        meaning="How many calls deep a request may be before it is refused.",
+        meaning="Maximum depth of nested calls; deeper requests are rejected.",
     ),
     ChoiceKey(
         name="idempotent",
         group=REQUESTS,
         choices=("method", "yes", "no"),
-        meaning="Whether requests may run more than once: by their HTTP method (RFC 9110), "
-        "always, or never.",
+        meaning="Whether a request may be run more than once: according to its HTTP method (RFC "
+        "9110), always, or never.",
     ),
     ChoiceKey(
         name="priority",
         group=REQUESTS,
         choices=("caller", "urgent", "routine"),
-        meaning="The class of a request: what its Priority header says (RFC 9218), or fixed.",
+        meaning="Priority class of a request: taken from its Priority header (RFC 9218), or fixed.",
     ),
     NumberKey(
         name="max_body_bytes",
         group=REQUESTS,
         minimum=0,
         maximum=1 << 30,
-        meaning="The largest request body, in bytes.",
+        meaning="Maximum size of a request body, in bytes.",
     ),
     ChoiceKey(
         name="authentication",
         group=CALLERS,
         choices=("none", "key"),
-        meaning="Whether a request needs the key of a workspace.",
+        meaning="Whether a request needs an API key of a workspace.",
     ),
     DigestsKey(
         name="key_digests",
         group=CALLERS,
         levels=frozenset({Level.WORKSPACE}),
-        meaning="Digests of the keys that open the workspace; a digest belongs to one workspace.",
+        meaning="Digests of the workspace's API keys; a digest belongs to one workspace only.",
     ),
     ChoiceKey(
         name="workspace_priority",
         group=CALLERS,
         levels=WORKSPACE_LEVELS,
         choices=("route", "urgent", "routine"),
-        meaning="The class of the workspace's requests: as the route has it, or fixed.",
+        meaning="Priority class of the workspace's requests: determined by the route, or fixed.",
     ),
     NumberKey(
         name="workspace_rank",
@@ -135,7 +135,7 @@
         levels=WORKSPACE_LEVELS,
         minimum=-1,
         maximum=1000,
-        meaning="The rank of the workspace's requests in place of the route's; -1 leaves it to "
+        meaning="Rank of the workspace's requests; overrides the route's. -1 keeps the rank of "
         "the route.",
     ),
     NumberKey(
@@ -145,8 +145,8 @@
         minimum=0,
         maximum=10_000_000,
         allows_fraction=True,
-        meaning="Requests a second that all nodes together admit for the workspace; 0 stands for "
-        "no limit.",
+        meaning="Rate limit of the workspace across all nodes, in requests per second; 0 means no "
+        "limit.",
     ),
     NumberKey(
         name="request_burst",
@@ -155,7 +155,7 @@
         minimum=0,
         maximum=10_000_000,
         allows_fraction=True,
-        meaning="Requests that are admitted at once besides.",
+        meaning="Requests that are admitted at once in addition to `requests_per_s`.",
     ),
     NumberKey(
         name="revocation_s",
@@ -164,8 +164,9 @@
         minimum=0,
         maximum=3600,
         allows_fraction=True,
-        meaning="Seconds after which a key that was taken away opens nothing at any node, also at "
-        "one that can't hear of it, which refuses all keys then; 0 leaves it to `freshness_s`.",
+        meaning="Seconds after which every node rejects a revoked API key; a node that hasn't "
+        "been able to confirm its keys for that long rejects all of them. 0 leaves only the limit "
+        "of `freshness_s`.",
     ),
     NumberKey(
         name="slots",
@@ -173,7 +174,7 @@
         levels=LEVELS_ABOVE_ROUTE,
         minimum=1,
         maximum=10_000,
-        meaning="Requests that a backend server runs at the same time.",
+        meaning="Maximum number of requests that a backend server runs concurrently.",
     ),
     NumberKey(
         name="urgent_slots",
@@ -181,7 +182,7 @@
         levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=9_999,
-        meaning="Slots that only urgent requests may take; fewer than `slots`.",
+        meaning="Slots reserved for urgent requests; fewer than `slots`.",
     ),
     NumberKey(
         name="connections",
@@ -189,7 +190,7 @@
         levels=LEVELS_ABOVE_ROUTE,
         minimum=1,
         maximum=100_000,
-        meaning="Connections that a backend server takes; not fewer than `slots`.",
+        meaning="Maximum number of connections to a backend server; at least `slots`.",
     ),
     NumberKey(
         name="queue_limit",
@@ -197,15 +198,16 @@
         levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=100_000,
-        meaning="Requests that may wait beside a backend server.",
+        meaning="Maximum number of requests of each priority class that are queued for a backend "
+        "server.",
     ),
     ChoiceKey(
         name="limiter",
         group=CAPACITY,
         levels=LEVELS_ABOVE_ROUTE,
         choices=("adaptive", "fixed", "knee"),
-        meaning="Whether the number of slots in use follows the times observed, is fixed, or stays "
-        "below where the backend server becomes slow because it is nearly full.",
+        meaning="How the concurrency limit is determined: adapted to the observed times, fixed, "
+        "or kept below the concurrency at which a nearly full backend server slows down.",
     ),
     NumberKey(
         name="min_limit",
@@ -213,8 +215,8 @@
         levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=10_000,
-        meaning="What the adaptive limit never falls below, not more than `slots`; 0 stands for "
-        "half of `slots`.",
+        meaning="Lower bound of the adaptive concurrency limit, at most `slots`; 0 means half of "
+        "`slots`.",
     ),
     NumberKey(
         name="cold_start_s",
@@ -223,7 +225,7 @@
         minimum=0,
         maximum=3600,
         allows_fraction=True,
-        meaning="Seconds for which a backend server is cold after its start.",
+        meaning="Seconds after its start for which a backend server is cold.",
     ),
     NumberKey(
         name="cold_per_s",
@@ -232,8 +234,8 @@
         minimum=0,
         maximum=100_000,
         allows_fraction=True,
-        meaning="Requests a second that a cold backend server is given; 0 where it takes as many "
-        "as it has slots for.",
+        meaning="Requests per second that a cold backend server can take; 0 means unknown: only "
+        "its slots limit them.",
     ),
     NumberKey(
         name="cold_excess",
@@ -242,7 +244,8 @@
         minimum=1,
         maximum=100,
         allows_fraction=True,
-        meaning="How many times `cold_per_s` may reach a cold backend server in any second.",
+        meaning="Maximum number of requests that reach a cold backend server in any second, as a "
+        "multiple of `cold_per_s`.",
     ),
     NumberKey(
         name="cold_slack",
@@ -251,7 +254,8 @@
         minimum=0,
         maximum=100_000,
         allows_fraction=True,
-        meaning="Requests that may reach a cold backend server in any second besides.",
+        meaning="Requests that may reach a cold backend server in any second in addition to "
+        "`cold_per_s` times `cold_excess`.",
     ),
     ChoiceKey(
         name="selector",
@@ -266,7 +270,7 @@
             "two-choices",
             "polled-reports",
         ),
-        meaning="The policy that chooses a backend server.",
+        meaning="Policy that selects a backend server.",
     ),
     NumberKey(
         name="choices",
@@ -274,7 +278,7 @@
         levels=LEVELS_ABOVE_ROUTE,
         minimum=1,
         maximum=20,
-        meaning="Backend servers that are compared for each request.",
+        meaning="Number of backend servers that are compared for each request.",
     ),
     NumberKey(
         name="ejection_cap",
@@ -283,8 +287,8 @@
         minimum=0,
         maximum=1,
         allows_fraction=True,
-        meaning="The largest share of a service's backend servers that may be set aside as failing "
-        "or slow.",
+        meaning="Maximum share of a service's backend servers that may be ejected as failing or "
+        "slow.",
     ),
     NumberKey(
         name="slow_start_s",
@@ -293,7 +297,8 @@
         minimum=0,
         maximum=3600,
         allows_fraction=True,
-        meaning="Seconds over which a started backend server is given its full share.",
+        meaning="Seconds over which a started backend server is ramped up to its full share of "
+        "requests.",
     ),
     NumberKey(
         name="spill_over",
@@ -302,22 +307,23 @@
         minimum=0,
         maximum=1000,
         allows_fraction=True,
-        meaning="How much slower, in network hops, another data centre may seem.",
+        meaning="Penalty on the predicted time of backend servers in another data centre, in "
+        "network hops.",
     ),
     NumberKey(
         name="max_attempts",
         group=RETRIES,
         minimum=1,
         maximum=100,
-        meaning="Backend servers that are sent one request at most.",
+        meaning="Maximum number of backend servers that may receive one request.",
     ),
     NumberKey(
         name="max_asks",
         group=RETRIES,
         minimum=0,
         maximum=100,
-        meaning="Nodes that are asked at most for one request, those included that refused before "
-        "their backend server saw it; 0 stands for `max_attempts`.",
+        meaning="Maximum number of nodes to which one request is sent, including those that "
+        "rejected it before their backend server received it; 0 means `max_attempts`.",
     ),
     NumberKey(
         name="second_try_ratio",
@@ -325,8 +331,9 @@
         minimum=0,
         maximum=1,
         allows_fraction=True,
-        meaning="What all nodes together may send to a service beyond the first try of each "
-        "request, as a share of its requests; 0 where the budgets below alone count.",
+        meaning="Maximum number of attempts beyond the first of each request that all nodes "
+        "together send to a service, as a share of its requests; 0 means that only the budgets "
+        "below apply.",
     ),
     NumberKey(
         name="second_tries_per_s",
@@ -334,7 +341,8 @@
         minimum=0,
         maximum=100_000,
         allows_fraction=True,
-        meaning="Second tries a second that all nodes together may send to a service besides.",
+        meaning="Attempts per second beyond the first of each request that all nodes together may "
+        "send to a service in addition to `second_try_ratio`.",
     ),
     NumberKey(
         name="retry_budget",
@@ -342,7 +350,7 @@
         minimum=0,
         maximum=1,
         allows_fraction=True,
-        meaning="Retries, as a share of requests.",
+        meaning="Maximum number of retries, as a share of requests.",
     ),
     NumberKey(
         name="rejection_budget",
@@ -350,7 +358,8 @@
         minimum=0,
         maximum=1,
         allows_fraction=True,
-        meaning="Second tries after a backend server refused a request, as a share of requests.",
+        meaning="Maximum number of retries after rejections that came before a backend server "
+        "received the request, as a share of requests.",
     ),
     NumberKey(
         name="hedge_budget",
@@ -358,7 +367,8 @@
         minimum=0,
         maximum=1,
         allows_fraction=True,
-        meaning="Hedged requests, as a share of requests; idempotent ones only.",
+        meaning="Maximum number of hedged requests, as a share of requests; only idempotent "
+        "requests are hedged.",
     ),
     NumberKey(
         name="hedge_quantile",
@@ -366,7 +376,7 @@
         minimum=0.5,
         maximum=0.9999,
         allows_fraction=True,
-        meaning="The quantile of observed times after which a request is hedged.",
+        meaning="Quantile of the observed times after which a request is hedged.",
     ),
     NumberKey(
         name="quarantine_after",
@@ -374,8 +384,8 @@
         levels=LEVELS_ABOVE_ROUTE,
         minimum=0,
         maximum=16,
-        meaning="Backend servers that have ended while they ran one request, and none of which has "
-        "completed it, until it is held back; 0 stands for never.",
+        meaning="Number of backend servers that must have crashed while running a request, with "
+        "none having completed it, before the request is quarantined; 0 means never.",
     ),
     NumberKey(
         name="quarantine_s",
@@ -384,15 +394,15 @@
         minimum=1,
         maximum=3600,
         allows_fraction=True,
-        meaning="Seconds for which such a request is held back at first; each further end makes it "
-        "four times longer, up to an hour.",
+        meaning="Seconds for which such a request is quarantined at first; each further crash "
+        "makes it four times longer, up to an hour.",
     ),
     PathKey(
         name="health_path",
         group=HEALTH_CHECKS,
         levels=LEVELS_ABOVE_ROUTE,
         optional=True,
-        meaning="The backend server's health endpoint.",
+        meaning="Path of the backend server's health endpoint.",
     ),
     NumberKey(
         name="measuring_per_s",
@@ -401,7 +411,7 @@
         minimum=0,
         maximum=100,
         allows_fraction=True,
-        meaning="Measuring calls a second that each backend server receives at most.",
+        meaning="Maximum number of health checks per second that each backend server receives.",
     ),
     NumberKey(
         name="measuring_share",
@@ -410,8 +420,9 @@
         minimum=0,
         maximum=100,
         allows_fraction=True,
-        meaning="Measuring calls, as a share of the requests that a backend server can do; above 1 "
-        "where it answers them without a slot.",
+        meaning="Maximum number of health checks, as a share of the requests that a backend "
+        "server can handle; above 1 for servers that respond to health checks without occupying a "
+        "slot.",
     ),
     NumberKey(
         name="claim_retention_s",
@@ -425,8 +436,9 @@
         name="claims_when_store_down",
         group=CLAIMS,
         choices=("refuse", "run"),
-        meaning="What becomes of a request with an Idempotency-Key while the store is down: "
-        "refused as not run, or run without protection against a repetition.",
+        meaning="Handling of requests with an Idempotency-Key while the store is unavailable: "
+        "`refuse` rejects them as not run, `run` runs them without protection against repeated "
+        "execution.",
     ),
     NumberKey(
         name="trace_share",
@@ -434,7 +446,7 @@
         minimum=0,
         maximum=1,
         allows_fraction=True,
-        meaning="The share of requests that are traced.",
+        meaning="Share of requests that are traced.",
     ),
     NumberKey(
         name="max_head_bytes",
@@ -442,7 +454,7 @@
         levels=NODE_LEVELS,
         minimum=1024,
         maximum=1 << 20,
-        meaning="The largest request head, in bytes.",
+        meaning="Maximum size of a request head, in bytes.",
     ),
     NumberKey(
         name="max_line_bytes",
@@ -450,7 +462,7 @@
         levels=NODE_LEVELS,
         minimum=1024,
         maximum=1 << 20,
-        meaning="The longest request line or header field, in bytes.",
+        meaning="Maximum length of a request line or header field, in bytes.",
     ),
     NumberKey(
         name="head_timeout_ms",
@@ -458,7 +470,8 @@
         levels=NODE_LEVELS,
         minimum=100,
         maximum=600_000,
-        meaning="Milliseconds in which a caller must send a request's head once it has begun.",
+        meaning="Milliseconds within which a caller must send a request head, from its first byte "
+        "on.",
     ),
     NumberKey(
         name="idle_timeout_ms",
@@ -466,7 +479,7 @@
         levels=NODE_LEVELS,
         minimum=100,
         maximum=3_600_000,
-        meaning="Milliseconds for which a caller's connection may stay without a request.",
+        meaning="Milliseconds after which an idle connection of a caller is closed.",
     ),
     NumberKey(
         name="freshness_s",
@@ -475,8 +488,8 @@
         minimum=2,
         maximum=60,
         allows_fraction=True,
-        meaning="Seconds after which a node that hears neither the store nor any other node stops "
-        "taking callers' requests.",
+        meaning="Seconds without contact with the store or any other node after which a node "
+        "stops accepting callers' requests.",
     ),
     NumberKey(
         name="watchers",
@@ -484,7 +497,7 @@
         levels=NODE_LEVELS,
         minimum=1,
         maximum=9,
-        meaning="Nodes of a data centre that watch the settings in the store.",
+        meaning="Number of nodes in a data centre that watch the settings in the store.",
     ),
 )
 
--- a/src/marjoramtide/settings/reference.py
+++ b/src/marjoramtide/settings/reference.py
@@ -16,9 +16,9 @@
 
 Generated from the schema by `python -m marjoramtide.settings.reference`; don't edit it by hand.
 
-A key may stand in any branch of the levels named. Durations are in the unit that the name ends
-with; shares and budgets are fractions of 1. How branches inherit is told in
-[settings.md](settings.md).
+A key can be set in a branch of any level listed for it; `all` stands for every level but
+workspaces. The suffix of a key gives its unit; shares and budgets are fractions of 1.
+[settings.md](settings.md) describes how branches inherit.
 """
 
 
