--- a/features/claims/claims.feature
+++ b/features/claims/claims.feature
@@ -61,8 +61,8 @@
       | after  |
 
   Scenario: A stale read while a key is being freed
-    The claim of a refused attempt has taken effect. The node that frees the key gets a conflict,
-    and the read after it returns no object.
+    The claim of a refused attempt has taken effect. The node that frees the key gets a conflict, but
+    the read after it returns no object.
     Given two nodes with claims
     When the store delays every write and node A claims "booking-1"
     And the next 1 reads of claims are stale
