--- a/features/claims/claims.feature
+++ b/features/claims/claims.feature
@@ -80,8 +80,8 @@
     Then node B's claim of "booking-1" is "held"
 
   Scenario: An attempt is cancelled while its claim is on the way
-    The caller disconnects during the write of the claim. Nothing waits for its response any more,
-    and the store executes the write once it is up again.
+    The caller disconnects during the write of the claim. Nothing waits for its response. The
+    store executes the write once it is up again.
     Given two nodes with claims
     When node A's claim of "booking-1" is cancelled while the store hangs
     And the store comes back and node A flushes its claims
@@ -150,8 +150,8 @@
     Then node B's claim of "booking-1" is "conflict"
 
   Scenario Outline: A node whose own clock is wrong
-    By node <wrong>'s clock, which is <seconds> s off, node A's claim would have expired long ago,
-    and the request would run a second time concurrently with the first.
+    By node <wrong>'s clock, which is <seconds> s off, node A's claim would have expired long ago, so
+    the request would run a second time concurrently with the first.
     Given two nodes with claims
     And node <wrong>'s clock is <seconds> s off
     And node A has claimed "booking-1"
@@ -194,8 +194,8 @@
     And node B's claim of "booking-1" is "held"
 
   Scenario: A copy of the claim arrives after its release
-    The first copy of the create is delayed and the second one succeeds; the request can't be sent
-    and its key is released. Then the first copy arrives.
+    The first copy of the create is delayed and the second one succeeds; the request can't be sent, so
+    its key is released. Then the first copy arrives.
     Given two nodes with claims
     When the store delays one write and node A claims "booking-1"
     And node A releases "booking-1"
@@ -216,8 +216,8 @@
     And the recorded answer is 201 with the body "booked"
 
   Scenario: A slow cleaner meets a key that is claimed anew
-    Two cleaners list the same expired claim. The first deletes it, a caller claims the key again,
-    and then the second deletes. An unconditional delete would free the key of a running request.
+    Two cleaners list the same expired claim. The first deletes it, a caller claims the key again.
+    After that, the second deletes. An unconditional delete would free the key of a running request.
     Given two nodes with claims
     And node A has claimed "booking-1"
     When 90000 s pass on every clock
--- a/src/marjoramtide/claims/_pending_writes.py
+++ b/src/marjoramtide/claims/_pending_writes.py
@@ -113,7 +113,7 @@
             except MarjoramtideError as error:
                 if error.code not in (ErrorCode.VERSION_CONFLICT, ErrorCode.STORE_AMBIGUOUS):
                     raise
-            if await self.is_stored(entry, deadline):
+            if await self.is_resolved(entry, deadline):
                 return True
             if self.clock.monotonic() >= deadline:
                 return False
@@ -126,7 +126,7 @@
         else:
             await self.store.create(entry.key, value, timeout=timeout)
 
-    async def is_stored(self, entry: PendingWrite, deadline: float) -> bool:
+    async def is_resolved(self, entry: PendingWrite, deadline: float) -> bool:
         """Read the claim; if another write is needed, set the entry's version for it."""
         remaining_s = max(0.001, deadline - self.clock.monotonic())
         try:
