--- a/bench/control_events.py
+++ b/bench/control_events.py
@@ -102,10 +102,10 @@
     for node in watch.running():
         node.running = node.data_centre != LOST
     watch.event("a data centre is lost", watch.agree)
-    network.blocked = lambda one, two: (one.data_centre in REGION) != (two.data_centre in REGION)
+    network.is_blocked = lambda one, two: (one.data_centre in REGION) != (two.data_centre in REGION)
     watch.event("regions are cut", lambda: _regions_know(watch))
     watch.run(CUT_S)
-    network.blocked = lambda one, two: False
+    network.is_blocked = lambda one, two: False
     watch.event(f"regions heal after {CUT_S:.0f} s", watch.agree)
 
 
--- a/bench/crashes/_play.py
+++ b/bench/crashes/_play.py
@@ -81,7 +81,7 @@
     if plan.kill_every_s:
         mesh.supervisors.append(asyncio.create_task(kill_nodes(mesh, plan)))
     elif plan.ends_nodes:
-        mesh.kill_nodes_that_serve(f"{DEADLY}-", plan.back_after_s, plan.dies_after_s)
+        mesh.kill_nodes_serving(f"{DEADLY}-", plan.back_after_s, plan.dies_after_s)
     else:
         mesh.supervise_servers(plan.back_after_s)
 
@@ -107,7 +107,7 @@
     deadly = "" if plan.ends_nodes or plan.kill_every_s else f"/{DEADLY}"
     plans = [attrs.evolve(each, deadly=deadly) for each in make_plan({SERVICE: plan.nodes})]
     async with Mesh(folder, plans) as mesh:
-        await mesh.ready()
+        await mesh.wait_until_ready()
         begin_ends(mesh, plan)
         began = time.time()
         entries = {SERVICE: [node.callers for node in mesh.nodes]}
--- a/bench/fleet/_fleet.py
+++ b/bench/fleet/_fleet.py
@@ -43,7 +43,7 @@
     def __init__(self, folder: Path, size: int) -> None:
         super().__init__(folder, make_plans(size))
         for number, node in enumerate(self.nodes):
-            node.extra["region"] = REGION_OF[node.plan.data_centre]
+            node.extra_settings["region"] = REGION_OF[node.plan.data_centre]
             node.backend = self.nodes[number - number % NODES_PER_SERVER].backend
 
     async def start(self) -> None:
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -69,7 +69,7 @@
 from marjoramtide.settings.sync._peer_settings import decode_answer
 from marjoramtide.store import Answer, Meaning, StoredObject
 from standins.mesh import Mesh, MeshNode, make_plan
-from standins.raw_caller import read_answer
+from standins.raw_caller import read_response
 
 KEY = "a key for fuzzing on loopback only"
 SLOW_S = 0.5
@@ -318,7 +318,7 @@
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
         writer.write(data)
-        answer = await read_answer(reader, SILENCE_S)
+        answer = await read_response(reader, SILENCE_S)
         return answer.data
     finally:
         writer.close()
@@ -333,7 +333,7 @@
     tally = Tally("http")
     with tempfile.TemporaryDirectory() as folder:
         async with Mesh(Path(folder), make_plan({"mapdesk": 1})) as mesh:
-            await mesh.ready()
+            await mesh.wait_until_ready()
             (node,) = mesh.nodes
             while time.monotonic() < end and (batch := list(itertools.islice(data, PARALLEL))):
                 answers = await asyncio.gather(*(send(node.callers, item) for item in batch))
--- a/bench/hop/__main__.py
+++ b/bench/hop/__main__.py
@@ -141,7 +141,7 @@
 async def run(options: argparse.Namespace) -> int:
     with tempfile.TemporaryDirectory() as folder:
         async with Mesh(Path(folder), make_plan(SERVICES, SLOTS, 0.0)) as mesh:
-            await mesh.ready()
+            await mesh.wait_until_ready()
             ways = make_ways(mesh)
             # The collector of this process would show in the latencies of the calls.
             gc.collect()
--- a/bench/hop/slopes.py
+++ b/bench/hop/slopes.py
@@ -115,7 +115,7 @@
 async def run() -> int:
     with tempfile.TemporaryDirectory() as folder:
         async with Mesh(Path(folder), make_plan(SERVICES, SLOTS, 0.0)) as mesh:
-            await mesh.ready()
+            await mesh.wait_until_ready()
             names = ("open", "node MB", "node CPU", "own MB", "own CPU", "node KB", "own KB")
             print(("{:<9}{:>6}" + "{:>9}" * 4 + "{:>10}" * 2).format("kind", *names))
             rows = await measure_callers(mesh) + await measure_peers(mesh)
--- a/bench/limits/_fleet.py
+++ b/bench/limits/_fleet.py
@@ -16,7 +16,7 @@
 from standins.platform import (
     PlatformBackendServer,
     PlatformStoreServer,
-    Registrant,
+    RegistrationClient,
     start_platform_backend,
 )
 
@@ -47,7 +47,7 @@
     name: str
     settings: dict[str, Any]
     server: PlatformBackendServer
-    registrant: Registrant
+    registrant: RegistrationClient
     process: ManagedProcess | None = None
 
 
@@ -85,7 +85,7 @@
             await each.server.close()
         assert self.session is not None
         await self.session.close()
-        self.store.state.forget_history()
+        self.store.state.compact_history()
         await self.runner.cleanup()
 
     bounds: tuple[str, ...] = ("GraceS=6", "RetryBudgetRatio=0.2", "RetryBudgetSlack=64")
@@ -127,7 +127,7 @@
             "base_tree": "deploy/base-tree.toml",
             "bounds": list(self.bounds),
         }
-        registrant = Registrant(addresses["registration"], SERVICE, server.name, SLOTS)
+        registrant = RegistrationClient(addresses["registration"], SERVICE, server.name, SLOTS)
         return LimitSeat(f"node-{number}", settings, server, registrant)
 
     async def start(self, seat: LimitSeat) -> None:
--- a/bench/limits/_play.py
+++ b/bench/limits/_play.py
@@ -69,7 +69,7 @@
 
     async def leave(self, at: float) -> None:
         await until(at)
-        self.fleet.seats[-1].server.leaves = True
+        self.fleet.seats[-1].server.is_leaving = True
 
     async def strike(self, event: NodeEvent, began: float) -> None:
         await until(began + event.at_s)
@@ -139,6 +139,6 @@
         lookups = Lookups(plan.nodes, fleet.send)
         play = LimitPlay(plan, fleet, lookups, random.Random(plan.seed))
         for each in fleet.seats:
-            each.server.health_states = plan.health_states
+            each.server.health_has_statements = plan.health_states
         await play.run()
         return play.tally()
--- a/bench/load/_audit.py
+++ b/bench/load/_audit.py
@@ -29,7 +29,7 @@
     wasted: int
 
     @property
-    def clean(self) -> bool:
+    def is_clean(self) -> bool:
         return not (self.duplicates or self.false_not_run or self.wrong or self.unrun)
 
 
--- a/bench/replay/_fleet.py
+++ b/bench/replay/_fleet.py
@@ -55,7 +55,7 @@
             for (service, number, _), pair in zip(site.places(), self.mesh.nodes, strict=True)
         ]
         for pair in self.mesh.nodes:
-            pair.extra = {"region": site.region, "log_level": "warning"}
+            pair.extra_settings = {"region": site.region, "log_level": "warning"}
 
     def entries(self) -> dict[str, Sequence[str]]:
         """Return where callers enter: any node, or for ``direct`` the service's own servers."""
--- a/bench/stops/_play.py
+++ b/bench/stops/_play.py
@@ -37,7 +37,7 @@
         for number in range(round(plan.per_s * seconds))
     ]
     async with Mesh(folder, make_plan({SERVICE: plan.nodes})) as mesh:
-        await mesh.ready()
+        await mesh.wait_until_ready()
         stopping = asyncio.create_task(stop_all(mesh, plan))
         entries = {SERVICE: [node.callers for node in mesh.nodes]}
         results = await play(calls, entries, seed=plan.seed)
--- a/bench/workspaces/_play.py
+++ b/bench/workspaces/_play.py
@@ -117,9 +117,9 @@
                 await asyncio.sleep(event.for_s)
                 store.mode = "up"
             case "turned away":
-                store.turned_away.add(address)
+                store.refused_addresses.add(address)
                 await asyncio.sleep(2 * event.for_s)
-                store.turned_away.discard(address)
+                store.refused_addresses.discard(address)
             case _ if event.node in self.down:
                 return
             case "freeze":
@@ -142,7 +142,7 @@
         seen = {
             headers.get("x-attempt-id", ""): headers
             for seat in self.fleet.seats
-            for headers in seat.server.seen
+            for headers in seat.server.executed_headers
         }
         large = [
             (each.sent, ran[each.attempt])
--- a/features/platform_harness.py
+++ b/features/platform_harness.py
@@ -17,7 +17,7 @@
 from standins.platform import (
     PlatformBackendServer,
     PlatformStoreServer,
-    Registrant,
+    RegistrationClient,
     start_platform_backend,
 )
 
@@ -41,7 +41,7 @@
     settings: NodeSettings
     node: Node
     server: PlatformBackendServer
-    registrant: Registrant
+    registrant: RegistrationClient
 
     @property
     def callers(self) -> str:
@@ -146,7 +146,7 @@
             bounds=self.bounds,
         )
         node = Node(settings, platform_interface(settings))
-        registrant = Registrant(registration, service, server.name, slots)
+        registrant = RegistrationClient(registration, service, server.name, slots)
         seat = Seat(settings, node, server, registrant)
         self.seats.append(seat)
         await node.start()
@@ -215,7 +215,7 @@
             await self.end_node(seat.node)
             await seat.server.close()
         self.store.mode = "reset"
-        self.store.state.forget_history()
+        self.store.state.compact_history()
         await self.runner.cleanup()
 
 
--- a/features/steps/adapter_steps.py
+++ b/features/steps/adapter_steps.py
@@ -25,7 +25,7 @@
     parse_tree,
 )
 from marjoramtide.telemetry import Tracer
-from standins.platform import fill
+from standins.platform import render_template
 
 TEMPLATE = Path(__file__).resolve().parents[2] / "deploy" / "node.toml.in"
 MACHINE = {
@@ -103,7 +103,7 @@
 
 @given("the settings of a machine, filled into the deployed template")
 def given_filled(context: Any) -> None:
-    filled = fill(TEMPLATE.read_text(encoding="utf-8"), MACHINE)
+    filled = render_template(TEMPLATE.read_text(encoding="utf-8"), MACHINE)
     context.settings = NodeSettings(**tomllib.loads(filled))
 
 
@@ -136,7 +136,7 @@
 
 @when('a backend server that runs "{running}" calls, and a caller asks')
 def when_calls(context: Any, running: str) -> None:
-    filled = fill(TEMPLATE.read_text(encoding="utf-8"), MACHINE)
+    filled = render_template(TEMPLATE.read_text(encoding="utf-8"), MACHINE)
     callers = platform_interface(NodeSettings(**tomllib.loads(filled))).callers
     clock = ManualClock()
     tracer = Tracer("node", clock, random.Random(1))
--- a/features/steps/bench_steps.py
+++ b/features/steps/bench_steps.py
@@ -132,7 +132,7 @@
 def step_audit(context: Any, count: int, kind: str) -> None:
     found = getattr(context.audit, kind)
     assert len(found) == count, context.audit
-    assert not context.audit.clean
+    assert not context.audit.is_clean
 
 
 @then("the audit counts {count:d} executions as wasted")
@@ -142,7 +142,7 @@
 
 @then("the audit finds no broken promise")
 def step_clean(context: Any) -> None:
-    assert context.audit.clean, context.audit
+    assert context.audit.is_clean, context.audit
 
 
 @then("every latency spans from the planned time to the thaw")
--- a/features/steps/claims_steps.py
+++ b/features/steps/claims_steps.py
@@ -133,8 +133,8 @@
 
 @when("the writes held back arrive")
 def when_late_arrive(context: Any) -> None:
-    assert context.store.server.late
-    context.store.server.apply_late_writes()
+    assert context.store.server.delayed_writes
+    context.store.server.apply_delayed_writes()
 
 
 @when("the writes held back arrive {order} node {name:w} settles its claims")
@@ -156,7 +156,7 @@
 
     async def cancel() -> None:
         attempt = asyncio.create_task(acquire(context, name, key))
-        await context.store.server.hung.wait()
+        await context.store.server.hang_started.wait()
         attempt.cancel()
         with suppress(asyncio.CancelledError):
             await attempt
--- a/features/steps/crashing_requests_steps.py
+++ b/features/steps/crashing_requests_steps.py
@@ -54,7 +54,7 @@
 @given("{label} end the nodes that serve them, which are back after {seconds:g} s")
 def given_mortal_nodes(context: Any, label: str, seconds: float) -> None:
     async def supervise() -> None:
-        context.mesh.kill_nodes_that_serve(f"{label}-", seconds)
+        context.mesh.kill_nodes_serving(f"{label}-", seconds)
         await asyncio.sleep(0)
 
     run(context, supervise())
--- a/features/steps/edge_observability_steps.py
+++ b/features/steps/edge_observability_steps.py
@@ -116,9 +116,9 @@
     """Start a node again with more settings."""
     node = find(context, name)
     context.runner.run(node.process.stop())
-    node.extra.update(extra)
+    node.extra_settings.update(extra)
     context.runner.run(node.start_node())
-    context.runner.run(context.mesh.ready())
+    context.runner.run(context.mesh.wait_until_ready())
 
 
 @given("{name} writes its spans to a file")
--- a/features/steps/edge_steps.py
+++ b/features/steps/edge_steps.py
@@ -10,7 +10,7 @@
 
 from features.edge.recorder import Recorder
 from features.edge.watching import PAUSE_S, REFUSALS, amid_traffic, find, get, lines, one_line
-from standins.raw_caller import read_answer, send_raw, spell
+from standins.raw_caller import read_response, send_raw, unescape
 
 use_step_matcher("parse")
 
@@ -20,7 +20,7 @@
     wrong = []
     for row in rows:
         seen = len(lines(node, *REFUSALS))
-        answer = await send_raw(node.callers, spell(row["raw"]))
+        answer = await send_raw(node.callers, unescape(row["raw"]))
         told = await one_line(node, seen, REFUSALS)
         codes = [line["code"] for line in told]
         good = answer.statuses == [int(row["status"])] and codes == [row["code"]]
@@ -60,7 +60,7 @@
     for row in rows:
         seen = len(lines(node, *REFUSALS))
         head = f"POST / HTTP/1.1\r\nHost: {row['service']}\r\n".encode()
-        pieces = (head + spell(row["head"]) + b"\r\n\r\n", spell(row["body"]))
+        pieces = (head + unescape(row["head"]) + b"\r\n\r\n", unescape(row["body"]))
         silence_s = 0.2 if row["then"] == "close" else 1.0
         answer = await send_raw(node.callers, *pieces, silence_s=silence_s)
         codes = [line["code"] for line in await one_line(node, seen, REFUSALS)]
@@ -117,7 +117,7 @@
     target = f"/?bytes={size}"
     writer.write(get(service, "Request-Timeout-Ms: 1000", target=target))
     await asyncio.sleep(seconds)
-    answer = await read_answer(reader, 1.0)
+    answer = await read_response(reader, 1.0)
     writer.close()
     return answer
 
@@ -166,8 +166,8 @@
     context.passed = []
     for row in context.table:
         recorder = context.recorders[row["service"]]
-        recorder.reply = spell(row["answer"])
-        head = get(row["service"])[:-2] + spell(row["headers"]) + b"\r\n\r\n"
+        recorder.reply = unescape(row["answer"])
+        head = get(row["service"])[:-2] + unescape(row["headers"]) + b"\r\n\r\n"
         answer = context.runner.run(send_raw(node.callers, head, silence_s=1.0))
         assert answer.statuses == [200], answer
         context.passed.append((recorder.wait(1)[-1], answer))
@@ -204,7 +204,7 @@
 def two_answers(context: Any, name: str) -> None:
     node = find(context, name)
     for row in context.table:
-        context.recorders[row["service"]].reply = spell(row["answer"])
+        context.recorders[row["service"]].reply = unescape(row["answer"])
         first = get(row["service"]).replace(b"GET", row["method"].encode(), 1)
         second = get("nobody", "Connection: close")
         answer = context.runner.run(send_raw(node.callers, first + second, silence_s=1.5))
@@ -220,11 +220,11 @@
     reader, writer = await asyncio.open_connection(host, int(port))
     head = f"POST / HTTP/1.1\r\nHost: mapdesk\r\nExpect: 100-continue\r\nContent-Length: {size}"
     writer.write(head.encode() + b"\r\n\r\n")
-    before = await read_answer(reader, 0.3)
+    before = await read_response(reader, 0.3)
     invited = before.data == b"HTTP/1.1 100 Continue\r\n\r\n"
     if invited:
         writer.write(b"a" * size)
-    after = await read_answer(reader, 0.5)
+    after = await read_response(reader, 0.5)
     writer.close()
     return invited, before.statuses + after.statuses
 
--- a/features/steps/gossip_datagrams_steps.py
+++ b/features/steps/gossip_datagrams_steps.py
@@ -22,12 +22,12 @@
 def blocked_ping(context: Any, sender: int, receiver: int) -> bytes:
     """Return a ping that was sent but blocked by the network."""
     network = context.network
-    previous, network.blocked = network.blocked, lambda source, target: True
+    previous, network.is_blocked = network.is_blocked, lambda source, target: True
     node = node_of(context, sender)
     target = node.core.view.entries[node_of(context, receiver).core.key]
     node.core.detector.ping(target, node.core.detector.next_number())
     network.flush(node)
-    network.blocked = previous
+    network.is_blocked = previous
     return network.sent[-1][2]
 
 
@@ -104,11 +104,11 @@
 )
 def send_recorded(context: Any, number: int, seconds: int) -> None:
     network, sender = context.network, node_of(context, number)
-    previous, network.blocked = network.blocked, lambda source, target: True
+    previous, network.is_blocked = network.is_blocked, lambda source, target: True
     sender.core.ping_address("10.0.0.99:7100")
     network.flush(sender)
     data = network.sent[-1][2]
-    network.blocked = previous
+    network.is_blocked = previous
     network.run(seconds)
     context.newcomer = network.start_node("newcomer", address="10.0.0.99:7100")
     network.inject(data, sender.address, context.newcomer)
--- a/features/steps/ingress_callers_steps.py
+++ b/features/steps/ingress_callers_steps.py
@@ -15,7 +15,7 @@
 from marjoramtide.ingress import Ingress
 from marjoramtide.settings import DEFAULTS, RouteSettings, Workspaces
 from marjoramtide.telemetry import Metrics, Tracer
-from standins.raw_caller import STATUS_LINE, RawAnswer, send_raw
+from standins.raw_caller import STATUS_LINE, RawResponse, send_raw
 
 use_step_matcher("parse")
 
@@ -166,7 +166,7 @@
 
 @when("a lookup is in progress there, and the node stops")
 def when_stops(context: Any) -> None:
-    async def work() -> RawAnswer:
+    async def work() -> RawResponse:
         asking = asyncio.create_task(send_raw(f"127.0.0.1:{context.port}", HEAD % 1))
         while not context.ingress.in_progress:
             await asyncio.sleep(0.01)
--- a/features/steps/membership_cut_steps.py
+++ b/features/steps/membership_cut_steps.py
@@ -16,7 +16,7 @@
 @when("membership node {number:d} loses nine in ten of the datagrams sent to it")
 def lose_incoming(context: Any, number: int) -> None:
     target, rng = node_of(context, number), random.Random(number)
-    context.network.blocked = lambda sender, receiver: receiver is target and rng.random() < 0.9
+    context.network.is_blocked = lambda sender, receiver: receiver is target and rng.random() < 0.9
 
 
 @when('the data centre "{data_centre}" is lost')
@@ -28,7 +28,7 @@
 @when('the region of "{names}" is partitioned from the rest')
 def partition_region(context: Any, names: str) -> None:
     context.region = set(names.split(", "))
-    context.network.blocked = lambda sender, receiver: (
+    context.network.is_blocked = lambda sender, receiver: (
         (sender.data_centre in context.region) != (receiver.data_centre in context.region)
     )
 
@@ -36,12 +36,12 @@
 @when("membership node {number:d} is partitioned from the rest")
 def partition_node(context: Any, number: int) -> None:
     node = node_of(context, number)
-    context.network.blocked = lambda sender, receiver: node in (sender, receiver)
+    context.network.is_blocked = lambda sender, receiver: node in (sender, receiver)
 
 
 @when("the partition heals")
 def heal(context: Any) -> None:
-    context.network.blocked = lambda sender, receiver: False
+    context.network.is_blocked = lambda sender, receiver: False
     mark_changes(context)
 
 
@@ -56,7 +56,7 @@
 def freeze_with_full_socket(context: Any, number: int) -> None:
     frozen = node_of(context, number)
     frozen.frozen = True
-    context.network.blocked = lambda sender, receiver: receiver is frozen and frozen.frozen
+    context.network.is_blocked = lambda sender, receiver: receiver is frozen and frozen.frozen
 
 
 @when(
@@ -83,7 +83,7 @@
 @when("the path between membership nodes {one:d} and {other:d} breaks")
 def break_path(context: Any, one: int, other: int) -> None:
     ends = {f"node-{one}", f"node-{other}"}
-    context.network.blocked = lambda sender, receiver: {sender.name, receiver.name} == ends
+    context.network.is_blocked = lambda sender, receiver: {sender.name, receiver.name} == ends
 
 
 @when("membership node {number:d} resumes")
--- a/features/steps/mesh_steps.py
+++ b/features/steps/mesh_steps.py
@@ -43,7 +43,7 @@
     context.results = []
     context.sent = 0
     run(context, context.mesh.start())
-    run(context, context.mesh.ready())
+    run(context, context.mesh.wait_until_ready())
 
 
 @given("a mesh of {count:d} {service} nodes")
@@ -184,7 +184,7 @@
 def every_promise(context: Any) -> None:
     """No wrong answer, no second run, no false "not run", no answer without a run."""
     found = audited(context)
-    assert found.clean, f"{attrs.asdict(found)}\n{told(context)}"
+    assert found.is_clean, f"{attrs.asdict(found)}\n{told(context)}"
 
 
 def of_label(context: Any, label: str) -> list[Any]:
--- a/features/steps/platform_cold_steps.py
+++ b/features/steps/platform_cold_steps.py
@@ -34,7 +34,7 @@
     """Have a server tell that it is cold, in the way that the scenario names."""
     loop = asyncio.get_running_loop()
     each.server.cold_until = loop.time() + COLD_S
-    each.server.tells_cold = context.how == "by their health"
+    each.server.reports_cold_start = context.how == "by their health"
     if context.how == "by their heartbeats alone":
         each.registrant.cold_left_ms = round(COLD_S * 1000)
         await each.registrant.heartbeat(each.server.instance)
@@ -104,7 +104,7 @@
 @then("no server was sent more than {most:d} requests in a second while it was cold")
 def then_within(context: Any, most: int) -> None:
     for each in context.fleet.seats:
-        times = each.server.arrivals
+        times = each.server.cold_arrivals
         busiest = max(sum(0 <= at - begin < 1 for at in times) for begin in times)
         assert busiest <= most, busiest
 
--- a/features/steps/platform_crashes_steps.py
+++ b/features/steps/platform_crashes_steps.py
@@ -27,7 +27,7 @@
 
     async def revive(each: Seat) -> None:
         await asyncio.sleep(seconds)
-        await each.server.come_back(f"i-{len(context.ends) + 1}-{each.settings.name}")
+        await each.server.restart(f"i-{len(context.ends) + 1}-{each.settings.name}")
         await each.registrant.heartbeat(each.server.instance, sequence=1)
 
     def crash(each: Seat) -> None:
--- a/features/steps/platform_evacuation_steps.py
+++ b/features/steps/platform_evacuation_steps.py
@@ -172,7 +172,7 @@
 def ran_at(context: Any, name: str) -> int:
     """Return how many requests the servers of a data centre have run."""
     seats = [each for each in context.fleet.seats if each.settings.data_centre == name]
-    return sum(len(each.server.seen) for each in seats)
+    return sum(len(each.server.executed_headers) for each in seats)
 
 
 async def ask_all(context: Any, after_s: float, count: int) -> list[CallResult]:
@@ -261,7 +261,11 @@
 
     results = run(context, collect())
     assert {result.status for result in results} == {status}, results
-    ran = [headers["x-attempt-id"] for each in context.fleet.seats for headers in each.server.seen]
+    ran = [
+        headers["x-attempt-id"]
+        for each in context.fleet.seats
+        for headers in each.server.executed_headers
+    ]
     assert sorted(ran) == sorted(result.attempt for result in results), ran
 
 
--- a/features/steps/platform_life_steps.py
+++ b/features/steps/platform_life_steps.py
@@ -35,7 +35,7 @@
         context.stopping = asyncio.create_task(seat(context, number).node.stop())
         await asyncio.sleep(0.05)
 
-    context.before = [len(each.server.seen) for each in context.fleet.seats]
+    context.before = [len(each.server.executed_headers) for each in context.fleet.seats]
     run(context, stop())
 
 
@@ -69,12 +69,12 @@
         if await stops.since(context.told_at + seconds - STEPS_S):
             # The node's own time for this has just passed, unseen; let it act.
             await asyncio.sleep(STEPS_S)
-        before = len(seat(context, number).server.seen)
+        before = len(seat(context, number).server.executed_headers)
         while loop.time() < context.told_at + LINGER_S:
             began = loop.time()
             result = await context.fleet.call(seat(context, 1))
             assert result.status == 200 or await stops.since(began), result
-        assert len(seat(context, number).server.seen) == before
+        assert len(seat(context, number).server.executed_headers) == before
 
     run(context, ask())
 
--- a/features/steps/platform_named_limits_steps.py
+++ b/features/steps/platform_named_limits_steps.py
@@ -50,13 +50,13 @@
 @given("their health says what their answers do")
 def given_stating(context: Any) -> None:
     for each in context.fleet.seats:
-        each.server.health_states = True
+        each.server.health_has_statements = True
 
 
 @given("their health says nothing")
 def given_silent(context: Any) -> None:
     for each in context.fleet.seats:
-        each.server.health_states = False
+        each.server.health_has_statements = False
 
 
 @when("{per_s:d} lookups a second come through all nodes")
@@ -102,7 +102,7 @@
         first = context.fleet.seats[0]
         first.server.end()
         first.server.rate = None
-        await first.server.come_back("i-2")
+        await first.server.restart("i-2")
         await first.registrant.heartbeat("i-2")
 
     run(context, replace())
@@ -135,7 +135,7 @@
 
     async def leave() -> None:
         await asyncio.sleep(seconds)
-        context.fleet.seats[0].server.leaves = True
+        context.fleet.seats[0].server.is_leaving = True
         context.beats = asyncio.create_task(beat())
 
     run(context, leave())
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -12,7 +12,7 @@
 from marjoramtide.errors import MarjoramtideError
 from marjoramtide.settings.sync import ChangeRequest
 from standins.expected_body import expected_body
-from standins.platform._backend import SEAL
+from standins.platform._backend import SEAL_PREFIX
 
 use_step_matcher("parse")
 
@@ -107,13 +107,13 @@
 
 @given("the server of node {number:d} answers the next request twice")
 def given_twice(context: Any, number: int) -> None:
-    seat(context, number).server.extra_answers = 1
+    seat(context, number).server.duplicate_responses = 1
 
 
 @given("every server answers the next request without a seal")
 def given_unsealed(context: Any) -> None:
     for each in context.fleet.seats:
-        each.server.unsealed = 1
+        each.server.unsealed_responses = 1
 
 
 @step('the server of node {number:d} becomes instance "{instance}" without a word')
@@ -146,7 +146,7 @@
 
 @when('a client asks node {number:d} for "{path}" {count:d} times')
 def asks_often(context: Any, number: int, path: str, count: int) -> None:
-    context.before = [len(each.server.seen) for each in context.fleet.seats]
+    context.before = [len(each.server.executed_headers) for each in context.fleet.seats]
     context.results = []
     for _ in range(count):
         context.result = run(context, context.fleet.call(seat(context, number), path))
@@ -164,7 +164,7 @@
 def gets_whole(context: Any) -> None:
     result = context.result
     assert result.status == 200, result
-    assert result.headers["X-Response-Seal"] == SEAL + result.attempt, result.headers
+    assert result.headers["X-Response-Seal"] == SEAL_PREFIX + result.attempt, result.headers
     assert result.headers["X-Attempt-Id"] == result.attempt
     assert result.body == expected_body(result.attempt, BODY_BYTES)
 
@@ -212,7 +212,7 @@
     found = [
         headers
         for each in context.fleet.seats
-        for headers in each.server.seen
+        for headers in each.server.executed_headers
         if headers["x-attempt-id"] == attempt
     ]
     assert len(found) == 1, found
@@ -221,7 +221,7 @@
 
 @then("no server ran anything")
 def ran_nothing(context: Any) -> None:
-    assert not any(each.server.seen for each in context.fleet.seats)
+    assert not any(each.server.executed_headers for each in context.fleet.seats)
 
 
 @then("node {number:d} does not take callers")
@@ -232,7 +232,9 @@
 @then("mapdesk ran {least:d} to {most:d} of them")
 def ran_share(context: Any, least: int, most: int) -> None:
     count = sum(
-        len(each.server.seen) for each in context.fleet.seats if each.settings.service == "mapdesk"
+        len(each.server.executed_headers)
+        for each in context.fleet.seats
+        if each.settings.service == "mapdesk"
     )
     assert least <= count <= most, count
 
@@ -272,12 +274,12 @@
 @then("the server of node {number:d} ran none of them")
 def ran_none(context: Any, number: int) -> None:
     before = context.before[number - 1]
-    assert len(seat(context, number).server.seen) == before
+    assert len(seat(context, number).server.executed_headers) == before
 
 
 @then("the server of node {number:d} ran {count:d} of them")
 def ran_count(context: Any, number: int, count: int) -> None:
-    assert len(seat(context, number).server.seen) == count
+    assert len(seat(context, number).server.executed_headers) == count
 
 
 def begin_booking(context: Any, entry: Seat) -> Coroutine[Any, Any, CallResult]:
@@ -324,7 +326,11 @@
 
     results = run(context, collect())
     assert [result.status for result in results] == [200] * count, results
-    ran = [headers["x-attempt-id"] for each in context.fleet.seats for headers in each.server.seen]
+    ran = [
+        headers["x-attempt-id"]
+        for each in context.fleet.seats
+        for headers in each.server.executed_headers
+    ]
     assert sorted(ran) == sorted(result.attempt for result in results)
 
 
@@ -402,7 +408,7 @@
 
 @when("the store forgets its history")
 def store_forgets(context: Any) -> None:
-    context.fleet.store.state.forget_history()
+    context.fleet.store.state.compact_history()
 
 
 @when("the store comes back")
@@ -434,7 +440,7 @@
 @given("its server keeps idle connections for {seconds:d} s, and its health is not read")
 def keeps_idle(context: Any, seconds: int) -> None:
     first = seat(context, 1)
-    first.server.keeps_idle_s = seconds
+    first.server.keep_alive_s = seconds
 
     async def unread() -> None:
         # A look at the health uses the connection that the bookings use.
--- a/features/steps/platform_quota_steps.py
+++ b/features/steps/platform_quota_steps.py
@@ -206,7 +206,9 @@
 
 def those_that_ran(context: Any) -> list[QuotaCall]:
     attempts = {
-        headers["x-attempt-id"] for each in context.fleet.seats for headers in each.server.seen
+        headers["x-attempt-id"]
+        for each in context.fleet.seats
+        for headers in each.server.executed_headers
     }
     return [each for each in context.calls if each.result.attempt in attempts]
 
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -233,7 +233,7 @@
 
 @then("the write held back is refused when it arrives")
 def then_late_refused(context: Any) -> None:
-    assert context.store.server.apply_late_writes() == [False]
+    assert context.store.server.apply_delayed_writes() == [False]
 
 
 @then('the store holds "{value}" under "{key}"')
--- a/features/steps/platform_workspaces_steps.py
+++ b/features/steps/platform_workspaces_steps.py
@@ -79,7 +79,7 @@
 
 
 def ran(context: Any) -> list[dict[str, str]]:
-    return [headers for each in context.fleet.seats for headers in each.server.seen]
+    return [headers for each in context.fleet.seats for headers in each.server.executed_headers]
 
 
 @when('a caller with the key {key} that claims to be "{name}" asks each node')
@@ -181,7 +181,7 @@
 @then("the call ran, with the identity of no workspace")
 def then_call_ran(context: Any) -> None:
     assert context.call.status == 200, context.call
-    headers = context.fleet.seats[-1].server.seen[-1]
+    headers = context.fleet.seats[-1].server.executed_headers[-1]
     assert headers["x-attempt-id"].endswith(".1"), headers
     assert "x-tenant-name" not in headers, headers
 
@@ -287,7 +287,7 @@
 
 @when("a version takes the key a1 away while the store turns node {number:d} away")
 def when_taken_while_away(context: Any, number: int) -> None:
-    context.fleet.store.turned_away = {store_of(context.fleet.seats[number - 1])}
+    context.fleet.store.refused_addresses = {store_of(context.fleet.seats[number - 1])}
     take_away(context, [])
     run(context, asyncio.sleep(REVOKED_AFTER_S))
 
@@ -367,9 +367,9 @@
     seat = context.fleet.seats[number - 1]
 
     async def play() -> None:
-        context.fleet.store.turned_away = {store_of(seat)}
+        context.fleet.store.refused_addresses = {store_of(seat)}
         context.calls = await come(context, [seat], "/tiles/7", 3.0)
-        context.fleet.store.turned_away = set()
+        context.fleet.store.refused_addresses = set()
 
     run(context, play())
 
--- a/features/steps/server_starts_steps.py
+++ b/features/steps/server_starts_steps.py
@@ -51,7 +51,7 @@
         await context.fleet.wait_for(each.node.takes_callers)
         context.bookings = [asyncio.create_task(begin_booking(context, each))]
         await context.fleet.wait_for(lambda: each.server.slots.in_use == 1)
-        each.server.start_again(each.registrant.slots)
+        each.server.restart_without_closing(each.registrant.slots)
 
     run(context, begin())
 
@@ -60,7 +60,7 @@
 def starts_again(context: Any, number: int, born: int) -> None:
     each = seat(context, number)
     each.server.faults.drain = False
-    each.server.start_again(each.registrant.slots)
+    each.server.restart_without_closing(each.registrant.slots)
     each.registrant.born = born
     each.registrant.sequence = 0
     context.started_again_at = time.monotonic()
@@ -116,7 +116,7 @@
     result = run(context, asyncio.wait_for(booking, seconds))
     assert result.status == status, result
     (first,) = context.fleet.seats
-    ran = [headers["x-attempt-id"] for headers in first.server.seen]
+    ran = [headers["x-attempt-id"] for headers in first.server.executed_headers]
     assert ran.count(result.attempt) <= 1, ran
     began = first.server.ledger.requests
     assert began.get(result.attempt, 0) == 1, began
--- a/features/steps/settings_process_steps.py
+++ b/features/steps/settings_process_steps.py
@@ -92,7 +92,7 @@
 def then_serves(context: Any, name: str, revision: int) -> None:
     node = named(context, name)
     context.runner.run(all_at([node], revision))
-    context.runner.run(context.mesh.wait_for(lambda: context.mesh.answers(node, "mapdesk")))
+    context.runner.run(context.mesh.wait_for(lambda: context.mesh.is_serving(node, "mapdesk")))
 
 
 @when("{name:S} is frozen for a change of max_depth to 1")
@@ -120,4 +120,4 @@
 
     statuses = context.runner.run(deep_calls())
     assert HTTPStatus.OK not in statuses, statuses
-    context.runner.run(context.mesh.wait_for(lambda: context.mesh.answers(node, "mapdesk")))
+    context.runner.run(context.mesh.wait_for(lambda: context.mesh.is_serving(node, "mapdesk")))
--- a/standins/demo.py
+++ b/standins/demo.py
@@ -110,14 +110,14 @@
         f"{refused} not-run, {unknown} unknown, {len(found.wrong)} wrong, "
         f"{len(found.duplicates)} duplicate"
     )
-    return 0 if found.clean and not lost_lookups else 1
+    return 0 if found.is_clean and not lost_lookups else 1
 
 
 async def run() -> int:
     with tempfile.TemporaryDirectory() as folder:
         async with Mesh(Path(folder), make_plan(SERVICES)) as mesh:
             print(f"starting {len(mesh.nodes)} nodes, their backend servers and an object store")
-            await mesh.ready()
+            await mesh.wait_until_ready()
             calls = plan_calls()
             callers = [node.callers for node in mesh.nodes]
             side = [
--- a/standins/gossip_network.py
+++ b/standins/gossip_network.py
@@ -35,7 +35,7 @@
 class Network:
     """Delivers datagrams after a few milliseconds, or loses them; time is a ``ManualClock``.
 
-    ``blocked`` tells of two nodes whether datagrams from the first can't reach the second.
+    ``is_blocked`` tells of two nodes whether datagrams from the first can't reach the second.
     """
 
     def __init__(self, seed: int, options: SwimOptions | None = None) -> None:
@@ -45,7 +45,7 @@
         self.nodes: dict[str, Node] = {}
         self.by_address: dict[str, Node] = {}
         self.loss = 0.0
-        self.blocked: Callable[[Node, Node], bool] = lambda sender, receiver: False
+        self.is_blocked: Callable[[Node, Node], bool] = lambda sender, receiver: False
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
         self.sent: list[tuple[str, str, bytes]] = []
@@ -118,7 +118,7 @@
 
     def _transmit(self, node: Node, address: str, data: bytes) -> None:
         receiver = self.by_address.get(address)
-        if receiver is None or self.blocked(node, receiver) or self.rng.random() < self.loss:
+        if receiver is None or self.is_blocked(node, receiver) or self.rng.random() < self.loss:
             return
         latency = self.rng.uniform(*LATENCY_S)
         self._schedule(latency, lambda: self._receive(receiver, data, node.address))
--- a/standins/mesh/__init__.py
+++ b/standins/mesh/__init__.py
@@ -3,7 +3,7 @@
 For example::
 
     async with Mesh(folder, make_plan({"mapdesk": 3})) as mesh:
-        await mesh.ready()
+        await mesh.wait_until_ready()
         await mesh.nodes[0].process.kill()
 """
 
--- a/standins/mesh/_mesh.py
+++ b/standins/mesh/_mesh.py
@@ -117,7 +117,7 @@
             await asyncio.sleep(delay_s)
             await node.start_server()
 
-    def kill_nodes_that_serve(self, prefix: str, delay_s: float, after_s: float = 0.0) -> None:
+    def kill_nodes_serving(self, prefix: str, delay_s: float, after_s: float = 0.0) -> None:
         """Kill each node beside whose server a request runs whose id begins with ``prefix``.
 
         That is ``after_s`` seconds after the run was seen; it is started again after ``delay_s``.
@@ -141,15 +141,15 @@
                 await asyncio.sleep(delay_s)
                 await node.start_node()
 
-    async def ready(self, timeout: float = READY_TIMEOUT_S) -> None:
+    async def wait_until_ready(self, timeout: float = READY_TIMEOUT_S) -> None:
         """Wait until a request of each service is answered through every running node."""
         services = {node.plan.service for node in self.nodes}
         for node in self.nodes:
             if node.process is not None and node.process.running:
                 for service in services:
-                    await self.wait_for(partial(self.answers, node, service), timeout)
+                    await self.wait_for(partial(self.is_serving, node, service), timeout)
 
-    async def answers(self, node: MeshNode, service: str) -> bool:
+    async def is_serving(self, node: MeshNode, service: str) -> bool:
         """Tell whether a lookup of ``service`` is answered through this node."""
         headers = {"Host": service, "X-Request-Id": "ready"}
         try:
--- a/standins/mesh/_mesh_node.py
+++ b/standins/mesh/_mesh_node.py
@@ -28,7 +28,7 @@
     backend: str
     folder: Path
     store: str
-    extra: dict[str, Any] = attrs.Factory(dict)
+    extra_settings: dict[str, Any] = attrs.Factory(dict)
     process: ManagedProcess | None = None
     server: ManagedProcess | None = None
 
@@ -66,7 +66,7 @@
             "backend": self.backend,
             "store": self.store,
             "key": KEY,
-            **self.extra,
+            **self.extra_settings,
         }
         self.settings_file.write_text(tomlkit.dumps(values))
 
--- a/standins/object_store/_app.py
+++ b/standins/object_store/_app.py
@@ -37,10 +37,10 @@
         self.reads = Rate(reads_per_s)
         self.counts: Counter[str] = Counter()
         self.clock_ahead_s = 0.0
-        self.late: list[Callable[[], object]] = []
+        self.delayed_writes: list[Callable[[], object]] = []
         self.held: StoreCopy | None = None
         self.mode_changed = asyncio.Event()
-        self.hung = asyncio.Event()
+        self.hang_started = asyncio.Event()
 
     def app(self) -> web.Application:
         """Return the application."""
@@ -71,7 +71,7 @@
         if self.faults.slow_ms:
             await asyncio.sleep(self.faults.slow_ms / 1000)
         while self.faults.mode == "hang":
-            self.hung.set()
+            self.hang_started.set()
             await self.mode_changed.wait()
         if self.faults.mode == "drop":
             return self.cut(request)
@@ -145,7 +145,7 @@
         """Apply a write, or play the faults that hit it."""
         is_update = "If-Match" in request.headers
         if self.faults.take("late_writes") or (is_update and self.faults.take("late_updates")):
-            self.late.append(apply)
+            self.delayed_writes.append(apply)
             return self.cut(request)
         record = apply()
         if self.faults.take("lose_answers"):
@@ -213,10 +213,10 @@
         self.state.changed.set()
         self.state.changed = asyncio.Event()
 
-    def apply_late_writes(self) -> list[bool]:
+    def apply_delayed_writes(self) -> list[bool]:
         """Apply the writes held back, each under its condition; tell which took effect."""
-        late, self.late = self.late, []
-        return [apply() is not None for apply in late]
+        delayed, self.delayed_writes = self.delayed_writes, []
+        return [apply() is not None for apply in delayed]
 
     async def take_copy(self, _: web.Request) -> web.StreamResponse:
         """Keep a copy of all objects."""
@@ -232,7 +232,7 @@
 
     async def apply_late(self, request: web.Request) -> web.StreamResponse:
         """Let the writes that were held back arrive."""
-        applied = self.apply_late_writes()
+        applied = self.apply_delayed_writes()
         return web.json_response({"applied": applied.count(True), "refused": applied.count(False)})
 
     async def stats(self, request: web.Request) -> web.StreamResponse:
--- a/standins/platform/_backend.py
+++ b/standins/platform/_backend.py
@@ -1,4 +1,4 @@
-"""A backend server that speaks the platform's headers."""
+"""A backend server stand-in that uses the platform's HTTP headers."""
 
 import asyncio
 import time
@@ -11,50 +11,51 @@
 from standins.backend._server import BackendServer
 from standins.backend._slots import Slots
 
-SEAL = "seal-"
+SEAL_PREFIX = "seal-"
 REFUSED = 503
 HEALTH_PATH = "/health"
 
 
 @attrs.frozen(slots=True)
 class Arrival:
-    """A request that reached the server: when, in seconds of the monotonic clock, and its id."""
+    """A received request: its time, in seconds of the monotonic clock, and its attempt id."""
 
     at: float
     attempt: str
 
 
 class PlatformBackendServer(BackendServer):
-    """The stand-in with identities, seals, load headers and the platform's faults.
-
-    ``instance`` is the identity of this start; ``slowdown`` what it tells of its neighbours.
-    ``extra_answers`` is how many answers are followed by a second one, ``unsealed`` how many
-    successes come without a seal. ``seen`` holds the headers of each request that ran. Until
-    ``cold_until``, in seconds of the loop's clock, the server is cold, and tells so if
-    ``tells_cold``; ``arrivals`` holds the times at which requests came meanwhile.
-
-    It names ``rate`` as its limit, in any form of text, and says that it leaves while ``leaves``;
-    in its health too if ``health_states``. ``received`` holds each request that came to this start.
-    A connection that was idle for ``keeps_idle_s``, unless that is 0, breaks by the next request.
+    """A stand-in with instance ids, response seals, load headers and the platform's faults.
+
+    ``instance`` is the id of this incarnation; ``slowdown`` is the factor that it reports for the
+    load of its neighbours. The next ``duplicate_responses`` responses are each sent twice, and the
+    next ``unsealed_responses`` successful ones have no seal. ``executed_headers`` holds the headers
+    of each request that ran, ``received`` each request that arrived. Until ``cold_until``, in
+    seconds of the loop's clock, the server is cold, which its health reports if
+    ``reports_cold_start``; ``cold_arrivals`` holds the arrival times of that period.
+
+    Each response states ``rate`` as the rate limit, as any text, and that the server is leaving if
+    ``is_leaving``; health responses do so only if ``health_has_statements``. The next request on a
+    connection that was idle for more than ``keep_alive_s`` breaks it; 0 turns this off.
     """
 
     instance = "i-1"
     slowdown = 1.0
-    extra_answers = 0
-    unsealed = 0
+    duplicate_responses = 0
+    unsealed_responses = 0
     cold_until: float | None = None
-    tells_cold = True
+    reports_cold_start = True
     rate: str | None = None
-    leaves = False
-    health_states = True
-    keeps_idle_s = 0
+    is_leaving = False
+    health_has_statements = True
+    keep_alive_s = 0
 
     def __init__(self, *, slots: int, service_ms: float, seed: int = 1) -> None:
         super().__init__(name="", slots=slots, connections=250, service_ms=service_ms, seed=seed)
-        self.seen: list[dict[str, str]] = []
+        self.executed_headers: list[dict[str, str]] = []
         self.targets: list[str] = []
         self.bodies: list[bytes] = []
-        self.arrivals: list[float] = []
+        self.cold_arrivals: list[float] = []
         self.received: list[Arrival] = []
         self.owed: dict[Connection, Answer] = {}
         self.silent: set[Connection] = set()
@@ -63,11 +64,11 @@
 
     async def answer(self, request: Request, connection: Connection) -> Answer | None:
         now = time.monotonic()
-        if self.keeps_idle_s and now - self.idle_since.get(connection, now) > self.keeps_idle_s:
+        if self.keep_alive_s and now - self.idle_since.get(connection, now) > self.keep_alive_s:
             return None
         answer = await self.answer_kept(request, connection)
-        if self.keeps_idle_s and answer is not None:
-            answer.headers["Keep-Alive"] = f"timeout={self.keeps_idle_s}"
+        if self.keep_alive_s and answer is not None:
+            answer.headers["Keep-Alive"] = f"timeout={self.keep_alive_s}"
             self.idle_since[connection] = time.monotonic()
         return answer
 
@@ -76,7 +77,7 @@
         if request.path == HEALTH_PATH:
             status = REFUSED if self.faults.drain else 200
             told = {"X-Instance-Id": self.instance, **self.load_header(), **self.cold_header()}
-            if self.health_states:
+            if self.health_has_statements:
                 told |= self.statement_headers()
             return Answer(status, told)
         self.send_owed(connection)
@@ -84,7 +85,7 @@
         if expected != self.instance:
             return Answer(421, {"X-Instance-Id": self.instance, "X-Not-Executed": "1"})
         if self.cold_left_s() > 0:
-            self.arrivals.append(asyncio.get_running_loop().time())
+            self.cold_arrivals.append(asyncio.get_running_loop().time())
         request.headers["x-request-id"] = attempt = request.headers.get("x-attempt-id", "")
         self.received.append(Arrival(time.monotonic(), attempt))
         request.headers["request-timeout-ms"] = request.headers.get("x-deadline-ms", "")
@@ -99,12 +100,12 @@
         self.note(request)
         answer.headers |= {"X-Attempt-Id": attempt, **self.load_header()}
         answer.headers |= self.statement_headers()
-        if self.unsealed:
-            self.unsealed -= 1
+        if self.unsealed_responses:
+            self.unsealed_responses -= 1
         else:
-            answer.headers["X-Response-Seal"] = SEAL + attempt
-        if self.extra_answers:
-            self.extra_answers -= 1
+            answer.headers["X-Response-Seal"] = SEAL_PREFIX + attempt
+        if self.duplicate_responses:
+            self.duplicate_responses -= 1
             self.owed[connection] = answer
         return answer
 
@@ -116,7 +117,7 @@
             if connection.transport is not None:
                 connection.transport.abort()
 
-    async def come_back(self, instance: str) -> None:
+    async def restart(self, instance: str) -> None:
         """Listen again after a crash, as another start."""
         host, _, port = self.name.rpartition(":")
         self.instance = instance
@@ -124,13 +125,13 @@
         loop = asyncio.get_running_loop()
         self.listener = await loop.create_server(lambda: Connection(self), host, int(port))
 
-    def start_again(self, slots: int) -> None:
+    def restart_without_closing(self, slots: int) -> None:
         """Crash without a word and start again: old connections stay open and never answer."""
         self.silent |= self.connections
         self.slots = Slots(slots)
 
     def note(self, request: Request) -> None:
-        self.seen.append(request.headers)
+        self.executed_headers.append(request.headers)
         self.targets.append(request.target)
         self.bodies.append(request.body)
 
@@ -140,13 +141,13 @@
         return max(0.0, self.cold_until - asyncio.get_running_loop().time())
 
     def cold_header(self) -> dict[str, str]:
-        if self.cold_until is None or not self.tells_cold:
+        if self.cold_until is None or not self.reports_cold_start:
             return {}
         return {"X-Cold-Remaining-Ms": str(round(self.cold_left_s() * 1000))}
 
     def statement_headers(self) -> dict[str, str]:
         rate = {} if self.rate is None else {"Server-Limit": self.rate}
-        return rate | ({"Server-Leaving": "1"} if self.leaves else {})
+        return rate | ({"Server-Leaving": "1"} if self.is_leaving else {})
 
     def load_header(self) -> dict[str, str]:
         running, waiting = self.slots.in_use, self.slots.queued
--- a/standins/platform/_registrant.py
+++ b/standins/platform/_registrant.py
@@ -9,7 +9,7 @@
 
 
 @attrs.define(slots=True)
-class Registrant:
+class RegistrationClient:
     """Sends heartbeats and departures to a node's registration address.
 
     ``born`` is the Unix millisecond of the backend server's start, where it tells that.
--- a/standins/platform/_store.py
+++ b/standins/platform/_store.py
@@ -13,18 +13,18 @@
 
 
 class PlatformStoreServer:
-    """Answers from a ``PlatformStoreState``, with the faults in force.
+    """Serves a ``PlatformStoreState`` over HTTP and injects the current faults.
 
-    ``mode`` is ``up``, ``refuse`` (503, nothing done) or ``reset`` (the connection ends without an
-    answer and without effect). Callers of the addresses in ``turned_away`` are refused whatever the
-    mode. ``lose_answers`` writes are done and not answered. ``page_size``
-    bounds what one list returns.
+    ``mode`` is ``up``, ``refuse`` (503 without effect) or ``reset`` (the connection is aborted
+    without a response and without effect). Requests to a listening address in
+    ``refused_addresses`` get 503 in every mode. The next ``lose_answers`` writes take effect and
+    get no response. ``page_size`` is the highest number of items in one page of a list.
     """
 
     def __init__(self) -> None:
         self.state = PlatformStoreState()
         self.mode = "up"
-        self.turned_away: set[str] = set()
+        self.refused_addresses: set[str] = set()
         self.lose_answers = 0
         self.page_size = 500
         self.calls: Counter[str] = Counter()
@@ -44,7 +44,7 @@
         if "StaleOk" in http.query:
             kind = "stale"
         self.calls[kind] += 1
-        if self.mode == "refuse" or self.address_of(http) in self.turned_away:
+        if self.mode == "refuse" or self.address_of(http) in self.refused_addresses:
             return web.Response(status=503)
         if self.mode == "reset":
             return self.cut(http)
@@ -81,7 +81,7 @@
         while True:
             if self.state.era != era:
                 raise web.HTTPServiceUnavailable
-            if since < self.state.forgotten or since > self.state.revision:
+            if since < self.state.compacted_revision or since > self.state.revision:
                 return web.json_response({}, status=410)
             changed = self.state.changed
             found = self.state.changes(kind, since)
--- a/standins/platform/_store_state.py
+++ b/standins/platform/_store_state.py
@@ -34,7 +34,7 @@
         self.revision = 0
         self.kinds: dict[str, dict[str, Item]] = {}
         self.history: list[Change] = []
-        self.forgotten = 0
+        self.compacted_revision = 0
         self.era = 0
         self.changed = asyncio.Event()
 
@@ -87,10 +87,10 @@
         self.changed.set()
         self.changed = asyncio.Event()
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Drop all history, as the platform may at any time; watches that wait are cut."""
         self.history.clear()
-        self.forgotten = self.revision
+        self.compacted_revision = self.revision
         self.wake()
 
     def changes(self, kind: str, since: int) -> list[Change]:
--- a/standins/platform/_template.py
+++ b/standins/platform/_template.py
@@ -8,7 +8,7 @@
 TAG = re.compile(r"\{\{([#^/]?)([^{}]+)\}\}")
 
 
-def fill(text: str, fields: dict[str, Any]) -> str:
+def render_template(text: str, fields: dict[str, Any]) -> str:
     """Return the text with values, and with sections repeated for each entry of a list or table."""
     return "".join(render(iter(TAG.split(text)), [fields], "", "", True))
 
--- a/standins/raw_caller.py
+++ b/standins/raw_caller.py
@@ -11,7 +11,7 @@
 
 
 @attrs.frozen(slots=True)
-class RawAnswer:
+class RawResponse:
     """All that came back on the connection, and whether it was closed."""
 
     data: bytes
@@ -24,13 +24,13 @@
         return [status for status in found if status >= 200]
 
 
-def spell(text: str) -> bytes:
+def unescape(text: str) -> bytes:
     r"""Return the bytes of a form: ``\r\n`` escapes, and ``<900>`` for so many letters."""
     plain = RUN.sub(lambda match: "a" * int(match[1]), text)
     return plain.encode("latin-1").decode("unicode_escape").encode("latin-1")
 
 
-async def read_answer(reader: asyncio.StreamReader, silence_s: float) -> RawAnswer:
+async def read_response(reader: asyncio.StreamReader, silence_s: float) -> RawResponse:
     """Read until the end of the connection, or until nothing comes for ``silence_s``."""
     data = b""
     while True:
@@ -38,17 +38,17 @@
             async with asyncio.timeout(silence_s):
                 piece = await reader.read(65536)
         except TimeoutError:
-            return RawAnswer(data, closed=False)
+            return RawResponse(data, closed=False)
         except ConnectionError:
-            return RawAnswer(data, closed=True)
+            return RawResponse(data, closed=True)
         if not piece:
-            return RawAnswer(data, closed=True)
+            return RawResponse(data, closed=True)
         data += piece
 
 
 async def send_raw(
     address: str, *pieces: bytes, pause_s: float = 0.05, silence_s: float = SILENCE_S
-) -> RawAnswer:
+) -> RawResponse:
     """Send the pieces one after the other, and read what comes back."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
@@ -61,6 +61,6 @@
     except ConnectionError:
         pass
     try:
-        return await read_answer(reader, silence_s)
+        return await read_response(reader, silence_s)
     finally:
         writer.close()
