--- a/features/steps/membership_cut_steps.py
+++ b/features/steps/membership_cut_steps.py
@@ -95,7 +95,7 @@
 @when("membership node {number:d} resumes with its address back")
 def resume_with_address(context: Any, number: int) -> None:
     node = node_of(context, number)
-    context.network.by_address[node.address] = node
+    context.network.nodes_by_address[node.address] = node
     resume(context, number)
 
 
--- a/features/steps/platform_crashes_steps.py
+++ b/features/steps/platform_crashes_steps.py
@@ -31,7 +31,7 @@
         await each.registrant.heartbeat(each.server.instance, sequence=1)
 
     def crash(each: Seat) -> None:
-        each.server.end()
+        each.server.simulate_crash()
         context.ends.append(each.settings.name)
         context.reviving.append(asyncio.ensure_future(revive(each)))
 
@@ -144,7 +144,7 @@
         )
         await set_drained(others, False)
         await first.registrant.leave(first.server.instance)
-        first.server.end()
+        first.server.simulate_crash()
         await call
         await asyncio.sleep(0.3)
 
--- a/features/steps/platform_named_limits_steps.py
+++ b/features/steps/platform_named_limits_steps.py
@@ -100,7 +100,7 @@
     async def replace() -> None:
         await asyncio.sleep(seconds)
         first = context.fleet.seats[0]
-        first.server.end()
+        first.server.simulate_crash()
         first.server.rate = None
         await first.server.restart("i-2")
         await first.registrant.heartbeat("i-2")
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -403,7 +403,7 @@
 @when("the store goes away")
 def store_away(context: Any) -> None:
     context.fleet.store.mode = "reset"
-    context.fleet.store.state.wake()
+    context.fleet.store.state.notify_watchers()
 
 
 @when("the store forgets its history")
--- a/standins/gossip_network.py
+++ b/standins/gossip_network.py
@@ -43,13 +43,13 @@
         self.options = options or SwimOptions()
         self.clock = ManualClock()
         self.nodes: dict[str, Node] = {}
-        self.by_address: dict[str, Node] = {}
+        self.nodes_by_address: dict[str, Node] = {}
         self.loss = 0.0
         self.is_blocked: Callable[[Node, Node], bool] = lambda sender, receiver: False
         self.queue: list[tuple[float, int, Callable[[], None]]] = []
         self.order = itertools.count()
         self.sent: list[tuple[str, str, bytes]] = []
-        self.largest = 0
+        self.largest_datagram_bytes = 0
 
     def start_node(
         self,
@@ -78,7 +78,7 @@
         core = SwimCore(member, PacketCodec(key), rng, self.options)
         core.add_seeds([node.address for node in self.nodes.values()])
         node = Node(name, core, address, data_centre)
-        self.nodes[name] = self.by_address[address] = node
+        self.nodes[name] = self.nodes_by_address[address] = node
         self._schedule(rng.uniform(0, self.options.tick_s), lambda: self._tick(node))
         return node
 
@@ -108,7 +108,7 @@
     def flush(self, node: Node) -> None:
         """Send what the node's core wants sent."""
         for address, data in node.core.drain():
-            self.largest = max(self.largest, len(data))
+            self.largest_datagram_bytes = max(self.largest_datagram_bytes, len(data))
             self.sent.append((node.address, address, data))
             self._transmit(node, address, data)
 
@@ -117,7 +117,7 @@
         self._receive(receiver, data, sender_address)
 
     def _transmit(self, node: Node, address: str, data: bytes) -> None:
-        receiver = self.by_address.get(address)
+        receiver = self.nodes_by_address.get(address)
         if receiver is None or self.is_blocked(node, receiver) or self.rng.random() < self.loss:
             return
         latency = self.rng.uniform(*LATENCY_S)
--- a/standins/platform/_backend.py
+++ b/standins/platform/_backend.py
@@ -59,7 +59,7 @@
         self.received: list[Arrival] = []
         self.owed: dict[Connection, Answer] = {}
         self.silent: set[Connection] = set()
-        self.crash = self.end
+        self.crash = self.simulate_crash
         self.idle_since: dict[Connection, float] = {}
 
     async def answer(self, request: Request, connection: Connection) -> Answer | None:
@@ -109,7 +109,7 @@
             self.owed[connection] = answer
         return answer
 
-    def end(self) -> None:
+    def simulate_crash(self) -> None:
         """Crash: break all connections and listen no more, with all that runs."""
         if self.listener is not None:
             self.listener.close()
--- a/standins/platform/_store_state.py
+++ b/standins/platform/_store_state.py
@@ -68,7 +68,7 @@
         self.revision += 1
         item["Metadata"]["Revision"] = self.revision
         self.history.append(Change(self.revision, kind, copy.deepcopy(item), removed))
-        self.wake()
+        self.notify_watchers()
 
     def copy(self) -> "StoreCopy":
         """Return a copy, as it may be put back later."""
@@ -80,9 +80,9 @@
         self.kinds = copy.deepcopy(held.kinds)
         self.history = [each for each in self.history if each.revision <= held.revision]
         self.era += 1
-        self.wake()
+        self.notify_watchers()
 
-    def wake(self) -> None:
+    def notify_watchers(self) -> None:
         """Let those that wait for a change look again."""
         self.changed.set()
         self.changed = asyncio.Event()
@@ -91,7 +91,7 @@
         """Drop all history, as the platform may at any time; watches that wait are cut."""
         self.history.clear()
         self.compacted_revision = self.revision
-        self.wake()
+        self.notify_watchers()
 
     def changes(self, kind: str, since: int) -> list[Change]:
         return [each for each in self.history if each.revision > since and each.kind == kind]
