--- a/features/steps/bench_stand_in_steps.py
+++ b/features/steps/bench_stand_in_steps.py
@@ -121,5 +121,5 @@
 
 @then("{work:d} ms of stand-in work take {took:d} ms")
 def step_slowed(context: Any, work: int, took: int) -> None:
-    slowed_s = ServiceTime(1, seed=1).under_noise_s(work / 1000, context.faults, 0.013)
+    slowed_s = ServiceTime(1, seed=1).duration_with_noise_s(work / 1000, context.faults, 0.013)
     assert abs(slowed_s * 1000 - took) < 0.01, slowed_s
--- a/standins/__init__.py
+++ b/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Small stand-ins for what the platform gives: backend servers and the object store."""
+"""Stand-ins for the platform in tests: backend servers, object stores and whole meshes."""
--- a/standins/backend/__main__.py
+++ b/standins/backend/__main__.py
@@ -1,4 +1,4 @@
-"""Runs a backend server stand-in until it is told to end."""
+"""Runs a backend server stand-in until SIGTERM or SIGINT."""
 
 import argparse
 import asyncio
@@ -11,23 +11,28 @@
 
 def parse() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m standins.backend", description=__doc__)
-    parser.add_argument("--listen", required=True, help="IP:PORT; port 0 takes a free one")
+    parser.add_argument("--listen", required=True, help="IP:PORT; port 0 picks a free port")
     parser.add_argument("--slots", type=int, default=10)
     parser.add_argument("--connections", type=int, default=250)
     parser.add_argument("--service-ms", type=float, default=20.0)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--journal", default="", help="file to which executions are written")
-    parser.add_argument("--deadly", default="", help="path of requests that end the stand-in")
-    parser.add_argument("--deadly-lingers-ms", type=float, default=0.0, help="how long it takes")
-    parser.add_argument("--deadly-freezes", action="store_true", help="or that freeze it")
+    parser.add_argument("--journal", default="", help="file that records each execution")
+    parser.add_argument("--deadly", default="", help="path of requests that crash the stand-in")
+    parser.add_argument(
+        "--deadly-lingers-ms",
+        type=float,
+        default=0.0,
+        help="time from breaking all connections to the exit",
+    )
+    parser.add_argument("--deadly-freezes", action="store_true", help="freeze instead of crashing")
     return parser.parse_args()
 
 
 async def run(options: argparse.Namespace) -> None:
     host, _, port = options.listen.rpartition(":")
-    ended = asyncio.Event()
+    stopped = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
-        asyncio.get_running_loop().add_signal_handler(number, ended.set)
+        asyncio.get_running_loop().add_signal_handler(number, stopped.set)
     server = await start_backend(
         host,
         int(port),
@@ -45,9 +50,9 @@
         )
     )
     print(json.dumps({"event": "listening", "address": server.name}), flush=True)
-    await ended.wait()
+    await stopped.wait()
     await server.close()
-    # Whoever audits executions reads them here once the process can't be asked any more.
+    # An audit reads the executions from this line after the process has exited.
     print(json.dumps({"event": "ended", **server.report()}), flush=True)
 
 
--- a/standins/backend/_connection.py
+++ b/standins/backend/_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the stand-in."""
+"""Server side of one HTTP connection."""
 
 import asyncio
 from collections import deque
@@ -11,11 +11,11 @@
 if TYPE_CHECKING:
     from standins.backend._server import BackendServer
 
-SETUP_S = 0.001  # what a new connection costs on the platform's servers
+CONNECTION_SETUP_S = 0.001  # connection setup time of the platform's servers
 
 
 class Connection(asyncio.Protocol):
-    """Parses requests and answers them one after the other, each by a task of its own."""
+    """Parses pipelined requests and responds to them in order, each in its own task."""
 
     def __init__(self, server: "BackendServer") -> None:
         self.server = server
@@ -23,7 +23,7 @@
         self.transport: asyncio.Transport | None = None
         self.pending: deque[Request] = deque()
         self.task: asyncio.Task[None] | None = None
-        self.begun_unsafe = False
+        self.is_running_non_idempotent = False
         self.target = b""
         self.headers: dict[str, str] = {}
         self.body: list[bytes] = []
@@ -36,9 +36,9 @@
         self.server.connections.add(self)
         self.server.ledger.connections_opened += 1
         self.transport.pause_reading()
-        asyncio.get_running_loop().call_later(SETUP_S, self.resume)
+        asyncio.get_running_loop().call_later(CONNECTION_SETUP_S, self.start_reading)
 
-    def resume(self) -> None:
+    def start_reading(self) -> None:
         if self.transport is not None and not self.transport.is_closing():
             self.transport.resume_reading()
 
@@ -47,8 +47,8 @@
         self.pending.clear()
         if self.task is not None and not self.task.done():
             self.server.ledger.cancels += 1
-            # A non-idempotent execution can't be undone by the caller's leaving: it runs on.
-            if not self.begun_unsafe:
+            # A non-idempotent execution continues after its caller has disconnected.
+            if not self.is_running_non_idempotent:
                 self.task.cancel()
 
     def data_received(self, data: bytes) -> None:
@@ -66,7 +66,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         key, text = name.decode("latin-1").lower(), value.decode("latin-1")
-        # A header that stands twice is shown as such, as RFC 9110, section 5.3, joins its lines.
+        # Repeated header lines are joined with commas (RFC 9110, section 5.3).
         self.headers[key] = f"{self.headers[key]}, {text}" if key in self.headers else text
 
     def on_headers_complete(self) -> None:
@@ -92,21 +92,21 @@
     def start_next(self) -> None:
         self.task = None
         if self.pending:
-            self.task = asyncio.create_task(self.answer(self.pending.popleft()))
-            self.server.answering.add(self.task)
-            self.task.add_done_callback(self.server.answering.discard)
+            self.task = asyncio.create_task(self.respond(self.pending.popleft()))
+            self.server.response_tasks.add(self.task)
+            self.task.add_done_callback(self.server.response_tasks.discard)
 
-    async def answer(self, request: Request) -> None:
-        self.begun_unsafe = False
-        answer = await self.server.answer(request, self)
+    async def respond(self, request: Request) -> None:
+        self.is_running_non_idempotent = False
+        response = await self.server.respond(request, self)
         if self.transport is None or self.transport.is_closing():
             return
-        if answer is None:
+        if response is None:
             self.transport.abort()
             return
-        cut = answer.sent_bytes is not None
-        close = cut or not request.keep_alive or self.server.faults.drain
-        self.transport.write(answer.encode(close=close, head_only=request.method == "HEAD"))
+        is_truncated = response.sent_bytes is not None
+        close = is_truncated or not request.keep_alive or self.server.faults.drain
+        self.transport.write(response.encode(close=close, head_only=request.method == "HEAD"))
         if close:
             self.transport.close()
         else:
--- a/standins/backend/_ledger.py
+++ b/standins/backend/_ledger.py
@@ -1,4 +1,4 @@
-"""What a backend server stand-in has run."""
+"""Execution counters of a backend server stand-in."""
 
 from collections import Counter
 
@@ -7,10 +7,10 @@
 
 @attrs.define(slots=True)
 class Ledger:
-    """Counts executions by request id and by idempotency key, and the rest of the statistics.
+    """Executions by request id and by idempotency key, and other counters.
 
-    An execution counts from its begin: a caller that goes away does not undo it.
-    ``last_run_after_drain_s`` is how long after the begin of a drain the last one began.
+    An execution counts from its start, whether or not its caller disconnects.
+    ``last_run_after_drain_s`` is the time from the start of a drain to the last execution's start.
     """
 
     requests: Counter[str] = attrs.field(factory=Counter)
@@ -25,8 +25,8 @@
     busy_s: float = 0.0
     last_run_after_drain_s: float = 0.0
 
-    def began(self, request_id: str, key: str) -> None:
-        """Count an execution; empty names are not counted by name."""
+    def record_execution(self, request_id: str, key: str) -> None:
+        """Count an execution; an empty request id or key has no counter of its own."""
         self.executions += 1
         if request_id:
             self.requests[request_id] += 1
--- a/standins/backend/_request.py
+++ b/standins/backend/_request.py
@@ -1,4 +1,4 @@
-"""One request as the stand-in reads it."""
+"""HTTP requests as the stand-in parses them."""
 
 from urllib.parse import parse_qs, urlsplit
 
@@ -26,17 +26,17 @@
         return self.headers.get("x-request-id", "")
 
     @property
-    def idempotent(self) -> bool:
+    def is_idempotent(self) -> bool:
         return self.method in IDEMPOTENT_METHODS
 
     @property
     def timeout_s(self) -> float | None:
-        """Return the time the caller allows from arrival on, or ``None``."""
+        """Return the time limit that the caller set, counted from arrival, or ``None``."""
         value = self.headers.get("request-timeout-ms", "")
         return int(value) / 1000 if value.isdigit() else None
 
-    def number(self, name: str) -> float | None:
-        """Return a number from the query, or ``None``."""
+    def query_number(self, name: str) -> float | None:
+        """Return a numeric query parameter, or ``None``."""
         values = parse_qs(urlsplit(self.target).query).get(name)
         try:
             return float(values[0]) if values else None
--- a/standins/backend/_answer.py
+++ b/standins/backend/_response.py
@@ -1,4 +1,4 @@
-"""One answer of the stand-in."""
+"""HTTP responses of the stand-in."""
 
 import json
 from http import HTTPStatus
@@ -7,10 +7,10 @@
 
 
 @attrs.define(slots=True)
-class Answer:
-    """Status, headers and body; ``sent_bytes`` cuts the body short where it is truncated.
+class Response:
+    """Status, headers and body; only ``sent_bytes`` of the body are sent, if set.
 
-    A ``chunked`` answer does not state its length (RFC 9112, section 7.1).
+    A ``chunked`` response does not state its length (RFC 9112, section 7.1).
     """
 
     status: int
@@ -20,7 +20,7 @@
     chunked: bool = False
 
     def encode(self, *, close: bool, head_only: bool = False) -> bytes:
-        """Return the bytes for the wire; a ``Content-Length`` always states the whole body."""
+        """Return the bytes to send; ``Content-Length`` is that of the whole body, also if truncated."""
         connection = "close" if close else "keep-alive"
         framing = {"Content-Length": str(len(self.body))}
         if self.chunked:
@@ -38,12 +38,12 @@
         return b"%x\r\n%b\r\n%b" % (len(sent), sent, last)
 
 
-def json_answer(value: object, status: int = 200) -> Answer:
-    """Return an answer with a JSON body."""
-    return Answer(status, {"Content-Type": "application/json"}, json.dumps(value).encode())
+def json_response(value: object, status: int = 200) -> Response:
+    """Return a response with a JSON body."""
+    return Response(status, {"Content-Type": "application/json"}, json.dumps(value).encode())
 
 
-def refusal(reason: str) -> Answer:
-    """Return the answer to a request that was certainly not run."""
+def refused_response(reason: str) -> Response:
+    """Return the response to a request that was not run."""
     headers = {"Request-Outcome": "not-run", "Retry-After": "1", "Content-Type": "text/plain"}
-    return Answer(503, headers, reason.encode())
+    return Response(503, headers, reason.encode())
--- a/standins/backend/_server.py
+++ b/standins/backend/_server.py
@@ -1,4 +1,4 @@
-"""The stand-in itself: what it does with a request."""
+"""The backend server stand-in: execution, faults and admin endpoints."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 import attrs
 import xxhash
 
-from standins.backend._answer import Answer, json_answer, refusal
+from standins.backend._response import Response, json_response, refused_response
 from standins.backend._connection import Connection
 from standins.backend._faults import Faults
 from standins.backend._ledger import Ledger
@@ -21,16 +21,16 @@
 from standins.expected_body import expected_body
 
 DEFAULT_BODY_BYTES = 256
-CRASHED = 70
+CRASH_EXIT_STATUS = 70
 
 
-def end_process() -> None:
-    """End this process where it stands, as a fault in a server's own code does."""
-    os._exit(CRASHED)
+def exit_process() -> None:
+    """Exit at once without any clean-up, as a crash in a server's own code does."""
+    os._exit(CRASH_EXIT_STATUS)
 
 
 class BackendServer:
-    """A backend server with slots, endpoints for health and load, and faults on command."""
+    """A backend server with slots, health and load endpoints, and fault injection."""
 
     def __init__(
         self, *, name: str, slots: int, connections: int, service_ms: float, seed: int
@@ -44,77 +44,77 @@
         self.ledger = Ledger()
         self.journal: int | None = None
         self.connections: set[Connection] = set()
-        self.answering: set[asyncio.Task[None]] = set()
-        self.thawed = asyncio.Event()
-        self.thawed.set()
+        self.response_tasks: set[asyncio.Task[None]] = set()
+        self.unfrozen = asyncio.Event()
+        self.unfrozen.set()
         self.cold_since = self.now()
         self.drain_since = 0.0
         self.snapshots: deque[dict[str, object]] = deque(maxlen=2)
         self.sampler: asyncio.Task[None] | None = None
-        self.crash: Callable[[], None] = end_process
-        self.ending: asyncio.Task[None] | None = None
+        self.crash: Callable[[], None] = exit_process
+        self.crash_task: asyncio.Task[None] | None = None
         self.listener: asyncio.Server | None = None
 
     @staticmethod
     def now() -> float:
         return time.monotonic()
 
-    def happens(self, share: float) -> bool:
+    def draw_fault(self, share: float) -> bool:
         return share > 0 and self.random.random() < share
 
     @property
     def state(self) -> str:
         return "draining" if self.faults.drain else "ready"
 
-    async def answer(self, request: Request, connection: Connection) -> Answer | None:
-        """Return the answer; ``None`` closes the connection without one."""
+    async def respond(self, request: Request, connection: Connection) -> Response | None:
+        """Return the response; ``None`` closes the connection without one."""
         if request.path.startswith("/_admin/"):
-            return self.administer(request)
-        await self.thawed.wait()
-        answer = await self.answer_caller(request, connection)
-        if answer is not None:
-            answer.headers |= self.statement_headers()
-        return answer
+            return self.handle_admin_request(request)
+        await self.unfrozen.wait()
+        response = await self.respond_to_caller(request, connection)
+        if response is not None:
+            response.headers |= self.statement_headers()
+        return response
 
     def statement_headers(self) -> dict[str, str]:
-        """Return what it says that it takes."""
+        """Return the headers that state its rate limit and that it is leaving."""
         rate = {"Backend-Rate-Limit": self.faults.rate_limit} if self.faults.rate_limit else {}
         return rate | ({"Backend-Leaving": "1"} if self.faults.leaving else {})
 
-    async def answer_caller(self, request: Request, connection: Connection) -> Answer | None:
-        """Return the answer to anyone but those who drive the stand-in."""
+    async def respond_to_caller(self, request: Request, connection: Connection) -> Response | None:
+        """Respond to any request but those of the admin endpoints."""
         if request.path == "/health":
             self.ledger.health_reads += 1
-            return json_answer({"state": self.state})
+            return json_response({"state": self.state})
         if request.path == "/load":
             self.ledger.load_reads += 1
-            return json_answer(self.claimed_load())
-        answer = await self.serve(request, connection)
-        await self.thawed.wait()
-        return answer
-
-    async def serve(self, request: Request, connection: Connection) -> Answer | None:
-        """Refuse, or run the request in a slot."""
-        if self.happens(self.faults.fail_fast):
-            return Answer(500, {"Content-Type": "text/plain"}, b"failed")
-        reason = self.reason_to_refuse()
+            return json_response(self.reported_load())
+        response = await self.serve(request, connection)
+        await self.unfrozen.wait()
+        return response
+
+    async def serve(self, request: Request, connection: Connection) -> Response | None:
+        """Refuse the request, or run it in a slot."""
+        if self.draw_fault(self.faults.fail_fast):
+            return Response(500, {"Content-Type": "text/plain"}, b"failed")
+        reason = self.refusal_reason()
         if not reason and not await self.slots.acquire(request.timeout_s):
             reason = "deadline"
         if reason:
             self.ledger.refusals += 1
-            return refusal(reason)
+            return refused_response(reason)
         try:
             await self.run(request, connection)
         finally:
             self.slots.release()
-        if self.happens(self.faults.close_before_answer):
+        if self.draw_fault(self.faults.close_before_answer):
             return None
-        if self.happens(self.faults.late):
+        if self.draw_fault(self.faults.late):
             await asyncio.sleep(self.faults.late_ms / 1000)
-        return self.outcome(request)
+        return self.executed_response(request)
 
-    def reason_to_refuse(self) -> str:
-        if self.happens(self.faults.shed):
+    def refusal_reason(self) -> str:
+        if self.draw_fault(self.faults.shed):
             return "shed"
         grace_s = self.faults.drain_grace_ms / 1000
         if self.faults.drain and self.now() - self.drain_since >= grace_s:
@@ -122,13 +122,13 @@
         return ""
 
     async def run(self, request: Request, connection: Connection) -> None:
-        """Execute: from here on the request counts as run, whatever becomes of its caller."""
-        connection.begun_unsafe = not request.idempotent
+        """Execute the request; it counts as run from here on, even if its caller disconnects."""
+        connection.is_running_non_idempotent = not request.is_idempotent
         if self.faults.drain:
             self.ledger.last_run_after_drain_s = self.now() - self.drain_since
         key = request.headers.get("idempotency-key", "").strip('"')
-        for _ in range(2 if self.happens(self.faults.run_twice) else 1):
-            self.ledger.began(request.request_id, key)
+        for _ in range(2 if self.draw_fault(self.faults.run_twice) else 1):
+            self.ledger.record_execution(request.request_id, key)
             self.write_journal(request.request_id, key)
         self.ledger.peak = max(self.ledger.peak, self.slots.in_use)
         began = self.now()
@@ -137,39 +137,39 @@
                 await asyncio.sleep(self.faults.deadly_ms / 1000)
                 if self.faults.deadly_freezes:
                     self.set_faults(attrs.evolve(self.faults, freeze=True))
-                    await self.thawed.wait()
+                    await self.unfrozen.wait()
                 else:
-                    # A task of its own: this one ends with its connection.
-                    self.ending = asyncio.create_task(self.end_by_request())
-            own_ms = request.number("ms")
+                    # A separate task, since this one is cancelled with its connection.
+                    self.crash_task = asyncio.create_task(self.crash_from_request())
+            requested_ms = request.query_number("ms")
             await asyncio.sleep(
-                self.service_time.draw_s(self.faults, began, self.cold_since, own_ms)
+                self.service_time.draw_s(self.faults, began, self.cold_since, requested_ms)
             )
         finally:
             self.ledger.busy_s += self.now() - began
 
-    async def end_by_request(self) -> None:
-        """End by a request: all connections break, and new ones are taken for some time."""
+    async def crash_from_request(self) -> None:
+        """Crash; before the exit all connections may break while new ones are still accepted."""
         if self.faults.deadly_lingers_ms:
             for connection in list(self.connections):
                 if connection.transport is not None:
                     connection.transport.abort()
-            self.thawed.clear()
+            self.unfrozen.clear()
             await asyncio.sleep(self.faults.deadly_lingers_ms / 1000)
         self.crash()
 
     def write_journal(self, request_id: str, key: str) -> None:
-        """Write the execution down at once, where it outlasts this process."""
+        """Append the execution to the journal file, which survives a crash of this process."""
         if self.journal is not None:
             os.write(self.journal, f"{time.time():.3f}\t{request_id}\t{key}\n".encode())
 
-    def outcome(self, request: Request) -> Answer:
-        """Return the answer to a request that was run."""
-        if self.happens(self.faults.false_not_run):
-            return refusal("a lie")
-        size = request.number("bytes")
+    def executed_response(self, request: Request) -> Response:
+        """Return the response to a request that was run."""
+        if self.draw_fault(self.faults.false_not_run):
+            return refused_response("false not-run")
+        size = request.query_number("bytes")
         wanted = DEFAULT_BODY_BYTES if size is None else int(size)
-        wrong = self.happens(self.faults.wrong_body)
+        wrong = self.draw_fault(self.faults.wrong_body)
         body = expected_body("another" if wrong else request.request_id, wanted)
         headers = {
             "Content-Type": "application/octet-stream",
@@ -177,11 +177,11 @@
             "X-Body-Digest": xxhash.xxh64(request.body).hexdigest(),
             "X-Backend": self.name,
         }
-        cut = wanted // 2 if self.happens(self.faults.truncate) else None
-        return Answer(200, headers, body, cut, chunked=request.path.startswith("/chunked"))
+        sent_bytes = wanted // 2 if self.draw_fault(self.faults.truncate) else None
+        return Response(200, headers, body, sent_bytes, chunked=request.path.startswith("/chunked"))
 
     def load(self) -> dict[str, object]:
-        """Return the true load at this moment."""
+        """Return the true current load."""
         return {
             "in_use": self.slots.in_use,
             "slots": self.slots.total,
@@ -189,36 +189,36 @@
             "state": self.state,
         }
 
-    def claimed_load(self) -> dict[str, object]:
-        """Return what the load endpoint says: it may lag or mislead."""
-        said = self.snapshots[0] if self.snapshots else self.load()
-        return {**said, "in_use": 0, "queued": 0} if self.faults.mislead else said
+    def reported_load(self) -> dict[str, object]:
+        """Return what the load endpoint reports: it may be old or misleading."""
+        reported = self.snapshots[0] if self.snapshots else self.load()
+        return {**reported, "in_use": 0, "queued": 0} if self.faults.mislead else reported
 
     async def sample(self, lag_s: float) -> None:
-        """Keep two snapshots; the older one is between half and the whole lag old."""
+        """Keep two load snapshots; the older one has between half the lag and the full lag."""
         while True:
             self.snapshots.append(self.load())
             await asyncio.sleep(lag_s / 2)
 
-    def administer(self, request: Request) -> Answer:
-        """Answer the endpoints by which tests and the replay drive the stand-in."""
+    def handle_admin_request(self, request: Request) -> Response:
+        """Respond to the admin endpoints by which tests and the replay control the stand-in."""
         match request.method, request.path:
             case "GET", "/_admin/executions":
-                return json_answer(self.report())
+                return json_response(self.report())
             case "GET", "/_admin/stats":
-                return json_answer(self.stats())
+                return json_response(self.stats())
             case "GET", "/_admin/faults":
-                return json_answer(attrs.asdict(self.faults))
+                return json_response(attrs.asdict(self.faults))
             case "POST", "/_admin/faults":
                 return self.change_faults(request.body)
             case "POST", "/_admin/reset":
                 self.ledger = Ledger()
                 self.set_faults(Faults())
-                return json_answer({})
-        return json_answer({"error": f"no {request.method} {request.path} here"}, 404)
+                return json_response({})
+        return json_response({"error": f"no {request.method} {request.path} here"}, 404)
 
     def report(self) -> dict[str, object]:
-        """Return executions by request id and by key, with the statistics."""
+        """Return executions by request id and by key, and the statistics."""
         counts = {"requests": self.ledger.requests, "keys": self.ledger.keys}
         return {**counts, "stats": self.stats()}
 
@@ -228,25 +228,25 @@
         )
         return {**self.load(), **counts, "connections": len(self.connections)}
 
-    def change_faults(self, body: bytes) -> Answer:
+    def change_faults(self, body: bytes) -> Response:
         try:
             changes = json.loads(body or b"{}")
             self.set_faults(self.faults.updated(changes))
         except (ValueError, TypeError) as error:
-            return json_answer({"error": str(error)}, 400)
-        return json_answer(attrs.asdict(self.faults))
+            return json_response({"error": str(error)}, 400)
+        return json_response(attrs.asdict(self.faults))
 
     def set_faults(self, faults: Faults) -> None:
-        """Put ``faults`` into force; cold starts and drains count from now."""
+        """Put ``faults`` in force; a new cold start or drain counts from now."""
         before, self.faults = self.faults, faults
         if faults.cold_start_s != before.cold_start_s:
             self.cold_since = self.now()
         if faults.drain and not before.drain:
             self.drain_since = self.now()
         if faults.freeze:
-            self.thawed.clear()
+            self.unfrozen.clear()
         else:
-            self.thawed.set()
+            self.unfrozen.set()
         if faults.load_lag_ms != before.load_lag_ms:
             self.restart_sampler(faults.load_lag_ms / 1000)
 
@@ -257,13 +257,13 @@
         self.snapshots.clear()
 
     async def close(self) -> None:
-        """Stop listening, break every connection and end what still runs."""
+        """Stop listening, abort all connections and cancel all tasks."""
         if self.listener is not None:
             self.listener.close()
         for connection in list(self.connections):
             if connection.transport is not None:
                 connection.transport.abort()
-        tasks = [*self.answering, *([self.sampler] if self.sampler is not None else [])]
+        tasks = [*self.response_tasks, *([self.sampler] if self.sampler is not None else [])]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -279,9 +279,9 @@
     seed: int = 1,
     journal: str = "",
 ) -> BackendServer:
-    """Start a stand-in on ``host``; ``port`` 0 takes a free one. Its name is its address.
+    """Start a stand-in on ``host``, named by its address; ``port`` 0 picks a free port.
 
-    ``journal`` is a file to which each execution is written as it begins.
+    ``journal`` is a file to which each execution is appended when it starts.
     """
     server = BackendServer(
         name="", slots=slots, connections=connections, service_ms=service_ms, seed=seed
--- a/standins/backend/_slots.py
+++ b/standins/backend/_slots.py
@@ -1,11 +1,11 @@
-"""The slots of a backend server: requests over them wait inside it, which makes it slow."""
+"""Slots of a backend server; excess requests queue inside the server, which slows it down."""
 
 import asyncio
 from collections import deque
 
 
 class Slots:
-    """A counted set of slots with a first-in, first-out queue."""
+    """A semaphore with a FIFO queue and counters."""
 
     def __init__(self, total: int) -> None:
         self.total = total
@@ -17,7 +17,7 @@
         return sum(not waiter.done() for waiter in self.waiters)
 
     async def acquire(self, timeout: float | None) -> bool:
-        """Take a slot; false where none became free within ``timeout`` seconds."""
+        """Take a slot; return false if none became free within ``timeout`` seconds."""
         if self.in_use < self.total:
             self.in_use += 1
             return True
@@ -29,14 +29,14 @@
         except TimeoutError:
             return False
         except asyncio.CancelledError:
-            # A slot handed over in the same loop turn as the cancellation would be lost for good.
+            # A slot granted in the same event loop iteration as the cancellation would leak.
             if waiter.done() and not waiter.cancelled():
                 self.release()
             raise
         return True
 
     def release(self) -> None:
-        """Hand the slot to the longest waiting request, or free it."""
+        """Pass the slot to the request that has waited longest, or free it."""
         while self.waiters:
             waiter = self.waiters.popleft()
             if not waiter.done():
--- a/standins/platform/_backend.py
+++ b/standins/platform/_backend.py
@@ -5,14 +5,14 @@
 
 import attrs
 
-from standins.backend._answer import Answer
+from standins.backend._response import Response
 from standins.backend._connection import Connection
 from standins.backend._request import Request
 from standins.backend._server import BackendServer
 from standins.backend._slots import Slots
 
 SEAL_PREFIX = "seal-"
-REFUSED = 503
+SERVICE_UNAVAILABLE = 503
 HEALTH_PATH = "/health"
 
 
@@ -57,60 +57,62 @@
         self.bodies: list[bytes] = []
         self.cold_arrivals: list[float] = []
         self.received: list[Arrival] = []
-        self.owed: dict[Connection, Answer] = {}
-        self.silent: set[Connection] = set()
+        self.duplicates_due: dict[Connection, Response] = {}
+        self.silent_connections: set[Connection] = set()
         self.crash = self.simulate_crash
         self.idle_since: dict[Connection, float] = {}
 
-    async def answer(self, request: Request, connection: Connection) -> Answer | None:
+    async def respond(self, request: Request, connection: Connection) -> Response | None:
         now = time.monotonic()
         if self.keep_alive_s and now - self.idle_since.get(connection, now) > self.keep_alive_s:
             return None
-        answer = await self.answer_kept(request, connection)
-        if self.keep_alive_s and answer is not None:
-            answer.headers["Keep-Alive"] = f"timeout={self.keep_alive_s}"
+        response = await self.respond_on_open_connection(request, connection)
+        if self.keep_alive_s and response is not None:
+            response.headers["Keep-Alive"] = f"timeout={self.keep_alive_s}"
             self.idle_since[connection] = time.monotonic()
-        return answer
+        return response
 
-    async def answer_kept(self, request: Request, connection: Connection) -> Answer | None:
-        """Answer on a connection that is still kept."""
+    async def respond_on_open_connection(
+        self, request: Request, connection: Connection
+    ) -> Response | None:
+        """Respond on a connection that has not exceeded its keep-alive time."""
         if request.path == HEALTH_PATH:
-            status = REFUSED if self.faults.drain else 200
-            told = {"X-Instance-Id": self.instance, **self.load_header(), **self.cold_header()}
+            status = SERVICE_UNAVAILABLE if self.faults.drain else 200
+            headers = {"X-Instance-Id": self.instance, **self.load_header(), **self.cold_header()}
             if self.health_has_statements:
-                told |= self.statement_headers()
-            return Answer(status, told)
-        self.send_owed(connection)
+                headers |= self.statement_headers()
+            return Response(status, headers)
+        self.send_duplicate(connection)
         expected = request.headers.get("x-expected-instance", self.instance)
         if expected != self.instance:
-            return Answer(421, {"X-Instance-Id": self.instance, "X-Not-Executed": "1"})
+            return Response(421, {"X-Instance-Id": self.instance, "X-Not-Executed": "1"})
         if self.cold_left_s() > 0:
             self.cold_arrivals.append(asyncio.get_running_loop().time())
         request.headers["x-request-id"] = attempt = request.headers.get("x-attempt-id", "")
         self.received.append(Arrival(time.monotonic(), attempt))
         request.headers["request-timeout-ms"] = request.headers.get("x-deadline-ms", "")
-        answer = await self.serve(request, connection)
-        if connection in self.silent:
+        response = await self.serve(request, connection)
+        if connection in self.silent_connections:
             await asyncio.Event().wait()
-        if answer is None:
+        if response is None:
             return None
-        if answer.headers.pop("Request-Outcome", ""):
+        if response.headers.pop("Request-Outcome", ""):
             refused = {"X-Not-Executed": "1", "X-Attempt-Id": attempt}
-            return Answer(REFUSED, refused | self.statement_headers())
-        self.note(request)
-        answer.headers |= {"X-Attempt-Id": attempt, **self.load_header()}
-        answer.headers |= self.statement_headers()
+            return Response(SERVICE_UNAVAILABLE, refused | self.statement_headers())
+        self.record_executed(request)
+        response.headers |= {"X-Attempt-Id": attempt, **self.load_header()}
+        response.headers |= self.statement_headers()
         if self.unsealed_responses:
             self.unsealed_responses -= 1
         else:
-            answer.headers["X-Response-Seal"] = SEAL_PREFIX + attempt
+            response.headers["X-Response-Seal"] = SEAL_PREFIX + attempt
         if self.duplicate_responses:
             self.duplicate_responses -= 1
-            self.owed[connection] = answer
-        return answer
+            self.duplicates_due[connection] = response
+        return response
 
     def simulate_crash(self) -> None:
-        """Crash: break all connections and listen no more, with all that runs."""
+        """Abort all connections and stop listening, as a crash does, without exiting."""
         if self.listener is not None:
             self.listener.close()
         for connection in list(self.connections):
@@ -118,7 +120,7 @@
                 connection.transport.abort()
 
     async def restart(self, instance: str) -> None:
-        """Listen again after a crash, as another start."""
+        """Listen again after a crash, as another incarnation."""
         host, _, port = self.name.rpartition(":")
         self.instance = instance
         self.slots = Slots(self.slots.total)
@@ -126,11 +128,11 @@
         self.listener = await loop.create_server(lambda: Connection(self), host, int(port))
 
     def restart_without_closing(self, slots: int) -> None:
-        """Crash without a word and start again: old connections stay open and never answer."""
-        self.silent |= self.connections
+        """Start a new incarnation; existing connections stay open and never get a response."""
+        self.silent_connections |= self.connections
         self.slots = Slots(slots)
 
-    def note(self, request: Request) -> None:
+    def record_executed(self, request: Request) -> None:
         self.executed_headers.append(request.headers)
         self.targets.append(request.target)
         self.bodies.append(request.body)
@@ -150,21 +152,21 @@
         return rate | ({"Server-Leaving": "1"} if self.is_leaving else {})
 
     def load_header(self) -> dict[str, str]:
-        running, waiting = self.slots.in_use, self.slots.queued
+        in_use, queued = self.slots.in_use, self.slots.queued
         percent = round(self.slowdown * 100)
-        return {"X-Server-Load": f"{running},{waiting},{self.slots.total},{percent}"}
+        return {"X-Server-Load": f"{in_use},{queued},{self.slots.total},{percent}"}
 
-    def send_owed(self, connection: Connection) -> None:
-        """Send an answer that was given once already where the next request's answer is due."""
-        answer = self.owed.pop(connection, None)
-        if answer is not None and connection.transport is not None:
-            connection.transport.write(answer.encode(close=False))
+    def send_duplicate(self, connection: Connection) -> None:
+        """Send the previous response again, where the next request expects its own."""
+        response = self.duplicates_due.pop(connection, None)
+        if response is not None and connection.transport is not None:
+            connection.transport.write(response.encode(close=False))
 
 
 async def start_platform_backend(
     host: str, *, slots: int = 10, service_ms: float = 5.0, port: int = 0
 ) -> PlatformBackendServer:
-    """Start a stand-in; its name is its address."""
+    """Start a stand-in, named by its address."""
     server = PlatformBackendServer(slots=slots, service_ms=service_ms)
     loop = asyncio.get_running_loop()
     server.listener = await loop.create_server(lambda: Connection(server), host, port, backlog=512)
