--- a/standins/backend/_connection.py
+++ b/standins/backend/_connection.py
@@ -92,21 +92,21 @@
     def start_next(self) -> None:
         self.task = None
         if self.pending:
-            self.task = asyncio.create_task(self.respond(self.pending.popleft()))
+            self.task = asyncio.create_task(self.answer(self.pending.popleft()))
             self.server.response_tasks.add(self.task)
             self.task.add_done_callback(self.server.response_tasks.discard)
 
-    async def respond(self, request: Request) -> None:
+    async def answer(self, request: Request) -> None:
         self.is_running_non_idempotent = False
-        response = await self.server.respond(request, self)
+        answer = await self.server.answer(request, self)
         if self.transport is None or self.transport.is_closing():
             return
-        if response is None:
+        if answer is None:
             self.transport.abort()
             return
-        is_truncated = response.sent_bytes is not None
+        is_truncated = answer.sent_bytes is not None
         close = is_truncated or not request.keep_alive or self.server.faults.drain
-        self.transport.write(response.encode(close=close, head_only=request.method == "HEAD"))
+        self.transport.write(answer.encode(close=close, head_only=request.method == "HEAD"))
         if close:
             self.transport.close()
         else:
--- a/standins/backend/_response.py
+++ b/standins/backend/_response.py
@@ -20,7 +20,7 @@
     chunked: bool = False
 
     def encode(self, *, close: bool, head_only: bool = False) -> bytes:
-        """Return the bytes to send; ``Content-Length`` is that of the whole body, also if truncated."""
+        """Return the bytes to send; ``Content-Length`` is always that of the whole body."""
         connection = "close" if close else "keep-alive"
         framing = {"Content-Length": str(len(self.body))}
         if self.chunked:
--- a/standins/backend/_server.py
+++ b/standins/backend/_server.py
@@ -11,11 +11,11 @@
 import attrs
 import xxhash
 
-from standins.backend._response import Response, json_response, refused_response
 from standins.backend._connection import Connection
 from standins.backend._faults import Faults
 from standins.backend._ledger import Ledger
 from standins.backend._request import Request
+from standins.backend._response import Response, json_response, refused_response
 from standins.backend._service_time import ServiceTime
 from standins.backend._slots import Slots
 from standins.expected_body import expected_body
@@ -66,15 +66,15 @@
     def state(self) -> str:
         return "draining" if self.faults.drain else "ready"
 
-    async def respond(self, request: Request, connection: Connection) -> Response | None:
+    async def answer(self, request: Request, connection: Connection) -> Response | None:
         """Return the response; ``None`` closes the connection without one."""
         if request.path.startswith("/_admin/"):
             return self.handle_admin_request(request)
         await self.unfrozen.wait()
-        response = await self.respond_to_caller(request, connection)
-        if response is not None:
-            response.headers |= self.statement_headers()
-        return response
+        answer = await self.respond_to_caller(request, connection)
+        if answer is not None:
+            answer.headers |= self.statement_headers()
+        return answer
 
     def statement_headers(self) -> dict[str, str]:
         """Return the headers that state its rate limit and that it is leaving."""
--- a/standins/platform/_backend.py
+++ b/standins/platform/_backend.py
@@ -5,9 +5,9 @@
 
 import attrs
 
-from standins.backend._response import Response
 from standins.backend._connection import Connection
 from standins.backend._request import Request
+from standins.backend._response import Response
 from standins.backend._server import BackendServer
 from standins.backend._slots import Slots
 
@@ -62,15 +62,15 @@
         self.crash = self.simulate_crash
         self.idle_since: dict[Connection, float] = {}
 
-    async def respond(self, request: Request, connection: Connection) -> Response | None:
+    async def answer(self, request: Request, connection: Connection) -> Response | None:
         now = time.monotonic()
         if self.keep_alive_s and now - self.idle_since.get(connection, now) > self.keep_alive_s:
             return None
-        response = await self.respond_on_open_connection(request, connection)
-        if self.keep_alive_s and response is not None:
-            response.headers["Keep-Alive"] = f"timeout={self.keep_alive_s}"
+        answer = await self.respond_on_open_connection(request, connection)
+        if self.keep_alive_s and answer is not None:
+            answer.headers["Keep-Alive"] = f"timeout={self.keep_alive_s}"
             self.idle_since[connection] = time.monotonic()
-        return response
+        return answer
 
     async def respond_on_open_connection(
         self, request: Request, connection: Connection
