--- a/standins/gossip_network.py
+++ b/standins/gossip_network.py
@@ -1,4 +1,4 @@
-"""A network in memory for the pure protocol core, for scenarios and measurements."""
+"""A simulated network for the gossip core, without sockets, for scenarios and benchmarks."""
 
 import heapq
 import itertools
@@ -11,12 +11,12 @@
 from marjoramtide.membership import Member, MemberState, PacketCodec, SwimCore, SwimOptions
 
 KEY = "a key of a fleet in tests"
-LATENCY_S = (0.0005, 0.003)
+LATENCY_RANGE_S = (0.0005, 0.003)
 
 
 @attrs.define(slots=True, eq=False)
 class Node:
-    """A core with its address; ``held`` keeps datagrams that arrive while it is frozen."""
+    """A gossip core and its address; ``buffered`` holds datagrams received while it is frozen."""
 
     name: str
     core: SwimCore
@@ -24,18 +24,18 @@
     data_centre: str
     running: bool = True
     frozen: bool = False
-    held: list[tuple[bytes, str]] = attrs.field(factory=list)
+    buffered: list[tuple[bytes, str]] = attrs.field(factory=list)
 
     def states(self) -> dict[str, MemberState]:
-        """Return what this node believes of each member it holds, by name."""
+        """Return the state of each member in this node's view, by name."""
         entries = self.core.view.entries.values()
         return {entry.member.node: entry.member.state for entry in entries}
 
 
 class Network:
-    """Delivers datagrams after a few milliseconds, or loses them; time is a ``ManualClock``.
+    """Simulates latency, loss and partitions on a ``ManualClock``.
 
-    ``is_blocked`` tells of two nodes whether datagrams from the first can't reach the second.
+    ``is_blocked(sender, receiver)`` tells whether datagrams between these nodes are dropped.
     """
 
     def __init__(self, seed: int, options: SwimOptions | None = None) -> None:
@@ -46,8 +46,8 @@
         self.nodes_by_address: dict[str, Node] = {}
         self.loss = 0.0
         self.is_blocked: Callable[[Node, Node], bool] = lambda sender, receiver: False
-        self.queue: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = itertools.count()
+        self.events: list[tuple[float, int, Callable[[], None]]] = []
+        self.event_numbers = itertools.count()
         self.sent: list[tuple[str, str, bytes]] = []
         self.largest_datagram_bytes = 0
 
@@ -61,7 +61,7 @@
         incarnation: int | None = None,
         key: str = KEY,
     ) -> Node:
-        """Start a ready node that knows the addresses of all nodes before it."""
+        """Start a ready node whose seeds are all nodes started before it."""
         address = address or f"10.0.{len(self.nodes) // 200}.{len(self.nodes) % 200 + 1}:7100"
         member = Member(
             node=name,
@@ -82,49 +82,49 @@
         self._schedule(rng.uniform(0, self.options.tick_s), lambda: self._tick(node))
         return node
 
-    def run(self, seconds: float) -> None:
-        """Let time pass."""
-        end = self.clock.now + seconds
-        while self.queue and self.queue[0][0] <= end:
-            due, _, action = heapq.heappop(self.queue)
+    def run(self, duration_s: float) -> None:
+        """Run all events of the next ``duration_s`` of simulated time."""
+        end = self.clock.now + duration_s
+        while self.events and self.events[0][0] <= end:
+            due, _, action = heapq.heappop(self.events)
             self.clock.now = due
             action()
         self.clock.now = end
 
-    def run_until(self, condition: Callable[[], bool], limit: float) -> float:
-        """Let time pass until ``condition`` holds; return how long it took or ``limit``."""
-        begin = self.clock.now
-        while not condition() and self.clock.now - begin < limit:
+    def run_until(self, condition: Callable[[], bool], timeout_s: float) -> float:
+        """Run until ``condition`` holds or ``timeout_s`` is reached; return the simulated time."""
+        started_at = self.clock.now
+        while not condition() and self.clock.now - started_at < timeout_s:
             self.run(0.1)
-        return self.clock.now - begin
+        return self.clock.now - started_at
 
     def thaw(self, node: Node) -> None:
-        """Let a frozen node go on: it reads what its socket kept, then its timers fire."""
+        """Resume a frozen node: it receives the buffered datagrams, then its timers fire."""
         node.frozen = False
-        held, node.held = node.held, []
-        for data, address in held:
+        buffered, node.buffered = node.buffered, []
+        for data, address in buffered:
             self._receive(node, data, address)
 
     def flush(self, node: Node) -> None:
-        """Send what the node's core wants sent."""
+        """Send the pending datagrams of the node's core."""
         for address, data in node.core.drain():
             self.largest_datagram_bytes = max(self.largest_datagram_bytes, len(data))
             self.sent.append((node.address, address, data))
             self._transmit(node, address, data)
 
     def inject(self, data: bytes, sender_address: str, receiver: Node) -> None:
-        """Deliver bytes that no node of this network sent just now."""
+        """Deliver a datagram from outside, such as a forged or replayed one."""
         self._receive(receiver, data, sender_address)
 
     def _transmit(self, node: Node, address: str, data: bytes) -> None:
         receiver = self.nodes_by_address.get(address)
         if receiver is None or self.is_blocked(node, receiver) or self.rng.random() < self.loss:
             return
-        latency = self.rng.uniform(*LATENCY_S)
+        latency = self.rng.uniform(*LATENCY_RANGE_S)
         self._schedule(latency, lambda: self._receive(receiver, data, node.address))
 
     def _schedule(self, delay: float, action: Callable[[], None]) -> None:
-        heapq.heappush(self.queue, (self.clock.now + delay, next(self.order), action))
+        heapq.heappush(self.events, (self.clock.now + delay, next(self.event_numbers), action))
 
     def _tick(self, node: Node) -> None:
         if not node.running:
@@ -138,7 +138,7 @@
         if not node.running:
             return
         if node.frozen:
-            node.held.append((data, address))
+            node.buffered.append((data, address))
             return
         node.core.receive(data, address, self.clock.monotonic(), self.clock.wall())
         self.flush(node)
--- a/standins/object_store/__init__.py
+++ b/standins/object_store/__init__.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's object API, able to fail on command."""
+"""A stand-in for the platform's object store API, with fault injection."""
 
 from standins.object_store._app import ObjectStoreServer, make_app, make_server
 from standins.object_store._faults import Faults
--- a/standins/object_store/__main__.py
+++ b/standins/object_store/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the stand-in as a process: ``python -m standins.object_store --listen 127.0.0.1:8500``."""
+"""Runs the object store stand-in: ``python -m standins.object_store --listen 127.0.0.1:8500``."""
 
 import argparse
 import asyncio
@@ -37,7 +37,7 @@
     parser.add_argument("--listen", required=True, type=parse_address, metavar="IP:PORT")
     parser.add_argument("--writes-per-s", type=float, default=400)
     parser.add_argument("--reads-per-s", type=float, default=2000)
-    parser.add_argument("--history", type=int, default=1000, help="changes kept for each watch")
+    parser.add_argument("--history", type=int, default=1000, help="changes kept for watches")
     asyncio.run(serve(parser.parse_args()))
 
 
--- a/standins/object_store/_rate.py
+++ b/standins/object_store/_rate.py
@@ -1,21 +1,21 @@
-"""The rate limits of the stand-in."""
+"""Rate limits of the object store stand-in."""
 
 import time
 
 
-class Rate:
-    """A token bucket over one tenth of a second of calls."""
+class CallRateLimiter:
+    """A token bucket that holds a tenth of a second of calls."""
 
     def __init__(self, per_s: float) -> None:
         self.per_s = per_s
         self.burst = max(1.0, per_s / 10)
         self.tokens = self.burst
-        self.at = time.monotonic()
+        self.refilled_at = time.monotonic()
 
     def take(self) -> bool:
         now = time.monotonic()
-        self.tokens = min(self.burst, self.tokens + (now - self.at) * self.per_s)
-        self.at = now
+        self.tokens = min(self.burst, self.tokens + (now - self.refilled_at) * self.per_s)
+        self.refilled_at = now
         if self.tokens < 1:
             return False
         self.tokens -= 1
--- a/standins/object_store/_state.py
+++ b/standins/object_store/_state.py
@@ -1,4 +1,4 @@
-"""The objects, their versions and the history of changes."""
+"""Objects of the store, their versions and the change history."""
 
 import asyncio
 import itertools
@@ -9,7 +9,7 @@
 
 @attrs.frozen(slots=True)
 class Record:
-    """One version of one object; ``value`` is ``None`` where it was deleted."""
+    """One version of an object; ``value`` is ``None`` if this version deleted it."""
 
     key: str
     value: bytes | None
@@ -25,10 +25,10 @@
 
 
 class StoreState:
-    """All objects, in memory, under one counter of versions.
+    """All objects in memory, with one version counter for the whole store.
 
-    The history of changes is bounded for each collection (the first segment of a key), as where
-    each kind of object has a log of its own: claims do not push settings out.
+    The change history is bounded per collection (the first segment of a key), as in a store that
+    keeps one log for each kind of object, so that claims don't evict changes of settings.
     """
 
     def __init__(self, history: int = 1000) -> None:
@@ -36,66 +36,66 @@
         self.previous: dict[str, Record | None] = {}
         self.version = 0
         self.history = history
-        self.logs: dict[str, deque[Record]] = {}
-        self.trimmed: Counter[str] = Counter()
+        self.change_logs: dict[str, deque[Record]] = {}
+        self.trimmed_versions: Counter[str] = Counter()
         self.epoch = 0
         self.changed = asyncio.Event()
 
     def copy(self) -> "StoreCopy":
-        """Return a copy, as it may be put back later."""
+        """Return a copy of all objects for ``restore``."""
         return StoreCopy(self.version, dict(self.objects))
 
-    def restore(self, held: "StoreCopy") -> None:
-        """Come back from a copy: what was written since is gone, and versions count on from it."""
-        self.version = held.version
-        self.objects = dict(held.objects)
+    def restore(self, saved: "StoreCopy") -> None:
+        """Restore a copy: later writes are lost and the version counter goes back."""
+        self.version = saved.version
+        self.objects = dict(saved.objects)
         self.previous = {}
-        for log in self.logs.values():
-            while log and log[-1].version > held.version:
+        for log in self.change_logs.values():
+            while log and log[-1].version > saved.version:
                 log.pop()
         self.epoch += 1
         self.changed.set()
         self.changed = asyncio.Event()
 
     def put(self, key: str, value: bytes, if_version: int) -> Record | None:
-        """Write if the object has ``if_version`` (0: is absent); ``None`` where it has not."""
+        """Write if the object is at ``if_version`` (0: absent); else return ``None``."""
         current = self.objects.get(key)
         if (current.version if current else 0) != if_version:
             return None
         return self._append(key, value)
 
     def remove(self, key: str, if_version: int) -> Record | None:
-        """Delete if the object has ``if_version``; ``None`` where it has not."""
+        """Delete if the object is at ``if_version``; else return ``None``."""
         current = self.objects.get(key)
         if current is None or current.version != if_version:
             return None
         return self._append(key, None)
 
     def read(self, key: str, stale: bool = False) -> Record | None:
-        """Return the object, or with ``stale`` the version before it."""
+        """Return the object, or its previous version if ``stale``."""
         if stale and key in self.previous:
             return self.previous[key]
         return self.objects.get(key)
 
     def select(self, prefix: str, stale: bool = False) -> list[Record]:
-        """Return the objects under ``prefix`` in the order of their keys."""
+        """Return the objects under ``prefix``, sorted by key."""
         keys = sorted(key for key in self.objects | self.previous if key.startswith(prefix))
         records = (self.read(key, stale) for key in keys)
         return [record for record in records if record is not None]
 
     def has_gap(self, prefix: str, since: int) -> bool:
-        """Tell whether changes under ``prefix`` after ``since`` may have left the history."""
+        """Tell whether changes under ``prefix`` after ``since`` may have been trimmed."""
         return any(
             version > since
-            for name, version in self.trimmed.items()
+            for name, version in self.trimmed_versions.items()
             if prefix.startswith(f"{name}/") or name.startswith(prefix)
         )
 
     def changes(self, prefix: str, since: int) -> list[Record]:
-        """Return the changes under ``prefix`` after ``since`` in order."""
+        """Return the changes under ``prefix`` after ``since``, by version."""
         found = (
             record
-            for record in itertools.chain.from_iterable(self.logs.values())
+            for record in itertools.chain.from_iterable(self.change_logs.values())
             if record.version > since and record.key.startswith(prefix)
         )
         return sorted(found, key=lambda record: record.version)
@@ -107,10 +107,10 @@
         if value is not None:
             self.objects[key] = record
         collection = key.split("/", 1)[0]
-        log = self.logs.setdefault(collection, deque())
+        log = self.change_logs.setdefault(collection, deque())
         log.append(record)
         if len(log) > self.history:
-            self.trimmed[collection] = log.popleft().version
+            self.trimmed_versions[collection] = log.popleft().version
         self.changed.set()
         self.changed = asyncio.Event()
         return record
--- a/standins/platform/__init__.py
+++ b/standins/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins that speak what the users' platform and its backend servers speak."""
+"""Stand-ins for the users' platform: its store, backend servers and templates."""
 
 from standins.platform._backend import PlatformBackendServer, start_platform_backend
 from standins.platform._registrant import RegistrationClient
--- a/standins/platform/_registrant.py
+++ b/standins/platform/_registrant.py
@@ -1,4 +1,4 @@
-"""A backend server's calls to the node beside it."""
+"""Registration calls of a backend server to its node."""
 
 from typing import Any
 from urllib.parse import quote
@@ -12,7 +12,7 @@
 class RegistrationClient:
     """Sends heartbeats and departures to a node's registration address.
 
-    ``born`` is the Unix millisecond of the backend server's start, where it tells that.
+    ``born`` is the start time of the backend server in Unix milliseconds, if it states one.
     """
 
     node: str
@@ -26,29 +26,29 @@
     async def heartbeat(
         self, instance: str, *, state: str = "ready", sequence: int | None = None
     ) -> int:
-        """Send one heartbeat, in order unless ``sequence`` says otherwise; return the status."""
+        """Send a heartbeat with the next sequence number, or ``sequence``; return the status."""
         return await self.call("PUT", instance, self.body(state=state, sequence=sequence))
 
     def body(self, *, state: str = "ready", sequence: int | None = None) -> dict[str, Any]:
-        """Return what the next heartbeat holds."""
+        """Return the body of the next heartbeat."""
         if sequence is None:
             self.sequence += 1
             sequence = self.sequence
-        return self.own_start() | {
+        return self.birth_field() | {
             "Address": self.address,
             "Info": {"Service": self.service, "Version": "v1", "Zone": "z", "Slots": self.slots},
             "Status": {"State": state, "SeqNo": sequence, "ColdLeftMs": self.cold_left_ms},
         }
 
-    def own_start(self) -> dict[str, Any]:
+    def birth_field(self) -> dict[str, Any]:
         return {} if self.born is None else {"born": self.born}
 
     async def leave(self, instance: str) -> int:
-        """Say that this start leaves; return the status."""
-        return await self.call("DELETE", instance, self.own_start() or None)
+        """Announce the departure of this incarnation; return the status."""
+        return await self.call("DELETE", instance, self.birth_field() or None)
 
     async def call(self, method: str, instance: str, body: Any = None) -> int:
-        """Send a body as JSON, or bytes as they are; return the status."""
+        """Send a body as JSON, or bytes unchanged; return the status."""
         url = f"http://{self.node}/instances/{quote(instance, safe='')}"
         content = {"data": body} if isinstance(body, bytes) else {"json": body}
         async with (
--- a/standins/platform/_store.py
+++ b/standins/platform/_store.py
@@ -1,4 +1,4 @@
-"""The HTTP side of the platform's store."""
+"""HTTP server of the platform store stand-in."""
 
 import asyncio
 from collections import Counter
@@ -30,7 +30,7 @@
         self.calls: Counter[str] = Counter()
 
     def app(self) -> web.Application:
-        app = web.Application(middlewares=[self.fail])
+        app = web.Application(middlewares=[self.inject_faults])
         app.router.add_get("/objects/{kind}", self.list_or_watch)
         app.router.add_post("/objects/{kind}", self.create)
         app.router.add_get("/objects/{kind}/{name}", self.read)
@@ -39,44 +39,44 @@
         return app
 
     @web.middleware
-    async def fail(self, http: web.Request, handler: Handler) -> web.StreamResponse:
-        kind = "watches" if "Watch" in http.query else http.method
-        if "StaleOk" in http.query:
+    async def inject_faults(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+        kind = "watches" if "Watch" in request.query else request.method
+        if "StaleOk" in request.query:
             kind = "stale"
         self.calls[kind] += 1
-        if self.mode == "refuse" or self.address_of(http) in self.refused_addresses:
+        if self.mode == "refuse" or self.listening_address(request) in self.refused_addresses:
             return web.Response(status=503)
         if self.mode == "reset":
-            return self.cut(http)
-        response = await handler(http)
+            return self.abort_connection(request)
+        response = await handler(request)
         response.headers["Store-Era"] = str(self.state.era)
-        if http.method != "GET" and self.lose_answers:
+        if request.method != "GET" and self.lose_answers:
             self.lose_answers -= 1
-            return self.cut(http)
+            return self.abort_connection(request)
         return response
 
-    def address_of(self, http: web.Request) -> str:
-        """Return the address of the store at which a call came."""
-        if http.transport is None:
+    def listening_address(self, request: web.Request) -> str:
+        """Return the address of the store on which the request arrived."""
+        if request.transport is None:
             return ""
-        return "{}:{}".format(*http.transport.get_extra_info("sockname")[:2])
+        return "{}:{}".format(*request.transport.get_extra_info("sockname")[:2])
 
-    def cut(self, http: web.Request) -> web.Response:
-        if http.transport is not None:
-            http.transport.abort()
+    def abort_connection(self, request: web.Request) -> web.Response:
+        if request.transport is not None:
+            request.transport.abort()
         return web.Response(status=500)
 
-    async def list_or_watch(self, http: web.Request) -> web.StreamResponse:
-        kind = http.match_info["kind"]
-        if "Watch" in http.query:
-            return await self.watch(kind, int(http.query["Watch"]), int(http.query["WaitMs"]))
-        items, more = self.state.page(kind, http.query.get("after", ""), self.page_size)
+    async def list_or_watch(self, request: web.Request) -> web.StreamResponse:
+        kind = request.match_info["kind"]
+        if "Watch" in request.query:
+            return await self.watch(kind, int(request.query["Watch"]), int(request.query["WaitMs"]))
+        items, more = self.state.page(kind, request.query.get("after", ""), self.page_size)
         return web.json_response(
             {"items": items, "HasMore": more, "CurrentRev": self.state.revision}
         )
 
     async def watch(self, kind: str, since: int, wait_ms: int) -> web.Response:
-        ends = asyncio.get_running_loop().time() + wait_ms / 1000
+        ends_at = asyncio.get_running_loop().time() + wait_ms / 1000
         era = self.state.era
         while True:
             if self.state.era != era:
@@ -88,47 +88,47 @@
             if found:
                 break
             try:
-                async with asyncio.timeout_at(ends):
+                async with asyncio.timeout_at(ends_at):
                     await changed.wait()
             except TimeoutError:
                 break
         events = [{"Removed": each.removed, "Object": each.item} for each in found]
         return web.json_response({"events": events, "CurrentRev": self.state.revision})
 
-    async def read(self, http: web.Request) -> web.Response:
-        item = self.state.get(http.match_info["kind"], http.match_info["name"])
+    async def read(self, request: web.Request) -> web.Response:
+        item = self.state.get(request.match_info["kind"], request.match_info["name"])
         return web.json_response(item or {}, status=404 if item is None else 200)
 
-    async def create(self, http: web.Request) -> web.Response:
-        body = await http.json()
-        kind, name = http.match_info["kind"], body["Metadata"]["Name"]
-        held = self.state.get(kind, name)
-        if held is not None:
-            return web.json_response(held, status=409)
+    async def create(self, request: web.Request) -> web.Response:
+        body = await request.json()
+        kind, name = request.match_info["kind"], body["Metadata"]["Name"]
+        existing = self.state.get(kind, name)
+        if existing is not None:
+            return web.json_response(existing, status=409)
         item = self.state.put(kind, name, Specification=body["Specification"])
         return web.json_response(item, status=201)
 
-    async def replace(self, http: web.Request) -> web.Response:
-        body = await http.json()
-        kind, name = http.match_info["kind"], http.match_info["name"]
-        refused = self.condition(kind, name, body["Metadata"].get("Revision"))
-        if refused is not None:
-            return refused
+    async def replace(self, request: web.Request) -> web.Response:
+        body = await request.json()
+        kind, name = request.match_info["kind"], request.match_info["name"]
+        error = self.check_write_condition(kind, name, body["Metadata"].get("Revision"))
+        if error is not None:
+            return error
         return web.json_response(self.state.put(kind, name, Specification=body["Specification"]))
 
-    async def delete(self, http: web.Request) -> web.Response:
-        kind, name = http.match_info["kind"], http.match_info["name"]
-        refused = self.condition(kind, name, http.query.get("Revision"))
-        if refused is not None:
-            return refused
+    async def delete(self, request: web.Request) -> web.Response:
+        kind, name = request.match_info["kind"], request.match_info["name"]
+        error = self.check_write_condition(kind, name, request.query.get("Revision"))
+        if error is not None:
+            return error
         self.state.remove(kind, name)
         return web.json_response({})
 
-    def condition(self, kind: str, name: str, revision: Any) -> web.Response | None:
-        """Return the refusal of a write whose object is missing or of another revision."""
-        held: Item | None = self.state.get(kind, name)
-        if held is None:
+    def check_write_condition(self, kind: str, name: str, revision: Any) -> web.Response | None:
+        """Return the error response for a missing object or a different revision."""
+        existing: Item | None = self.state.get(kind, name)
+        if existing is None:
             return web.json_response({}, status=404)
-        if revision is not None and int(revision) != held["Metadata"]["Revision"]:
-            return web.json_response(held, status=409)
+        if revision is not None and int(revision) != existing["Metadata"]["Revision"]:
+            return web.json_response(existing, status=409)
         return None
--- a/standins/platform/_store_state.py
+++ b/standins/platform/_store_state.py
@@ -1,4 +1,4 @@
-"""The objects of the platform's store, their revisions and the history of changes."""
+"""Objects of the platform's store, their revisions and the change history."""
 
 import asyncio
 import copy
@@ -11,7 +11,7 @@
 
 @attrs.frozen(slots=True)
 class Change:
-    """One change of one object."""
+    """An entry of the change history."""
 
     revision: int
     kind: str
@@ -28,7 +28,7 @@
 
 
 class PlatformStoreState:
-    """Objects by kind and name, under one counter of revisions."""
+    """Objects by kind and name, with one revision counter for the whole store."""
 
     def __init__(self) -> None:
         self.revision = 0
@@ -42,19 +42,21 @@
         return self.kinds.get(kind, {}).get(name)
 
     def page(self, kind: str, after: str, size: int) -> tuple[list[Item], bool]:
-        """Return the objects of a kind behind ``after``, and whether there are more."""
+        """Return the objects of a kind after the name ``after``, and whether there are more."""
         names = sorted(name for name in self.kinds.get(kind, {}) if name > after)
         return [self.kinds[kind][name] for name in names[:size]], len(names) > size
 
     def put(self, kind: str, name: str, **fields: Any) -> Item:
-        """Write an object; a write that changes nothing leaves its revision."""
-        held = self.get(kind, name)
-        if held is not None and all(held.get(key) == value for key, value in fields.items()):
-            return held
-        item = copy.deepcopy(held) if held is not None else self.new_item(name)
+        """Write an object; a write that changes nothing keeps its revision."""
+        existing = self.get(kind, name)
+        if existing is not None and all(
+            existing.get(key) == value for key, value in fields.items()
+        ):
+            return existing
+        item = copy.deepcopy(existing) if existing is not None else self.new_item(name)
         item.update(fields)
         self.kinds.setdefault(kind, {})[name] = item
-        self.note(kind, item, removed=False)
+        self.record_change(kind, item, removed=False)
         return item
 
     def new_item(self, name: str) -> Item:
@@ -62,33 +64,33 @@
         return {"Metadata": metadata, "Specification": None, "Status": None}
 
     def remove(self, kind: str, name: str) -> None:
-        self.note(kind, self.kinds[kind].pop(name), removed=True)
+        self.record_change(kind, self.kinds[kind].pop(name), removed=True)
 
-    def note(self, kind: str, item: Item, *, removed: bool) -> None:
+    def record_change(self, kind: str, item: Item, *, removed: bool) -> None:
         self.revision += 1
         item["Metadata"]["Revision"] = self.revision
         self.history.append(Change(self.revision, kind, copy.deepcopy(item), removed))
         self.notify_watchers()
 
     def copy(self) -> "StoreCopy":
-        """Return a copy, as it may be put back later."""
+        """Return a copy of all objects for ``restore``."""
         return StoreCopy(self.revision, copy.deepcopy(self.kinds))
 
-    def restore(self, held: "StoreCopy") -> None:
-        """Come back from a copy: what was written since is gone, and revisions count on from it."""
-        self.revision = held.revision
-        self.kinds = copy.deepcopy(held.kinds)
-        self.history = [each for each in self.history if each.revision <= held.revision]
+    def restore(self, saved: "StoreCopy") -> None:
+        """Restore a copy: later writes are lost and the revision counter goes back."""
+        self.revision = saved.revision
+        self.kinds = copy.deepcopy(saved.kinds)
+        self.history = [each for each in self.history if each.revision <= saved.revision]
         self.era += 1
         self.notify_watchers()
 
     def notify_watchers(self) -> None:
-        """Let those that wait for a change look again."""
+        """Wake up waiting watches."""
         self.changed.set()
         self.changed = asyncio.Event()
 
     def compact_history(self) -> None:
-        """Drop all history, as the platform may at any time; watches that wait are cut."""
+        """Drop all history, as the platform may at any time; waiting watches get 410."""
         self.history.clear()
         self.compacted_revision = self.revision
         self.notify_watchers()
--- a/standins/platform/_template.py
+++ b/standins/platform/_template.py
@@ -1,4 +1,4 @@
-"""How the platform fills a text with a machine's settings."""
+"""The platform's templates, which render a machine's settings."""
 
 import json
 import re
@@ -9,32 +9,34 @@
 
 
 def render_template(text: str, fields: dict[str, Any]) -> str:
-    """Return the text with values, and with sections repeated for each entry of a list or table."""
-    return "".join(render(iter(TAG.split(text)), [fields], "", "", True))
+    """Substitute values and repeat sections for each entry of a list or table."""
+    return "".join(render_parts(iter(TAG.split(text)), [fields], "", "", True))
 
 
-def render(
-    parts: Iterator[str], scopes: list[Any], key: str, comma: str, wanted: bool
+def render_parts(
+    parts: Iterator[str], scopes: list[Any], key: str, separator: str, is_enabled: bool
 ) -> Iterator[str]:
-    """Yield the pieces up to the end of a section; ``parts`` is what splitting by tags gave."""
+    """Yield the text up to the end of a section; ``parts`` is the template split by ``TAG``."""
     for literal in parts:
-        if wanted:
+        if is_enabled:
             yield literal
         kind, name = next(parts, None), next(parts, "")
         if kind is None or kind == "/":
             return
         if kind == "#":
-            # The section's own pieces are kept, since each entry goes through them anew.
-            inner = list(section(parts, name))
-            for entry, each_key, last in entries(look_up(scopes, name)):
-                following = "" if last else ","
-                yield from render(iter(inner), [*scopes, entry], each_key, following, wanted)
-        elif wanted:
-            yield {"@": key, ",": comma}.get(name) or plain(look_up(scopes, name), name)
+            # A list, since the parts of the section are rendered again for each entry.
+            inner = list(section_parts(parts, name))
+            for entry, entry_key, last in section_entries(resolve(scopes, name)):
+                entry_separator = "" if last else ","
+                yield from render_parts(
+                    iter(inner), [*scopes, entry], entry_key, entry_separator, is_enabled
+                )
+        elif is_enabled:
+            yield {"@": key, ",": separator}.get(name) or render_value(resolve(scopes, name), name)
 
 
-def section(parts: Iterator[str], name: str) -> Iterator[str]:
-    """Yield the pieces of a section up to its end; sections don't nest under one name."""
+def section_parts(parts: Iterator[str], name: str) -> Iterator[str]:
+    """Yield the parts of a section up to its end; sections of one name don't nest."""
     for literal in parts:
         yield literal
         kind, tag = next(parts), next(parts)
@@ -43,14 +45,14 @@
         yield from (kind, tag)
 
 
-def entries(value: Any) -> Iterator[tuple[Any, str, bool]]:
-    """Yield each entry of a list or table with its key, and whether it is the last one."""
+def section_entries(value: Any) -> Iterator[tuple[Any, str, bool]]:
+    """Yield each entry of a list or table, its key and whether it is the last."""
     pairs = list(value.items() if isinstance(value, dict) else enumerate(value or ()))
     for number, (key, entry) in enumerate(pairs, start=1):
         yield entry, str(key), number == len(pairs)
 
 
-def look_up(scopes: list[Any], name: str) -> Any:
+def resolve(scopes: list[Any], name: str) -> Any:
     if name == ".":
         return scopes[-1]
     for scope in reversed(scopes):
@@ -67,7 +69,7 @@
     return None
 
 
-def plain(value: Any, name: str) -> str:
+def render_value(value: Any, name: str) -> str:
     if value is None or name in ("@", ","):
         return ""
     if isinstance(value, dict):
--- a/standins/raw_caller.py
+++ b/standins/raw_caller.py
@@ -1,4 +1,4 @@
-"""A caller that writes bytes of its own choice."""
+"""An HTTP client that sends arbitrary bytes."""
 
 import asyncio
 import re
@@ -6,32 +6,32 @@
 import attrs
 
 STATUS_LINE = re.compile(rb"^HTTP/[019.]+ (\d{3}) ", re.MULTILINE)
-RUN = re.compile(r"<(\d+)>")
+REPEAT = re.compile(r"<(\d+)>")
 SILENCE_S = 0.3
 
 
 @attrs.frozen(slots=True)
 class RawResponse:
-    """All that came back on the connection, and whether it was closed."""
+    """All bytes received on a connection, and whether the peer closed it."""
 
     data: bytes
     closed: bool
 
     @property
     def statuses(self) -> list[int]:
-        """Return the final statuses of the answers, in order."""
+        """Return the final statuses of the responses, in order."""
         found = [int(text) for text in STATUS_LINE.findall(self.data)]
         return [status for status in found if status >= 200]
 
 
 def unescape(text: str) -> bytes:
-    r"""Return the bytes of a form: ``\r\n`` escapes, and ``<900>`` for so many letters."""
-    plain = RUN.sub(lambda match: "a" * int(match[1]), text)
-    return plain.encode("latin-1").decode("unicode_escape").encode("latin-1")
+    r"""Return the bytes of ``text``: ``\r\n`` are escapes, ``<900>`` stands for 900 letters."""
+    expanded = REPEAT.sub(lambda match: "a" * int(match[1]), text)
+    return expanded.encode("latin-1").decode("unicode_escape").encode("latin-1")
 
 
 async def read_response(reader: asyncio.StreamReader, silence_s: float) -> RawResponse:
-    """Read until the end of the connection, or until nothing comes for ``silence_s``."""
+    """Read until the connection closes or nothing arrives for ``silence_s``."""
     data = b""
     while True:
         try:
@@ -49,7 +49,7 @@
 async def send_raw(
     address: str, *pieces: bytes, pause_s: float = 0.05, silence_s: float = SILENCE_S
 ) -> RawResponse:
-    """Send the pieces one after the other, and read what comes back."""
+    """Send the pieces one after the other and read the response."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
