--- a/standins/demo.py
+++ b/standins/demo.py
@@ -1,8 +1,8 @@
-"""Shows a mesh at work: ``make demo``.
+"""Runs a demonstration mesh: ``make demo``.
 
 Starts an object store, backend servers and their nodes on loopback, sends lookups, bookings and
-urgent lookups, kills one backend server with its node half-way, and holds what the callers were
-told against what the backend servers ran.
+urgent lookups, kills one backend server with its node half-way, and compares the outcomes that
+callers saw with the executions on the backend servers.
 """
 
 import asyncio
@@ -27,27 +27,31 @@
 )
 from standins.mesh import Mesh, make_plan
 
-SECONDS = 15.0
+DURATION_S = 15.0
 RATE_PER_S = 120.0
 KILL_AT_S = 7.0
 SEED = 20260402
 SERVICES = {"mapdesk": 4, "licencehub": 3}
-# Label, service, share of the traffic.
-MIX = (("lookup", "mapdesk", 0.6), ("urgent", "mapdesk", 0.15), ("booking", "licencehub", 0.25))
+# Label, service and share of the traffic.
+TRAFFIC_MIX = (
+    ("lookup", "mapdesk", 0.6),
+    ("urgent", "mapdesk", 0.15),
+    ("booking", "licencehub", 0.25),
+)
 
 
 def plan_calls() -> list[PlannedCall]:
-    """Return the traffic of the demo: arrivals at random, the same on each run."""
+    """Return the calls of the demo: a Poisson process with a fixed seed."""
     rng = random.Random(SEED)
     times = itertools.takewhile(
-        lambda at: at < SECONDS,
+        lambda at: at < DURATION_S,
         itertools.accumulate(rng.expovariate(RATE_PER_S) for _ in itertools.count()),
     )
     return [make_call(number, at, rng) for number, at in enumerate(times)]
 
 
 def make_call(number: int, at_s: float, rng: random.Random) -> PlannedCall:
-    label, service, _ = rng.choices(MIX, [share for _, _, share in MIX])[0]
+    label, service, _ = rng.choices(TRAFFIC_MIX, [share for _, _, share in TRAFFIC_MIX])[0]
     booking = label == "booking"
     return PlannedCall(
         at_s=at_s,
@@ -65,17 +69,17 @@
 
 
 async def show_progress(mesh: Mesh, started: float) -> None:
-    """Print one line that tells where the demo stands."""
+    """Print elapsed time and running nodes on one line, every half second."""
     while True:
-        passed = time.monotonic() - started
+        elapsed_s = time.monotonic() - started
         running = sum(node.process is not None and node.process.running for node in mesh.nodes)
-        line = f"\r{passed:5.1f} s of {SECONDS:.0f}: {running} of {len(mesh.nodes)} nodes run"
+        line = f"\r{elapsed_s:5.1f} s of {DURATION_S:.0f}: {running} of {len(mesh.nodes)} nodes run"
         print(line, end="", flush=True)
         await asyncio.sleep(0.5)
 
 
-async def kill_one(mesh: Mesh) -> None:
-    """Kill a backend server with its node, without warning."""
+async def kill_first_instance(mesh: Mesh) -> None:
+    """Kill a backend server and its node with SIGKILL."""
     await asyncio.sleep(KILL_AT_S)
     victim = mesh.nodes[0]
     print(f"\nkilling {victim.name} with its backend server")
@@ -83,7 +87,7 @@
 
 
 def print_table(tallies: dict[str, Tally]) -> None:
-    """Print outcomes and latencies by class."""
+    """Print outcomes and latencies by class of calls."""
     columns = ("class", "calls", "completed", "not-run", "unknown", "p50 ms", "p99 ms", "worst ms")
     print(("{:<9}" + "{:>11}" * 7).format(*columns))
     for label, each in sorted(tallies.items()):
@@ -93,8 +97,8 @@
         print(("{:<9}" + "{:>11}" * 7).format(*row))
 
 
-def verdict(results: list[CallResult], found: Audit) -> int:
-    """Print the closing line and return the exit status."""
+def print_summary(results: list[CallResult], audit_result: Audit) -> int:
+    """Print the summary line and return the exit status."""
     count = tally(results)[""].outcomes
     refused = count[Outcome.NOT_RUN] + count[Outcome.UNREACHABLE]
     unknown = count[Outcome.UNKNOWN] + count[Outcome.FAILED]
@@ -103,14 +107,14 @@
         for result in results
         if result.call.idempotent and result.outcome in (Outcome.UNKNOWN, Outcome.FAILED)
     ]
-    if found.false_not_run or found.unrun:
-        print(f"false not-run: {found.false_not_run}; never ran: {found.unrun}")
+    if audit_result.false_not_run or audit_result.unrun:
+        print(f"false not-run: {audit_result.false_not_run}; never ran: {audit_result.unrun}")
     print(
         f"demo: {len(results)} requests, {count[Outcome.COMPLETED]} completed, "
-        f"{refused} not-run, {unknown} unknown, {len(found.wrong)} wrong, "
-        f"{len(found.duplicates)} duplicate"
+        f"{refused} not-run, {unknown} unknown, {len(audit_result.wrong)} wrong, "
+        f"{len(audit_result.duplicates)} duplicate"
     )
-    return 0 if found.is_clean and not lost_lookups else 1
+    return 0 if audit_result.is_clean and not lost_lookups else 1
 
 
 async def run() -> int:
@@ -120,19 +124,19 @@
             await mesh.wait_until_ready()
             calls = plan_calls()
             callers = [node.callers for node in mesh.nodes]
-            side = [
+            background_tasks = [
                 asyncio.create_task(show_progress(mesh, time.monotonic())),
-                asyncio.create_task(kill_one(mesh)),
+                asyncio.create_task(kill_first_instance(mesh)),
             ]
             results = await play(calls, dict.fromkeys(SERVICES, callers), seed=SEED)
-            for task in side:
+            for task in background_tasks:
                 task.cancel()
                 with contextlib.suppress(asyncio.CancelledError):
                     await task
             print()
-            found = audit(results, [StandInReport("all", *mesh.executions(), {})])
+            audit_result = audit(results, [StandInReport("all", *mesh.executions(), {})])
     print_table(tally(results))
-    return verdict(results, found)
+    return print_summary(results, audit_result)
 
 
 if __name__ == "__main__":
--- a/standins/mesh/__init__.py
+++ b/standins/mesh/__init__.py
@@ -1,4 +1,4 @@
-"""A mesh of real processes on loopback: store, backend servers and their nodes.
+"""A mesh of processes on loopback: object store, backend servers and their nodes.
 
 For example::
 
--- a/standins/mesh/_mesh.py
+++ b/standins/mesh/_mesh.py
@@ -1,4 +1,4 @@
-"""A whole mesh of processes."""
+"""Starts and stops the processes of a mesh."""
 
 import asyncio
 import time
@@ -21,12 +21,12 @@
 
 
 def default_tree(services: Sequence[str]) -> str:
-    """Return a settings tree with just these services."""
+    """Return a settings tree with these services and no other settings."""
     return "".join(f"[services.{service}]\n" for service in services)
 
 
 class Mesh:
-    """Store, backend servers and nodes; everything it starts ends with it."""
+    """Store, backend servers and nodes; leaving its context kills all of its processes."""
 
     def __init__(
         self, folder: Path, plans: Sequence[NodePlan], tree: str = "", host: str = ""
@@ -44,7 +44,7 @@
         ]
 
     def make_node(self, name: str, plan: NodePlan) -> MeshNode:
-        """Return another pair for this mesh; nothing is started yet."""
+        """Return another node with its backend server, neither of them started."""
         return make_mesh_node(name, plan, self.host, f"http://{self.store_address}", self.folder)
 
     async def __aenter__(self) -> Self:
@@ -66,12 +66,12 @@
         await asyncio.gather(*(node.start_node() for node in self.nodes))
 
     async def start_store(self) -> None:
-        """Start the object store stand-in and wait until it answers."""
+        """Start the object store stand-in and wait until it responds."""
         arguments = ["standins.object_store", "--listen", self.store_address]
         self.store = await start_process("store", arguments, self.folder)
-        await self.wait_for(self.store_answers)
+        await self.wait_for(self.is_store_responding)
 
-    async def store_answers(self) -> bool:
+    async def is_store_responding(self) -> bool:
         try:
             await self.store_json("GET", "/stats")
         except aiohttp.ClientError:
@@ -79,7 +79,7 @@
         return True
 
     async def store_json(self, method: str, path: str, body: Any = None) -> Any:
-        """Call one of the stand-in's own pages (``/stats``, ``/faults``)."""
+        """Call a control endpoint of the store stand-in, such as ``/stats`` or ``/faults``."""
         async with (
             aiohttp.ClientSession() as session,
             session.request(method, f"http://{self.store_address}{path}", json=body) as response,
@@ -106,43 +106,44 @@
             response.raise_for_status()
 
     def supervise_servers(self, delay_s: float) -> None:
-        """Start each backend server that ends again after ``delay_s`` seconds, as its host does."""
+        """Restart each backend server ``delay_s`` seconds after it exits, as its host does."""
         self.supervisors = [
-            asyncio.create_task(self.supervise(node, delay_s)) for node in self.nodes
+            asyncio.create_task(self.restart_on_exit(node, delay_s)) for node in self.nodes
         ]
 
-    async def supervise(self, node: MeshNode, delay_s: float) -> None:
+    async def restart_on_exit(self, node: MeshNode, delay_s: float) -> None:
         while node.server is not None:
             await node.server.process.wait()
             await asyncio.sleep(delay_s)
             await node.start_server()
 
     def kill_nodes_serving(self, prefix: str, delay_s: float, after_s: float = 0.0) -> None:
-        """Kill each node beside whose server a request runs whose id begins with ``prefix``.
+        """Kill each node whose server runs a request with an id that starts with ``prefix``.
 
-        That is ``after_s`` seconds after the run was seen; it is started again after ``delay_s``.
+        The node is killed ``after_s`` seconds after the execution shows in the journal, and started
+        again ``delay_s`` seconds later.
         """
         self.supervisors += [
-            asyncio.create_task(self.kill_when_serving(node, prefix, delay_s, after_s))
+            asyncio.create_task(self.kill_on_request(node, prefix, delay_s, after_s))
             for node in self.nodes
         ]
 
-    async def kill_when_serving(
+    async def kill_on_request(
         self, node: MeshNode, prefix: str, delay_s: float, after_s: float
     ) -> None:
-        seen = 0
+        seen_count = 0
         while node.process is not None:
             await asyncio.sleep(POLL_S)
-            served = sum(request.startswith(prefix) for _, request, _ in node.journal())
-            if served > seen:
-                seen = served
+            served_count = sum(request.startswith(prefix) for _, request, _ in node.journal())
+            if served_count > seen_count:
+                seen_count = served_count
                 await asyncio.sleep(after_s)
                 await node.process.kill()
                 await asyncio.sleep(delay_s)
                 await node.start_node()
 
     async def wait_until_ready(self, timeout: float = READY_TIMEOUT_S) -> None:
-        """Wait until a request of each service is answered through every running node."""
+        """Wait until every running node serves requests of each service."""
         services = {node.plan.service for node in self.nodes}
         for node in self.nodes:
             if node.process is not None and node.process.running:
@@ -150,7 +151,7 @@
                     await self.wait_for(partial(self.is_serving, node, service), timeout)
 
     async def is_serving(self, node: MeshNode, service: str) -> bool:
-        """Tell whether a lookup of ``service`` is answered through this node."""
+        """Tell whether a lookup of ``service`` succeeds through this node."""
         headers = {"Host": service, "X-Request-Id": "ready"}
         try:
             async with (
@@ -162,29 +163,29 @@
             return False
 
     async def wait_for(self, condition: Any, timeout: float = READY_TIMEOUT_S) -> None:
-        """Poll until ``condition`` holds; raises ``TimeoutError`` with what the processes said."""
+        """Poll until ``condition`` holds; raises ``TimeoutError`` with the processes' output."""
         try:
             async with asyncio.timeout(timeout):
                 while not await condition():
                     await asyncio.sleep(POLL_S)
         except TimeoutError as error:
-            raise TimeoutError(f"not so after {timeout} s\n{self.output()}") from error
+            raise TimeoutError(f"condition not met after {timeout} s\n{self.output()}") from error
 
     def executions(self) -> tuple[Counter[str], Counter[str]]:
-        """Return executions by request id and by key over all servers there ever were."""
-        both = [node.executions() for node in self.nodes]
-        by_request = sum((requests for requests, _ in both), Counter[str]())
-        return by_request, sum((keys for _, keys in both), Counter[str]())
+        """Return executions by request id and by key over all backend servers, killed ones too."""
+        counts = [node.executions() for node in self.nodes]
+        by_request = sum((requests for requests, _ in counts), Counter[str]())
+        return by_request, sum((keys for _, keys in counts), Counter[str]())
 
     def output(self) -> str:
-        """Return the last lines of every process."""
+        """Return the last lines of output of every process."""
         return "\n".join(
             f"== {path.name}\n" + "\n".join(path.read_text(errors="replace").splitlines()[-15:])
             for path in sorted(self.folder.glob("*.log"))
         )
 
     async def stop(self) -> None:
-        """End every process."""
+        """Cancel the supervisors and kill every process."""
         for task in self.supervisors:
             task.cancel()
         await asyncio.gather(*self.supervisors, return_exceptions=True)
--- a/standins/mesh/_mesh_node.py
+++ b/standins/mesh/_mesh_node.py
@@ -1,4 +1,4 @@
-"""A backend server stand-in and the node beside it, as processes."""
+"""A backend server stand-in and its node, as processes."""
 
 from collections import Counter
 from pathlib import Path
@@ -17,7 +17,7 @@
 
 @attrs.define(slots=True, eq=False)
 class MeshNode:
-    """The addresses of a pair, and its processes while they run."""
+    """Addresses and processes of a node and its backend server."""
 
     name: str
     plan: NodePlan
@@ -41,7 +41,7 @@
         return self.folder / f"{self.name}.journal"
 
     def executions(self) -> tuple[Counter[str], Counter[str]]:
-        """Return executions by request id and by key, also of a server that was killed."""
+        """Return executions by request id and by key, also of backend servers that were killed."""
         rows = self.journal()
         requests = Counter(request for _, request, _ in rows if request)
         return requests, Counter(key for _, _, key in rows if key)
@@ -88,13 +88,13 @@
         self.process = await start_process(self.name, arguments, self.folder)
 
     async def kill(self) -> None:
-        """End backend server and node at once, as the loss of their instance would."""
+        """Kill the backend server and the node, as the loss of their instance does."""
         for process in (self.process, self.server):
             if process is not None:
                 await process.kill()
 
     async def set_faults(self, **faults: Any) -> None:
-        """Tell the backend server stand-in how to fail."""
+        """Inject faults into the backend server stand-in."""
         async with (
             aiohttp.ClientSession() as session,
             session.post(f"http://{self.backend}/_admin/faults", json=faults) as response,
@@ -102,7 +102,7 @@
             response.raise_for_status()
 
     async def server_json(self, path: str) -> Any:
-        """Read one of the stand-in's own pages (``executions``, ``stats``)."""
+        """Read an admin endpoint of the stand-in, such as ``executions`` or ``stats``."""
         async with (
             aiohttp.ClientSession() as session,
             session.get(f"http://{self.backend}/_admin/{path}") as response,
@@ -111,6 +111,6 @@
 
 
 def make_mesh_node(name: str, plan: NodePlan, host: str, store: str, folder: Path) -> MeshNode:
-    """Return a pair with addresses of its own; nothing is started yet."""
+    """Return a node and backend server with free addresses, neither of them started."""
     addresses = [f"{host}:{free_port(host)}" for _ in range(5)]
     return MeshNode(name, plan, *addresses, folder=folder, store=store)
--- a/standins/mesh/_plan.py
+++ b/standins/mesh/_plan.py
@@ -1,4 +1,4 @@
-"""What a mesh consists of."""
+"""Plans of the nodes and backend servers of a mesh."""
 
 import itertools
 from collections.abc import Mapping
@@ -12,8 +12,8 @@
 class NodePlan:
     """One backend server with its node.
 
-    ``deadly`` is the path of requests that end the backend server while it runs them, or freeze it.
-    It goes on taking connections for ``deadly_lingers_ms`` while it ends.
+    ``deadly`` is the path of requests that crash the backend server while they run, or freeze it if
+    ``deadly_freezes``. It accepts connections for ``deadly_lingers_ms`` before it exits.
     """
 
     service: str
@@ -30,11 +30,11 @@
 def make_plan(
     services: Mapping[str, int], slots: int = 10, service_ms: float = 20.0
 ) -> list[NodePlan]:
-    """Return backend servers of each service, spread over the data centres in turn."""
-    wanted = [service for service, count in services.items() for _ in range(count)]
+    """Return backend servers of each service, assigned to the data centres in turn."""
+    service_per_server = [service for service, count in services.items() for _ in range(count)]
     return [
         NodePlan(service, data_centre, slots, service_ms, seed)
         for seed, (service, data_centre) in enumerate(
-            zip(wanted, itertools.cycle(DATA_CENTRES), strict=False), start=1
+            zip(service_per_server, itertools.cycle(DATA_CENTRES), strict=False), start=1
         )
     ]
--- a/standins/mesh/_process.py
+++ b/standins/mesh/_process.py
@@ -1,4 +1,4 @@
-"""A process that was started here and is ended here."""
+"""Child processes of a mesh."""
 
 import asyncio
 import os
@@ -9,13 +9,13 @@
 
 import attrs
 
-ROOT = Path(__file__).resolve().parents[2]
-END_TIMEOUT_S = 5.0
+PROJECT_ROOT = Path(__file__).resolve().parents[2]
+STOP_TIMEOUT_S = 5.0
 
 
 @attrs.define(slots=True, eq=False)
 class ManagedProcess:
-    """A Python module run as a process, its output kept in one file."""
+    """A Python module run as a process, with its output in one file."""
 
     name: str
     process: asyncio.subprocess.Process
@@ -26,51 +26,51 @@
         return self.process.returncode is None
 
     def signal(self, number: signal.Signals) -> None:
-        """Send a signal, unless the process has ended."""
+        """Send a signal, unless the process has exited."""
         if self.running:
             self.process.send_signal(number)
 
     async def kill(self) -> None:
-        """End the process at once, as a power cut would."""
+        """Kill the process with SIGKILL, as a power cut would."""
         self.signal(signal.SIGKILL)
         await self.process.wait()
 
     async def stop(self) -> int:
-        """Ask the process to end, wait, and return its exit status."""
+        """Send SIGTERM, wait, and return the exit status; kill the process after a timeout."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         try:
-            async with asyncio.timeout(END_TIMEOUT_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 return await self.process.wait()
         except TimeoutError:
             await self.kill()
             return -signal.SIGKILL
 
     def freeze(self) -> None:
-        """Stop the process where it stands."""
+        """Suspend the process with SIGSTOP."""
         self.signal(signal.SIGSTOP)
 
     def thaw(self) -> None:
-        """Let a frozen process go on."""
+        """Resume a suspended process."""
         self.signal(signal.SIGCONT)
 
     def text(self) -> str:
-        """Return all that the process has printed."""
+        """Return the output so far."""
         return self.output.read_text(errors="replace")
 
 
 async def start_process(name: str, arguments: Sequence[str], folder: Path) -> ManagedProcess:
-    """Start ``python -m`` with ``arguments``, printing into a file in ``folder``."""
+    """Start ``python -m`` with ``arguments``, with its output in a file in ``folder``."""
     output = folder / f"{name}.log"
-    with output.open("ab") as sink:
+    with output.open("ab") as log_file:
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
             *arguments,
-            cwd=ROOT,
+            cwd=PROJECT_ROOT,
             stdin=asyncio.subprocess.DEVNULL,
-            stdout=sink,
-            stderr=sink,
-            env={**os.environ, "PYTHONPATH": f"{ROOT / 'src'}:{ROOT}"},
+            stdout=log_file,
+            stderr=log_file,
+            env={**os.environ, "PYTHONPATH": f"{PROJECT_ROOT / 'src'}:{PROJECT_ROOT}"},
         )
     return ManagedProcess(name, process, output)
