--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load and replay: traces played against real node and stand-in processes."""
+"""Benchmarks: load generation and trace replay against node and stand-in processes."""
--- a/bench/load/__init__.py
+++ b/bench/load/__init__.py
@@ -1,7 +1,8 @@
-"""The load tool: plays planned calls in an open loop and checks every answer.
+"""The load tool: sends planned calls in an open loop and checks every response.
 
 For example, ``results = await play(calls, {"mapdesk": ["127.0.0.1:8080"]})`` and then
-``audit(results, await backends.reports())`` tells what was run twice or falsely "not run".
+``audit(results, await backends.reports())`` finds requests that ran twice or were falsely
+reported as "not run".
 """
 
 from bench.load._attempt import Attempt
--- a/bench/load/_attempt.py
+++ b/bench/load/_attempt.py
@@ -1,4 +1,4 @@
-"""One try of a call."""
+"""One attempt of a call."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen(slots=True)
 class Attempt:
-    """What one request brought; ``elapsed_ms`` counts from its own sending."""
+    """The result of one request; ``elapsed_ms`` counts from when it was sent."""
 
     request_id: str
     outcome: Outcome
--- a/bench/load/_audit.py
+++ b/bench/load/_audit.py
@@ -1,4 +1,4 @@
-"""Holds what callers were told against what the backend servers ran."""
+"""Compares the outcomes that callers saw with the executions on the backend servers."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -13,12 +13,14 @@
 
 @attrs.frozen(slots=True)
 class Audit:
-    """Promises broken, by request id or key, and work spent in vain.
+    """Violated guarantees, by request id or key, and wasted work.
 
-    ``duplicates`` are non-idempotent actions that ran more than once, ``false_not_run`` requests
-    that ran although their caller was told they did not, ``wrong`` answers that were passed off as
-    whole and were not the caller's own, ``unrun`` requests reported as completed that never ran.
-    ``wasted`` counts executions that no completed attempt has to show for.
+    * ``duplicates``: non-idempotent requests that ran more than once
+    * ``false_not_run``: requests that ran and were reported to their caller as not run
+    * ``wrong``: successful responses that are incomplete or belong to another request
+    * ``unrun``: requests that were reported as completed and never ran
+
+    ``wasted`` is the number of executions without a completed attempt.
     """
 
     duplicates: tuple[str, ...]
@@ -34,32 +36,34 @@
 
 
 def audit(results: Iterable[CallResult], reports: Iterable[StandInReport]) -> Audit:
-    """Compare results with the executions counted by all the backend servers together."""
-    calls, asked = list(results), list(reports)
-    by_request = sum((report.requests for report in asked), Counter[str]())
-    by_key = sum((report.keys for report in asked), Counter[str]())
+    """Compare results with the executions on all backend servers."""
+    calls, all_reports = list(results), list(reports)
+    by_request = sum((report.requests for report in all_reports), Counter[str]())
+    by_key = sum((report.keys for report in all_reports), Counter[str]())
     attempts = [attempt for result in calls for attempt in result.attempts]
-    # Each attempt has a request id of its own. So a call with a key is judged by the key, which
-    # all of its attempts share; one without, by the request id of each attempt.
-    unsafe = [result for result in calls if not result.call.idempotent]
-    doubled_keys = {result.call.key for result in unsafe if by_key[result.call.key] > 1}
-    doubled_ids = {
+    # Each attempt has its own request id, and all attempts of a call share its key. Duplicates are
+    # therefore found by key if the call has one, else by the request id of each attempt.
+    non_idempotent = [result for result in calls if not result.call.idempotent]
+    duplicate_keys = {result.call.key for result in non_idempotent if by_key[result.call.key] > 1}
+    duplicate_ids = {
         attempt.request_id
-        for result in unsafe
+        for result in non_idempotent
         for attempt in result.attempts
         if not result.call.key and by_request[attempt.request_id] > 1
     }
     executions = by_request.total()
     return Audit(
-        duplicates=tuple(sorted(doubled_keys | doubled_ids)),
-        false_not_run=ids(
+        duplicates=tuple(sorted(duplicate_keys | duplicate_ids)),
+        false_not_run=sorted_request_ids(
             attempt
             for attempt in attempts
             if attempt.outcome in (Outcome.NOT_RUN, Outcome.UNREACHABLE)
             and by_request[attempt.request_id]
         ),
-        wrong=ids(attempt for attempt in attempts if attempt.outcome is Outcome.WRONG),
-        unrun=ids(
+        wrong=sorted_request_ids(
+            attempt for attempt in attempts if attempt.outcome is Outcome.WRONG
+        ),
+        unrun=sorted_request_ids(
             attempt
             for attempt in attempts
             if attempt.outcome is Outcome.COMPLETED
@@ -76,6 +80,6 @@
     )
 
 
-def ids(attempts: Iterable[Attempt]) -> tuple[str, ...]:
+def sorted_request_ids(attempts: Iterable[Attempt]) -> tuple[str, ...]:
     """Return the request ids of ``attempts``, sorted."""
     return tuple(sorted(attempt.request_id for attempt in attempts))
--- a/bench/load/_backends.py
+++ b/bench/load/_backends.py
@@ -1,4 +1,4 @@
-"""Drives the backend server stand-ins and asks them what they ran."""
+"""Client of the admin endpoints of backend server stand-ins."""
 
 import asyncio
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class Backends:
-    """A client of the stand-ins' own endpoints; addresses are ``IP:PORT``."""
+    """Controls a group of stand-ins; addresses are ``IP:PORT``."""
 
     def __init__(self, addresses: Sequence[str]) -> None:
         self.addresses = list(addresses)
@@ -27,8 +27,8 @@
         if self.session is not None:
             await self.session.close()
 
-    async def ask(self, address: str, method: str, path: str, body: Any = None) -> Any:
-        """Return the JSON answer of one stand-in; raises ``aiohttp.ClientError``."""
+    async def call_admin(self, address: str, method: str, path: str, body: Any = None) -> Any:
+        """Return the JSON response of one stand-in; raises ``aiohttp.ClientError``."""
         assert self.session is not None
         url = f"http://{address}/_admin/{path}"
         async with self.session.request(method, url, json=body) as response:
@@ -36,21 +36,27 @@
 
     async def set_faults(self, address: str, **faults: Any) -> None:
         """Change the named faults of one stand-in."""
-        await self.ask(address, "POST", "faults", faults)
+        await self.call_admin(address, "POST", "faults", faults)
 
-    async def answering(self) -> bool:
-        """Tell whether all stand-ins answer."""
+    async def are_responding(self) -> bool:
+        """Tell whether all stand-ins respond."""
         try:
-            await asyncio.gather(*(self.ask(each, "GET", "stats") for each in self.addresses))
+            await asyncio.gather(
+                *(self.call_admin(address, "GET", "stats") for address in self.addresses)
+            )
         except aiohttp.ClientError:
             return False
         return True
 
     async def reset(self) -> None:
-        """Forget executions and faults everywhere."""
-        await asyncio.gather(*(self.ask(each, "POST", "reset") for each in self.addresses))
+        """Clear the executions and faults of all stand-ins."""
+        await asyncio.gather(
+            *(self.call_admin(address, "POST", "reset") for address in self.addresses)
+        )
 
     async def reports(self) -> list[StandInReport]:
-        """Return what each stand-in has run so far, in the order of the addresses."""
-        answers = await asyncio.gather(*(self.ask(a, "GET", "executions") for a in self.addresses))
-        return list(map(stand_in_report, self.addresses, answers))
+        """Return the executions of each stand-in so far, in the order of the addresses."""
+        reports = await asyncio.gather(
+            *(self.call_admin(address, "GET", "executions") for address in self.addresses)
+        )
+        return list(map(stand_in_report, self.addresses, reports))
--- a/bench/load/_caller.py
+++ b/bench/load/_caller.py
@@ -1,4 +1,4 @@
-"""Sends calls and judges the answers."""
+"""An HTTP client that sends calls and classifies the responses."""
 
 import asyncio
 import random
@@ -14,27 +14,28 @@
 from bench.load._planned_call import PlannedCall
 from standins.expected_body import expected_body
 
-PATIENCE = 2.0  # a caller gives up after this multiple of the deadline, and one second
-HEADERS_OF_OUTCOME = {"not-run": Outcome.NOT_RUN, "unknown": Outcome.UNKNOWN}
+# A caller gives up after this multiple of the deadline plus one second.
+CLIENT_TIMEOUT_FACTOR = 2.0
+REFUSAL_OUTCOMES = {"not-run": Outcome.NOT_RUN, "unknown": Outcome.UNKNOWN}
 
 
 class Caller:
-    """A crowd of callers that share connections to the nodes they enter by.
+    """Many callers that share connections to the nodes.
 
-    ``entries`` are the nodes' addresses for callers (``IP:PORT``) by service; each attempt takes
-    one at random (seeded), and another one where no connection can be made.
+    ``addresses_by_service`` holds the nodes' addresses for callers (``IP:PORT``) by service. Each
+    attempt picks an address at random (seeded) and tries another one if it can't connect.
     """
 
-    def __init__(self, entries: dict[str, Sequence[str]], seed: int = 1) -> None:
-        self.entries = entries
+    def __init__(self, addresses_by_service: dict[str, Sequence[str]], seed: int = 1) -> None:
+        self.addresses_by_service = addresses_by_service
         self.random = random.Random(seed)
         self.session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> Self:
         connector = aiohttp.TCPConnector(limit=0, ttl_dns_cache=None, keepalive_timeout=10)
         self.session = aiohttp.ClientSession(connector=connector, auto_decompress=False)
-        # The library sends a GET a second time by itself when a kept connection breaks. The first
-        # sending may have run, so a refusal of the second would look like a false "not run".
+        # aiohttp retries a GET by itself when a kept connection breaks. The first one may have run,
+        # so a refusal of the second would look like a false "not run".
         self.session._retry_connection = False
         return self
 
@@ -43,67 +44,71 @@
             await self.session.close()
 
     async def attempt(self, call: PlannedCall, number: int) -> Attempt:
-        """Make one attempt, at other entries where the first can't be reached."""
-        addresses = self.entries[call.service]
-        chosen = self.random.sample(list(addresses), len(addresses))
+        """Make one attempt; try the other addresses if the first can't be reached."""
+        addresses = self.addresses_by_service[call.service]
+        shuffled = self.random.sample(list(addresses), len(addresses))
         request_id = call.request_id if number == 1 else f"{call.request_id}~{number}"
-        sent = time.monotonic()
-        for address in chosen:
-            attempt = await self.send(call, request_id, address, sent)
+        sent_at = time.monotonic()
+        for address in shuffled:
+            attempt = await self.send(call, request_id, address, sent_at)
             if attempt.outcome is not Outcome.UNREACHABLE:
                 break
         return attempt
 
-    async def send(self, call: PlannedCall, request_id: str, address: str, sent: float) -> Attempt:
-        """Send the request to one entry and read the whole answer."""
+    async def send(
+        self, call: PlannedCall, request_id: str, address: str, sent_at: float
+    ) -> Attempt:
+        """Send the request to one address and read the whole response."""
         assert self.session is not None
-        body = expected_body(f"body of {call.body_of or call.request_id}", call.body_bytes)
-        patience_s = call.timeout_ms / 1000 * PATIENCE + 1
+        request_body = expected_body(f"body of {call.body_of or call.request_id}", call.body_bytes)
+        client_timeout_s = call.timeout_ms / 1000 * CLIENT_TIMEOUT_FACTOR + 1
 
-        def ended(outcome: Outcome, reason: str) -> Attempt:
-            return Attempt(request_id, outcome, (time.monotonic() - sent) * 1000, reason=reason)
+        def failed_attempt(outcome: Outcome, reason: str) -> Attempt:
+            return Attempt(request_id, outcome, (time.monotonic() - sent_at) * 1000, reason=reason)
 
         try:
             async with self.session.request(
                 call.method,
                 f"http://{address}{call.target}",
                 headers=request_headers(call, request_id),
-                data=body or None,
-                timeout=aiohttp.ClientTimeout(total=patience_s),
+                data=request_body or None,
+                timeout=aiohttp.ClientTimeout(total=client_timeout_s),
             ) as response:
-                answer = await response.read()
-                elapsed_ms = (time.monotonic() - sent) * 1000
-                return judge(call, request_id, body, response, answer, elapsed_ms)
+                response_body = await response.read()
+                elapsed_ms = (time.monotonic() - sent_at) * 1000
+                return classify_response(
+                    call, request_id, request_body, response, response_body, elapsed_ms
+                )
         except aiohttp.ClientConnectorError as error:
-            return ended(Outcome.UNREACHABLE, type(error).__name__)
+            return failed_attempt(Outcome.UNREACHABLE, type(error).__name__)
         except TimeoutError:
-            return ended(Outcome.UNKNOWN, "no answer")
+            return failed_attempt(Outcome.UNKNOWN, "no response")
         except (aiohttp.ClientError, OSError) as error:
-            return ended(Outcome.UNKNOWN, type(error).__name__)
+            return failed_attempt(Outcome.UNKNOWN, type(error).__name__)
 
     async def call(self, call: PlannedCall) -> tuple[Attempt, ...]:
-        """Make the call, with the retries that its caller makes."""
+        """Make the call with its retries."""
         attempts = [await self.attempt(call, 1)]
-        while self.tries_again(call, attempts):
-            await asyncio.sleep(self.wait_s(call, attempts[-1]))
+        while self.should_retry(call, attempts):
+            await asyncio.sleep(self.retry_delay_s(call, attempts[-1]))
             attempts.append(await self.attempt(call, len(attempts) + 1))
         return tuple(attempts)
 
     @staticmethod
-    def tries_again(call: PlannedCall, attempts: Sequence[Attempt]) -> bool:
-        safe = call.idempotent or call.key or attempts[-1].outcome is Outcome.NOT_RUN
-        settled = attempts[-1].outcome in (Outcome.COMPLETED, Outcome.WRONG)
-        return bool(safe and not settled and len(attempts) <= call.retries)
+    def should_retry(call: PlannedCall, attempts: Sequence[Attempt]) -> bool:
+        is_retry_safe = call.idempotent or call.key or attempts[-1].outcome is Outcome.NOT_RUN
+        is_final = attempts[-1].outcome in (Outcome.COMPLETED, Outcome.WRONG)
+        return bool(is_retry_safe and not is_final and len(attempts) <= call.retries)
 
     @staticmethod
-    def wait_s(call: PlannedCall, last: Attempt) -> float:
-        """Return the caller's own wait where the trace sets one, else what the refusal asks for."""
-        asked_ms = last.retry_after_ms or 0.0
-        return (call.retry_wait_ms or asked_ms) / 1000
+    def retry_delay_s(call: PlannedCall, last: Attempt) -> float:
+        """Return the call's own retry delay, else the one that the refusal asks for."""
+        requested_ms = last.retry_after_ms or 0.0
+        return (call.retry_wait_ms or requested_ms) / 1000
 
 
 def request_headers(call: PlannedCall, request_id: str) -> dict[str, str]:
-    """Return the headers by which a caller tells service, class, deadline and identity."""
+    """Return the headers for service, request id, deadline, priority and idempotency key."""
     headers = {
         "Host": call.service,
         "X-Request-Id": request_id,
@@ -116,23 +121,23 @@
     return headers
 
 
-def judge(
+def classify_response(
     call: PlannedCall,
     request_id: str,
-    body: bytes,
+    request_body: bytes,
     response: aiohttp.ClientResponse,
-    answer: bytes,
+    response_body: bytes,
     elapsed_ms: float,
 ) -> Attempt:
-    """Tell what an answer means: whole and the caller's own, an honest refusal, or neither."""
+    """Return an attempt with the outcome that the response states or implies."""
     headers = response.headers
-    stated = HEADERS_OF_OUTCOME.get(headers.get("Request-Outcome", ""))
-    if stated is not None:
-        outcome = stated
+    stated_outcome = REFUSAL_OUTCOMES.get(headers.get("Request-Outcome", ""))
+    if stated_outcome is not None:
+        outcome = stated_outcome
     elif response.status >= 400:
-        passed_on = headers.get("Request-Outcome") == "completed"
-        outcome = Outcome.FAILED if passed_on else Outcome.UNKNOWN
-    elif is_own(call, request_id, body, headers, answer):
+        is_backend_error = headers.get("Request-Outcome") == "completed"
+        outcome = Outcome.FAILED if is_backend_error else Outcome.UNKNOWN
+    elif is_matching_response(call, request_id, request_body, headers, response_body):
         outcome = Outcome.COMPLETED
     else:
         outcome = Outcome.WRONG
@@ -148,33 +153,33 @@
     )
 
 
-def is_own(
+def is_matching_response(
     call: PlannedCall,
     request_id: str,
-    body: bytes,
+    request_body: bytes,
     headers: Mapping[str, str],
-    answer: bytes,
+    response_body: bytes,
 ) -> bool:
-    """Tell whether a successful answer is the whole answer to this very request.
+    """Tell whether a successful response is the complete response to this request.
 
-    The recorded answer of a request with a key is that of one of the call's earlier attempts.
+    The recorded response to a request with a key may belong to an earlier attempt of the call.
     """
-    answered = headers.get("X-Echo-Id", "")
-    earlier = is_replayed(headers) and answered.partition("~")[0] == call.request_id
+    echoed_id = headers.get("X-Echo-Id", "")
+    is_earlier_attempt = is_replayed(headers) and echoed_id.partition("~")[0] == call.request_id
     return (
-        (answered == request_id or earlier)
-        and answer == expected_body(answered, call.answer_bytes)
-        and headers.get("X-Body-Digest") == xxhash.xxh64(body).hexdigest()
+        (echoed_id == request_id or is_earlier_attempt)
+        and response_body == expected_body(echoed_id, call.answer_bytes)
+        and headers.get("X-Body-Digest") == xxhash.xxh64(request_body).hexdigest()
     )
 
 
 def is_replayed(headers: Mapping[str, str]) -> bool:
-    """Tell whether the answer was recorded when an earlier attempt with this key ran."""
+    """Tell whether the response was recorded when an earlier attempt with this key ran."""
     return headers.get("Idempotency-Replayed") == "true"
 
 
 def retry_after_ms(headers: Mapping[str, str]) -> float | None:
-    """Return when a refusal asks the caller to come back, in milliseconds."""
+    """Return the retry delay that a refusal asks for, in milliseconds."""
     if "Retry-After-Ms" in headers:
         return float(headers["Retry-After-Ms"])
     seconds = headers.get("Retry-After", "")
--- a/bench/load/_open_loop.py
+++ b/bench/load/_open_loop.py
@@ -1,4 +1,4 @@
-"""Plays planned calls at their times, whatever becomes of the earlier ones."""
+"""Sends planned calls at their times, independent of the completion of earlier ones."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Sequence
@@ -15,15 +15,15 @@
 class OpenLoop:
     """Starts each call at its planned time and counts latency from that time.
 
-    A load tool that waits for an answer before it sends the next request stops sending while the
-    server stalls, and so leaves the stall out of its figures (coordinated omission). Here the plan
-    alone says when a call starts, and a call that starts late still counts from the plan.
+    A load tool that waits for a response before it sends the next request stops sending while the
+    server stalls, and so omits the stall from its figures (coordinated omission). Here calls start
+    at their planned times only, and the latency of a call that starts late includes the delay.
     """
 
     def __init__(self, send: Send, clock: Clock) -> None:
         self.send = send
         self.clock = clock
-        self.done = 0
+        self.completed_calls = 0
 
     async def run(self, calls: Sequence[PlannedCall], start: float) -> list[CallResult]:
         """Play ``calls``; their times count from ``start``, in seconds of the clock."""
@@ -33,31 +33,31 @@
                 wait_s = start + call.at_s - self.clock.monotonic()
                 if wait_s > 0:
                     await self.clock.sleep(wait_s)
-                tasks.append(group.create_task(self.one(call, start + call.at_s)))
+                tasks.append(group.create_task(self.play_call(call, start + call.at_s)))
         return [task.result() for task in tasks]
 
-    async def one(self, call: PlannedCall, planned: float) -> CallResult:
-        lag_ms = (self.clock.monotonic() - planned) * 1000
+    async def play_call(self, call: PlannedCall, planned_at: float) -> CallResult:
+        lag_ms = (self.clock.monotonic() - planned_at) * 1000
         attempts = await self.send(call)
-        self.done += 1
+        self.completed_calls += 1
         return CallResult(
-            call, attempts, (self.clock.monotonic() - planned) * 1000, max(0.0, lag_ms)
+            call, attempts, (self.clock.monotonic() - planned_at) * 1000, max(0.0, lag_ms)
         )
 
 
 async def play(
     calls: Sequence[PlannedCall],
-    entries: dict[str, Sequence[str]],
+    addresses_by_service: dict[str, Sequence[str]],
     *,
     seed: int = 1,
     start: float | None = None,
 ) -> list[CallResult]:
     """Play ``calls`` from this process; ``start`` is a time of ``time.monotonic``, now by default.
 
-    ``entries`` gives the addresses for callers by service.
+    ``addresses_by_service`` holds the nodes' addresses for callers.
     """
     clock = SystemClock()
-    async with Caller(entries, seed) as caller:
+    async with Caller(addresses_by_service, seed) as caller:
         return await OpenLoop(caller.call, clock).run(
             calls, clock.monotonic() if start is None else start
         )
--- a/bench/load/_outcome.py
+++ b/bench/load/_outcome.py
@@ -1,14 +1,14 @@
-"""What a caller knows of a call in the end."""
+"""Outcomes of calls."""
 
 from enum import StrEnum
 
 
 class Outcome(StrEnum):
-    """How an attempt ended, as the caller sees it.
+    """The outcome of an attempt as the caller sees it.
 
-    ``failed`` is an error of the backend server that was passed on whole; ``unreachable`` means
-    that no connection could be made, so nothing was sent; ``wrong`` is an answer that was passed
-    off as whole and is not the caller's own.
+    ``failed`` is an error response of the backend server, forwarded completely. ``unreachable``
+    means that no connection could be made, so nothing was sent. ``wrong`` is a successful response
+    that is incomplete or belongs to another request.
     """
 
     COMPLETED = "completed"
--- a/bench/load/_planned_call.py
+++ b/bench/load/_planned_call.py
@@ -1,4 +1,4 @@
-"""A call that is to be made at a time fixed ahead."""
+"""Calls with a planned start time."""
 
 import attrs
 
@@ -8,9 +8,9 @@
     """What to send and when.
 
     ``at_s`` is in seconds from the start of the run. ``label`` names the class in the tables.
-    ``retries`` is how often an impatient caller tries again after a refusal or an unknown outcome;
-    only idempotent calls and calls with a ``key`` are ever tried again. ``body_of`` is the id of
-    the call whose body this one carries, empty where it has one of its own.
+    ``retries`` is the highest number of retries after a refusal, an error or an unknown outcome;
+    calls that are not idempotent and have no ``key`` are retried only after a refusal. ``body_of``
+    is the id of the call whose body this one sends; empty for its own.
     """
 
     at_s: float
@@ -34,5 +34,5 @@
 
     @property
     def target(self) -> str:
-        own = "" if self.service_ms is None else f"&ms={self.service_ms:g}"
-        return f"/{self.label}?bytes={self.answer_bytes}{own}"
+        service_time = "" if self.service_ms is None else f"&ms={self.service_ms:g}"
+        return f"/{self.label}?bytes={self.answer_bytes}{service_time}"
--- a/bench/load/_stand_in_report.py
+++ b/bench/load/_stand_in_report.py
@@ -1,4 +1,4 @@
-"""What one backend server stand-in has done."""
+"""Execution reports of backend server stand-ins."""
 
 from collections import Counter
 from typing import Any
@@ -17,5 +17,5 @@
 
 
 def stand_in_report(address: str, raw: dict[str, Any]) -> StandInReport:
-    """Return the report that a stand-in prints at its end or answers when asked."""
+    """Parse the report that a stand-in prints on exit and returns from its admin endpoint."""
     return StandInReport(address, Counter(raw["requests"]), Counter(raw["keys"]), raw["stats"])
--- a/bench/load/_tally.py
+++ b/bench/load/_tally.py
@@ -1,4 +1,4 @@
-"""Counts and latency distributions of one class of calls."""
+"""Outcome counts and latency histograms by class of calls."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -9,27 +9,27 @@
 from bench.load._outcome import Outcome
 from bench.load._result import CallResult
 
-HIGHEST_US = 120_000_000
-DIGITS = 3
+MAX_LATENCY_US = 120_000_000
+SIGNIFICANT_DIGITS = 3
 
 
 def histogram() -> HdrHistogram:
-    """Return a histogram of microseconds, up to two minutes at three digits."""
-    return HdrHistogram(1, HIGHEST_US, DIGITS)
+    """Return a histogram of microseconds, up to two minutes with three significant digits."""
+    return HdrHistogram(1, MAX_LATENCY_US, SIGNIFICANT_DIGITS)
 
 
 def percentile_ms(values: HdrHistogram, percent: float) -> float:
-    """Return a percentile in milliseconds; 0 where nothing was recorded."""
+    """Return a percentile in milliseconds; 0 if nothing was recorded."""
     return values.get_value_at_percentile(percent) / 1000 if values.total_count else 0.0
 
 
 @attrs.define(slots=True)
 class Tally:
-    """What became of the calls of one class.
+    """Counts and latencies of one class of calls.
 
-    ``latency`` holds completed calls from their planned time on, ``refusal`` the time of each
-    attempt that ended "not run", both in microseconds. ``slow_refusals`` counts refusals that took
-    more than 5% of the deadline.
+    ``latency`` holds the latencies of completed calls from their planned times, ``refusal`` those
+    of attempts with the outcome "not run", both in microseconds. ``slow_refusals`` counts refusals
+    that took more than 5% of the deadline.
     """
 
     calls: int = 0
@@ -45,7 +45,7 @@
     refusal: HdrHistogram = attrs.field(factory=histogram)
 
     def add(self, result: CallResult) -> None:
-        """Count one call."""
+        """Add the result of one call."""
         self.calls += 1
         self.attempts += len(result.attempts)
         self.outcomes[result.outcome] += 1
@@ -72,7 +72,7 @@
 
 
 def tally(results: Iterable[CallResult]) -> dict[str, Tally]:
-    """Return a tally by class label, with the whole under an empty label."""
+    """Return tallies by class label; that of all calls has an empty label."""
     tallies: dict[str, Tally] = {"": Tally()}
     for result in results:
         tallies[""].add(result)
--- a/bench/load/_workers.py
+++ b/bench/load/_workers.py
@@ -1,4 +1,4 @@
-"""Plays a plan from several processes, where one can't keep pace."""
+"""Sends planned calls from several processes, for rates that one process can't sustain."""
 
 import asyncio
 import time
@@ -10,34 +10,39 @@
 from bench.load._planned_call import PlannedCall
 from bench.load._result import CallResult
 
-START_UP_S = 1.0  # what a fresh worker needs before it can send
+WORKER_START_UP_S = 1.0  # start-up time of a worker process
 
 
-def work(
-    calls: Sequence[PlannedCall], entries: dict[str, Sequence[str]], seed: int, start: float
+def play_part(
+    calls: Sequence[PlannedCall],
+    addresses_by_service: dict[str, Sequence[str]],
+    seed: int,
+    start: float,
 ) -> list[CallResult]:
-    """Run in a worker: play its part of the plan."""
-    return asyncio.run(play(calls, entries, seed=seed, start=start))
+    """Play one worker's share of the calls; runs in the worker process."""
+    return asyncio.run(play(calls, addresses_by_service, seed=seed, start=start))
 
 
 async def play_in_workers(
     calls: Sequence[PlannedCall],
-    entries: dict[str, Sequence[str]],
+    addresses_by_service: dict[str, Sequence[str]],
     *,
     workers: int,
     seed: int = 1,
     start: float | None = None,
 ) -> list[CallResult]:
-    """Deal the calls to ``workers`` processes and gather the results.
+    """Distribute the calls over ``workers`` processes and gather the results.
 
-    All workers count from one ``start``, a time of ``time.monotonic``, which on one machine is the
-    same clock in every process.
+    All workers share one ``start``, a time of ``time.monotonic``, which is the same clock in all
+    processes of a machine.
     """
-    begin = time.monotonic() + START_UP_S if start is None else start
+    start_at = time.monotonic() + WORKER_START_UP_S if start is None else start
     loop = asyncio.get_running_loop()
     with ProcessPoolExecutor(workers, mp_context=get_context("spawn")) as pool:
         parts = [
-            loop.run_in_executor(pool, work, calls[n::workers], entries, seed + n, begin)
+            loop.run_in_executor(
+                pool, play_part, calls[n::workers], addresses_by_service, seed + n, start_at
+            )
             for n in range(workers)
         ]
         return [result for part in await asyncio.gather(*parts) for result in part]
--- a/bench/replay/_fleet.py
+++ b/bench/replay/_fleet.py
@@ -136,4 +136,4 @@
 async def answers_at(address: str) -> bool:
     """Tell whether a stand-in answers at ``address``."""
     async with Backends([address]) as backends:
-        return await backends.answering()
+        return await backends.are_responding()
--- a/features/steps/bench_stand_in_steps.py
+++ b/features/steps/bench_stand_in_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the backend server stand-in; each runs it in an event loop of the scenario's own."""
+"""Steps for the backend server stand-in, which runs in an event loop of the scenario."""
 
 import asyncio
 from typing import Any
@@ -16,22 +16,22 @@
     return context.loop.run_until_complete(work)
 
 
-async def until(condition: Any) -> None:
+async def wait_until(condition: Any) -> None:
     for _ in range(400):
         if condition():
             return
         await asyncio.sleep(0.01)
-    raise AssertionError("the stand-in did not get there")
+    raise AssertionError("the stand-in did not reach the expected state")
 
 
-async def leave(callers: list[Any]) -> None:
+async def cancel_all(callers: list[Any]) -> None:
     for task in callers:
         task.cancel()
     await asyncio.gather(*callers, return_exceptions=True)
 
 
-async def ask(server: BackendServer, method: str, path: str, **headers: str) -> Any:
-    """Return status, headers and body of one request on a connection of its own."""
+async def send_request(server: BackendServer, method: str, path: str, **headers: str) -> Any:
+    """Send a request on a new connection; return status, headers and body."""
     async with (
         aiohttp.ClientSession() as session,
         session.request(method, f"http://{server.name}{path}", headers=headers) as response,
@@ -51,11 +51,12 @@
 def step_held(context: Any, slots: int, ms: int) -> None:
     step_stand_in(context, slots)
     methods = ["GET" if number % 2 else "POST" for number in range(slots)]
-    context.holding = [
-        context.loop.create_task(ask(context.server, method, f"/?ms={ms}")) for method in methods
+    context.slot_holders = [
+        context.loop.create_task(send_request(context.server, method, f"/?ms={ms}"))
+        for method in methods
     ]
-    context.cleanup.callback(lambda: run(context, leave(context.holding)))
-    run(context, until(lambda: context.server.slots.in_use == slots))
+    context.cleanup.callback(lambda: run(context, cancel_all(context.slot_holders)))
+    run(context, wait_until(lambda: context.server.slots.in_use == slots))
 
 
 @given("a stand-in with {slots:d} slots that drains with a grace of {ms:d} ms")
@@ -67,14 +68,14 @@
 @when("a stand-in booking with a deadline of {ms:d} ms arrives")
 def step_booking(context: Any, ms: int) -> None:
     headers = {"Request-Timeout-Ms": str(ms), "X-Request-Id": "late"}
-    context.answer = run(context, ask(context.server, "POST", "/", **headers))
+    context.response = run(context, send_request(context.server, "POST", "/", **headers))
 
 
 @when("the callers of the lookup and of the booking that hold the slots leave")
 def step_leave(context: Any) -> None:
-    run(context, leave(context.holding))
-    run(context, until(lambda: context.server.ledger.cancels == 2))
-    run(context, until(lambda: context.server.slots.in_use == 1))
+    run(context, cancel_all(context.slot_holders))
+    run(context, wait_until(lambda: context.server.ledger.cancels == 2))
+    run(context, wait_until(lambda: context.server.slots.in_use == 1))
 
 
 @when("the stand-in is told to mislead")
@@ -84,8 +85,8 @@
 
 @then('the stand-in answers it {status:d} with the outcome "{outcome}"')
 def step_refused(context: Any, status: int, outcome: str) -> None:
-    answered, headers, _ = context.answer
-    assert (answered, headers["Request-Outcome"]) == (status, outcome), context.answer
+    answered, headers, _ = context.response
+    assert (answered, headers["Request-Outcome"]) == (status, outcome), context.response
 
 
 @then("the stand-in has run {count:d} requests")
@@ -102,15 +103,15 @@
 
 @then('the stand-in asked to close the connection and says "{state}"')
 def step_closes(context: Any, state: str) -> None:
-    assert context.answer[1]["Connection"] == "close"
-    _, _, health = run(context, ask(context.server, "GET", "/health"))
+    assert context.response[1]["Connection"] == "close"
+    _, _, health = run(context, send_request(context.server, "GET", "/health"))
     assert state.encode() in health
 
 
-@then("its load endpoint says {claimed:d} slots in use and its statistics say {true:d}")
-def step_load(context: Any, claimed: int, true: int) -> None:
-    _, _, load = run(context, ask(context.server, "GET", "/load"))
-    assert f'"in_use": {claimed}'.encode() in load, load
+@then("its load endpoint says {reported:d} slots in use and its statistics say {true:d}")
+def step_load(context: Any, reported: int, true: int) -> None:
+    _, _, load = run(context, send_request(context.server, "GET", "/load"))
+    assert f'"in_use": {reported}'.encode() in load, load
     assert context.server.stats()["in_use"] == true
 
 
--- a/features/steps/bench_steps.py
+++ b/features/steps/bench_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the load tool: each scenario runs its stand-in in the same event loop."""
+"""Steps for the load tool; its stand-in runs in the same event loop."""
 
 import asyncio
 import time
@@ -24,8 +24,8 @@
 SERVICE = "mapdesk"
 
 
-def planned(count: int, method: str, *, spacing_s: float = 0.0) -> list[PlannedCall]:
-    """Return ``count`` calls; every second booking carries an idempotency key."""
+def planned_calls(count: int, method: str, *, spacing_s: float = 0.0) -> list[PlannedCall]:
+    """Return ``count`` calls; every second booking has an idempotency key."""
     label = "lookup" if method == "GET" else "booking"
     return [
         PlannedCall(
@@ -43,36 +43,36 @@
     ]
 
 
-async def start(faults: dict[str, Any]) -> BackendServer:
+async def start_server(faults: dict[str, Any]) -> BackendServer:
     server = await start_backend("127.0.0.1", 0, slots=50, service_ms=1)
     server.set_faults(server.faults.updated(faults))
     return server
 
 
 async def play_against(faults: dict[str, Any], calls: list[PlannedCall]) -> tuple[Any, Audit]:
-    server = await start(faults)
+    server = await start_server(faults)
     results = await play(calls, {SERVICE: [server.name]})
     async with Backends([server.name]) as backends:
-        found = audit(results, await backends.reports())
+        audit_result = audit(results, await backends.reports())
     await server.close()
-    return results, found
+    return results, audit_result
 
 
-async def play_through_a_freeze(calls: list[PlannedCall]) -> tuple[Any, float, float]:
-    server = await start({"freeze": True})
-    began = time.monotonic()
-    playing = asyncio.create_task(play(calls, {SERVICE: [server.name]}, start=began))
+async def play_during_freeze(calls: list[PlannedCall]) -> tuple[Any, float, float]:
+    server = await start_server({"freeze": True})
+    started_at = time.monotonic()
+    playing = asyncio.create_task(play(calls, {SERVICE: [server.name]}, start=started_at))
     for _ in range(400):
         if sum(connection.task is not None for connection in server.connections) == len(calls):
             break
         await asyncio.sleep(0.01)
     else:
-        raise AssertionError("the load tool did not send the whole plan")
-    thawed = time.monotonic()
+        raise AssertionError("the load tool did not send all planned calls")
+    thawed_at = time.monotonic()
     server.set_faults(server.faults.updated({"freeze": False}))
     results = await playing
     await server.close()
-    return results, began, thawed
+    return results, started_at, thawed_at
 
 
 @given('a load-tool backend server with the fault "{fault}" for every {kind}')
@@ -80,8 +80,8 @@
     context.faults = {fault: 1.0}
 
 
-async def look_up_twice(calls: list[PlannedCall]) -> tuple[Attempt, int]:
-    server = await start({})
+async def send_two_lookups(calls: list[PlannedCall]) -> tuple[Attempt, int]:
+    server = await start_server({})
     async with Caller({SERVICE: [server.name]}) as caller:
         await caller.attempt(calls[0], 1)
         server.set_faults(Faults(close_before_answer=1.0))
@@ -91,13 +91,13 @@
 
 
 @given("a load-tool backend server that loses every answer after the first")
-def step_loses(context: Any) -> None:
-    context.calls = planned(2, "GET")
+def step_loses_responses(context: Any) -> None:
+    context.calls = planned_calls(2, "GET")
 
 
 @when("the load tool makes two lookups over one connection")
 def step_two(context: Any) -> None:
-    context.second, context.runs = asyncio.run(look_up_twice(context.calls))
+    context.second, context.runs = asyncio.run(send_two_lookups(context.calls))
 
 
 @then('the second lookup ran once and is "{outcome}"')
@@ -112,26 +112,26 @@
 
 @when("the load tool makes {lookups:d} lookups and {bookings:d} bookings")
 def step_calls(context: Any, lookups: int, bookings: int) -> None:
-    calls = planned(lookups, "GET") + planned(bookings, "POST")
+    calls = planned_calls(lookups, "GET") + planned_calls(bookings, "POST")
     context.results, context.audit = asyncio.run(play_against(context.faults, calls))
 
 
 @when("the load tool plays {count:d} lookups and the server thaws when all have arrived")
 def step_freeze(context: Any, count: int) -> None:
-    calls = planned(count, "GET", spacing_s=0.005)
-    context.results, context.began, context.thawed = asyncio.run(play_through_a_freeze(calls))
+    calls = planned_calls(count, "GET", spacing_s=0.005)
+    context.results, context.started_at, context.thawed_at = asyncio.run(play_during_freeze(calls))
 
 
 @then('the load tool counts {count:d} calls as "{outcome}"')
 def step_outcomes(context: Any, count: int, outcome: str) -> None:
-    whole = tally(context.results)[""]
-    assert dict(whole.outcomes) == {Outcome(outcome): count}, (whole.outcomes, whole.reasons)
+    total = tally(context.results)[""]
+    assert dict(total.outcomes) == {Outcome(outcome): count}, (total.outcomes, total.reasons)
 
 
 @then('the audit lists {count:d} requests as "{kind}"')
 def step_audit(context: Any, count: int, kind: str) -> None:
-    found = getattr(context.audit, kind)
-    assert len(found) == count, context.audit
+    audit_result = getattr(context.audit, kind)
+    assert len(audit_result) == count, context.audit
     assert not context.audit.is_clean
 
 
@@ -140,25 +140,25 @@
     assert context.audit.wasted == count, context.audit
 
 
-@then("the audit finds no broken promise")
+@then("the audit finds no violation")
 def step_clean(context: Any) -> None:
     assert context.audit.is_clean, context.audit
 
 
 @then("every latency spans from the planned time to the thaw")
 def step_spans(context: Any) -> None:
-    short = [
+    too_short = [
         result
         for result in context.results
-        if context.began + result.call.at_s + result.latency_ms / 1000 < context.thawed
+        if context.started_at + result.call.at_s + result.latency_ms / 1000 < context.thawed_at
     ]
-    assert not short, short
+    assert not too_short, too_short
 
 
 @given("an open loop on a manual clock with a call planned every 0.1 s for 1 s")
 def step_manual(context: Any) -> None:
     context.clock = ManualClock()
-    context.calls = planned(10, "GET", spacing_s=0.1)
+    context.calls = planned_calls(10, "GET", spacing_s=0.1)
 
 
 @when("the clock jumps by 2 s at once and every answer takes no time")
--- a/src/marjoramtide/policy/admission/_limit_reduction.py
+++ b/src/marjoramtide/policy/admission/_limit_reduction.py
@@ -2,7 +2,7 @@
 
 import attrs
 
-from marjoramtide.policy._smoothed import Smoothed
+from marjoramtide.policy._ewma import Ewma
 
 MIN_SAMPLES = 6
 HELPED_BELOW = 0.75
@@ -19,7 +19,7 @@
     initial_limit: float
     before_ms: float = 0.0
     completed: int = 0
-    after_ms: Smoothed = attrs.Factory(lambda: Smoothed(0.3, 0.3))
+    after_ms: Ewma = attrs.Factory(lambda: Ewma(0.3, 0.3))
 
     def add(self, duration_ms: float) -> None:
         """Record an execution that ended under the lower limit."""
