--- a/bench/load/_backends.py
+++ b/bench/load/_backends.py
@@ -56,7 +56,7 @@
 
     async def reports(self) -> list[StandInReport]:
         """Return the executions of each stand-in so far, in the order of the addresses."""
-        reports = await asyncio.gather(
+        raw_reports = await asyncio.gather(
             *(self.call_admin(address, "GET", "executions") for address in self.addresses)
         )
-        return list(map(stand_in_report, self.addresses, reports))
+        return list(map(stand_in_report, self.addresses, raw_reports))
--- a/features/steps/bench_steps.py
+++ b/features/steps/bench_steps.py
@@ -43,14 +43,14 @@
     ]
 
 
-async def start_server(faults: dict[str, Any]) -> BackendServer:
+async def start(faults: dict[str, Any]) -> BackendServer:
     server = await start_backend("127.0.0.1", 0, slots=50, service_ms=1)
     server.set_faults(server.faults.updated(faults))
     return server
 
 
 async def play_against(faults: dict[str, Any], calls: list[PlannedCall]) -> tuple[Any, Audit]:
-    server = await start_server(faults)
+    server = await start(faults)
     results = await play(calls, {SERVICE: [server.name]})
     async with Backends([server.name]) as backends:
         audit_result = audit(results, await backends.reports())
@@ -59,7 +59,7 @@
 
 
 async def play_during_freeze(calls: list[PlannedCall]) -> tuple[Any, float, float]:
-    server = await start_server({"freeze": True})
+    server = await start({"freeze": True})
     started_at = time.monotonic()
     playing = asyncio.create_task(play(calls, {SERVICE: [server.name]}, start=started_at))
     for _ in range(400):
@@ -81,7 +81,7 @@
 
 
 async def send_two_lookups(calls: list[PlannedCall]) -> tuple[Attempt, int]:
-    server = await start_server({})
+    server = await start({})
     async with Caller({SERVICE: [server.name]}) as caller:
         await caller.attempt(calls[0], 1)
         server.set_faults(Faults(close_before_answer=1.0))
@@ -130,8 +130,8 @@
 
 @then('the audit lists {count:d} requests as "{kind}"')
 def step_audit(context: Any, count: int, kind: str) -> None:
-    audit_result = getattr(context.audit, kind)
-    assert len(audit_result) == count, context.audit
+    listed = getattr(context.audit, kind)
+    assert len(listed) == count, context.audit
     assert not context.audit.is_clean
 
 
