--- a/bench/replay/__init__.py
+++ b/bench/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Plays traces against real node and stand-in processes and checks the stated outcomes."""
+"""Replays traces against node and stand-in processes and checks the expected outcomes."""
--- a/bench/replay/__main__.py
+++ b/bench/replay/__main__.py
@@ -1,4 +1,4 @@
-"""Replays traces under each policy, prints them side by side and checks the stated outcomes."""
+"""Replays traces under each policy, prints the results and checks the expected outcomes."""
 
 import argparse
 import asyncio
@@ -9,12 +9,12 @@
 from pathlib import Path
 from typing import Any
 
-from bench.replay._expectation import load_expectations, promises
-from bench.replay._figures import Figures
+from bench.replay._expectation import guarantees, load_expectations
 from bench.replay._plot import plot_tails
 from bench.replay._policies import DEFAULT_POLICIES, DIRECT
 from bench.replay._progress import Progress
 from bench.replay._run import run_trace
+from bench.replay._run_result import RunResult
 from bench.replay._table import table
 from bench.replay._trace import TRACES, Trace, load_trace, trace_names
 from bench.replay._verdict import Verdict
@@ -22,11 +22,11 @@
 
 DEFAULT_SECONDS = 10.0
 DEFAULT_JOBS = 2
-ENDED_BY_SIGNAL = 130
+EXIT_STATUS_SIGNAL = 130
 
 
 def setting(text: str) -> dict[str, Any]:
-    """Read one ``key = value``; raises ``ValueError``, which argparse reports with the text."""
+    """Parse one ``key = value``; argparse reports a ``ValueError`` with the text."""
     return tomllib.loads(text)
 
 
@@ -39,13 +39,16 @@
         "--policy",
         action="append",
         choices=[*SELECTORS, DIRECT],
-        help=f"{', '.join(DEFAULT_POLICIES)} by default; {DIRECT} leaves the nodes out",
+        help=f"{', '.join(DEFAULT_POLICIES)} by default; {DIRECT} bypasses the nodes",
     )
     parser.add_argument(
-        "--seconds", type=float, default=DEFAULT_SECONDS, help="length of each run; 0 for its own"
+        "--seconds",
+        type=float,
+        default=DEFAULT_SECONDS,
+        help="length of each run; 0 for that of the trace",
     )
     parser.add_argument(
-        "--jobs", type=int, default=DEFAULT_JOBS, help="policies that are played at the same time"
+        "--jobs", type=int, default=DEFAULT_JOBS, help="policies that are replayed concurrently"
     )
     parser.add_argument(
         "--set",
@@ -53,45 +56,49 @@
         default=[],
         type=setting,
         metavar="KEY=VALUE",
-        help="a value for the settings' root branch, as in TOML, under every policy",
+        help="a value of the settings' root branch, as in TOML, for every policy",
     )
     parser.add_argument("--logs", type=Path, help="keep the logs of all processes here")
     return parser.parse_args()
 
 
-def judge(trace: Trace, runs: dict[str, Figures]) -> list[Verdict]:
-    """Return the verdicts on the promises and on the trace's own outcomes."""
-    held = itertools.chain.from_iterable(promises(policy) for policy in runs if policy != DIRECT)
-    paces = [pace(run) for run in runs.values()]
-    return paces + [each.check(runs) for each in [*held, *load_expectations(trace.name)]]
+def check_outcomes(trace: Trace, runs: dict[str, RunResult]) -> list[Verdict]:
+    """Return the verdicts on the guarantees and on the trace's expected outcomes."""
+    guaranteed = itertools.chain.from_iterable(
+        guarantees(policy) for policy in runs if policy != DIRECT
+    )
+    pace_verdicts = [check_pace(run) for run in runs.values()]
+    return pace_verdicts + [
+        each.check(runs) for each in [*guaranteed, *load_expectations(trace.name)]
+    ]
 
 
-def pace(run: Figures) -> Verdict:
-    """Return whether the load tool kept pace; where it did not, latencies prove nothing."""
+def check_pace(run: RunResult) -> Verdict:
+    """Return whether the load tool sent on time; if it did not, latencies are not valid."""
     lag_ms = run.tally().worst_send_lag_ms
     name = f"the load tool kept pace under {run.policy}"
-    return Verdict(name, not run.load_tool_late(), f"at worst {lag_ms:.0f} ms late")
+    return Verdict(name, not run.is_load_tool_late(), f"at worst {lag_ms:.0f} ms late")
 
 
-def report(trace: Trace, runs: dict[str, Figures]) -> list[Verdict]:
-    """Print tables, plot and verdicts of one trace."""
+def report(trace: Trace, runs: dict[str, RunResult]) -> list[Verdict]:
+    """Print the tables, plot and verdicts of one trace."""
     print(f"\n== {trace.name} ({trace.site_name}, {trace.seconds:g} s, seed {trace.seed})")
     print(f"{trace.description}\n")
     ordered = list(runs.values())
     print(table(ordered))
     plot_tails(ordered)
-    verdicts = judge(trace, runs)
+    verdicts = check_outcomes(trace, runs)
     print("\n".join(map(str, verdicts)))
     return verdicts
 
 
 def policies_for(trace: Trace, options: argparse.Namespace) -> list[str]:
-    """Return the policies to play ``trace`` under, each once."""
+    """Return the policies for ``trace``, without repetitions."""
     return list(dict.fromkeys(options.policy or [*DEFAULT_POLICIES, *trace.policies]))
 
 
-async def replay_until_told(options: argparse.Namespace) -> list[Verdict]:
-    """Replay; a signal to end cancels it, so that no process that it started is left behind."""
+async def replay_until_signal(options: argparse.Namespace) -> list[Verdict]:
+    """Replay until done or cancelled by SIGINT or SIGTERM, which ends all child processes."""
     task = asyncio.ensure_future(replay(options))
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
@@ -104,34 +111,34 @@
         for name in options.trace or trace_names()
     ]
     progress = Progress(total=sum(len(policies_for(trace, options)) for trace in traces))
-    turns = asyncio.Semaphore(options.jobs)
+    semaphore = asyncio.Semaphore(options.jobs)
     changes = dict(itertools.chain.from_iterable(each.items() for each in options.set))
 
-    async def run(trace: Trace, policy: str) -> Figures:
-        async with turns:
+    async def run(trace: Trace, policy: str) -> RunResult:
+        async with semaphore:
             progress.begin(trace.name, policy)
             return await run_trace(trace, policy, changes=changes, logs=options.logs)
 
     verdicts: list[Verdict] = []
     for trace in traces:
         policies = policies_for(trace, options)
-        figures = await asyncio.gather(*(run(trace, policy) for policy in policies))
-        verdicts += report(trace, dict(zip(policies, figures, strict=True)))
+        results = await asyncio.gather(*(run(trace, policy) for policy in policies))
+        verdicts += report(trace, dict(zip(policies, results, strict=True)))
     return verdicts
 
 
 def main() -> int:
     try:
-        verdicts = asyncio.run(replay_until_told(parse()))
+        verdicts = asyncio.run(replay_until_signal(parse()))
     except asyncio.CancelledError:
-        return ENDED_BY_SIGNAL
+        return EXIT_STATUS_SIGNAL
     missed = [verdict for verdict in verdicts if verdict.met is False]
-    unchecked = [verdict for verdict in verdicts if verdict.met is None]
+    not_checked = [verdict for verdict in verdicts if verdict.met is None]
     print(
-        f"\n{len(verdicts) - len(missed) - len(unchecked)} outcomes met, {len(missed)} missed",
+        f"\n{len(verdicts) - len(missed) - len(not_checked)} outcomes met, {len(missed)} missed",
         end="",
     )
-    print(f", {len(unchecked)} not checked")
+    print(f", {len(not_checked)} not checked")
     print("\n".join(map(str, missed)))
     return 1 if missed else 0
 
--- a/bench/replay/_arrivals.py
+++ b/bench/replay/_arrivals.py
@@ -1,4 +1,4 @@
-"""Turns the phases of a trace into calls; the same seed gives the same calls."""
+"""Generates the calls of a trace; the same seed gives the same calls."""
 
 import itertools
 import random
@@ -17,7 +17,7 @@
 
 
 def arrivals(trace: Trace) -> list[PlannedCall]:
-    """Return the calls of a trace in the order of their times."""
+    """Return the calls of a trace, sorted by time."""
     calls = itertools.chain.from_iterable(
         phase_calls(trace, number, phase) for number, phase in enumerate(trace.phases)
     )
@@ -25,7 +25,7 @@
 
 
 def phase_calls(trace: Trace, number: int, phase: Phase) -> Iterator[PlannedCall]:
-    """Yield the calls of one phase; each phase has its own stream of random numbers."""
+    """Yield the calls of one phase; each phase has its own random number generator."""
     rng = random.Random(f"{trace.seed}/{number}")
     for count, at in enumerate(arrival_times(phase, trace.seconds, rng)):
         name = f"{phase.label}-{number}-{count}"
--- a/bench/replay/_event.py
+++ b/bench/replay/_event.py
@@ -1,4 +1,4 @@
-"""Something that happens to the site at a time of the trace."""
+"""Timed events of a trace, such as faults and replacements."""
 
 from typing import Any
 
@@ -12,9 +12,9 @@
     """An entry of a timeline.
 
     ``target`` names backend servers: ``mapdesk/3``, ``mapdesk/*`` or ``data_centre/lautoka-hall``.
-    ``faults`` tells their stand-ins to misbehave (the store's, for the action ``store``);
-    ``replace`` ends node and backend server in good order and starts both anew with ``faults``;
-    ``stop`` only ends them; ``kill`` ends them without warning.
+    The action ``faults`` injects faults into their stand-ins, ``store`` into the store stand-in.
+    ``replace`` stops node and backend server gracefully and restarts both with ``faults``, ``stop``
+    only stops them, and ``kill`` kills the node and breaks the backend server's connections.
     """
 
     at_s: float
--- a/bench/replay/_expectation.py
+++ b/bench/replay/_expectation.py
@@ -1,4 +1,4 @@
-"""A stated outcome of a trace."""
+"""Expected outcomes of a trace."""
 
 import tomllib
 from collections.abc import Sequence
@@ -7,23 +7,23 @@
 import attrs
 import cattrs
 
-from bench.replay._figures import METRICS, WHOLE, Figures
 from bench.replay._policies import DIRECT
+from bench.replay._run_result import METRICS, WHOLE_TRACE, RunResult
 from bench.replay._trace import OUTCOMES_SUFFIX, TRACES
 from bench.replay._verdict import Verdict
 
-PROMISES = ("duplicates", "false_not_run", "wrong", "unrun")
-BEST = "best-baseline"
+GUARANTEES = ("duplicates", "false_not_run", "wrong", "unrun")
+BEST_BASELINE = "best-baseline"
 
 
 @attrs.frozen(slots=True)
 class Expectation:
-    """What a run is held to, as a count or as a ratio to another figure of the same run.
+    """A bound on a metric of a run, absolute or relative to another policy or window.
 
-    ``policy`` is the one held to it. The bound is ``at_most`` or ``at_least``, times the same
-    metric of the policy ``of`` and of ``of_window`` where one of these is given; for ``of``,
-    ``best-baseline`` stands for the best of all other selectors. Windows are in shares of the
-    trace.
+    It applies to the run under ``policy``. The bound is ``at_most`` or ``at_least``; if ``of`` or
+    ``of_window`` is given, it is multiplied by the same metric under the policy ``of`` or in that
+    window. In ``of``, ``best-baseline`` is the best of all other selectors. Windows are fractions of
+    the trace.
     """
 
     name: str
@@ -33,17 +33,19 @@
     at_most: float | None = None
     at_least: float | None = None
     of: str = ""
-    window: tuple[float, float] = WHOLE
+    window: tuple[float, float] = WHOLE_TRACE
     of_window: tuple[float, float] | None = None
 
-    def check(self, runs: dict[str, Figures]) -> Verdict:
-        """Hold the runs of one trace, by policy, to this outcome."""
+    def check(self, runs: dict[str, RunResult]) -> Verdict:
+        """Check this outcome against the runs of one trace, by policy."""
         own = runs.get(self.policy)
         references = self.references(runs)
         if own is None or references is None:
-            return Verdict(self.name, None, "not run with the policies it compares")
-        if self.metric not in PROMISES and any(run.load_tool_late() for run in [own, *references]):
-            return Verdict(self.name, None, "the load tool itself was late: the machine is busy")
+            return Verdict(self.name, None, "a compared policy was not run")
+        if self.metric not in GUARANTEES and any(
+            run.is_load_tool_late() for run in [own, *references]
+        ):
+            return Verdict(self.name, None, "the load tool sent late: the machine is busy")
         value = METRICS[self.metric](own, self.label, self.window)
         reference = self.reference(references)
         if self.at_most is not None:
@@ -53,7 +55,7 @@
             least = self.at_least or 0.0
             bound, met = least * reference, value >= least * reference
         sign = "<=" if self.at_most is not None else ">="
-        text = f"{self.metric} {value:.4g}, wanted {sign} {bound:.4g}"
+        text = f"{self.metric} {value:.4g}, expected {sign} {bound:.4g}"
         if reference and self.relative:
             text += f" (ratio {value / reference:.3g})"
         return Verdict(self.name, met, text)
@@ -62,15 +64,15 @@
     def relative(self) -> bool:
         return bool(self.of) or self.of_window is not None
 
-    def references(self, runs: dict[str, Figures]) -> list[Figures] | None:
-        """Return the runs to compare with; ``None`` where there are none."""
-        if self.of == BEST:
+    def references(self, runs: dict[str, RunResult]) -> list[RunResult] | None:
+        """Return the runs to compare with, or ``None`` if there are none."""
+        if self.of == BEST_BASELINE:
             others = [run for policy, run in runs.items() if policy not in (self.policy, DIRECT)]
             return others or None
         named = runs.get(self.of or self.policy)
         return None if named is None else [named]
 
-    def reference(self, references: Sequence[Figures]) -> float:
+    def reference(self, references: Sequence[RunResult]) -> float:
         if not self.relative:
             return 1.0
         window = self.of_window or self.window
@@ -79,7 +81,7 @@
 
 
 def load_expectations(trace: str, folder: Path = TRACES) -> list[Expectation]:
-    """Read the outcomes next to a trace; raises ``ValueError`` naming the file."""
+    """Load the expected outcomes of a trace; raises ``ValueError`` with the file name."""
     path = folder / f"{trace}{OUTCOMES_SUFFIX}"
     try:
         raw = tomllib.loads(path.read_text())
@@ -90,9 +92,9 @@
         raise ValueError(f"{path}: {'; '.join(notes)}") from error
 
 
-def promises(policy: str) -> list[Expectation]:
-    """Return what holds in every trace and for every policy."""
+def guarantees(policy: str) -> list[Expectation]:
+    """Return the outcomes that every trace must have under every policy."""
     return [
         Expectation(name=f"no {metric} under {policy}", metric=metric, policy=policy, at_most=0)
-        for metric in PROMISES
+        for metric in GUARANTEES
     ]
--- a/bench/replay/_fleet.py
+++ b/bench/replay/_fleet.py
@@ -1,4 +1,4 @@
-"""The processes of one site: the store stand-in, and nodes with their backend servers."""
+"""The processes of a site: the store stand-in, nodes and backend servers."""
 
 import asyncio
 from collections.abc import Sequence
@@ -8,32 +8,32 @@
 import tomlkit
 
 from bench.load import Backends, Caller, Outcome, PlannedCall, StandInReport
+from bench.replay._instance import Instance
 from bench.replay._policies import DIRECT
-from bench.replay._seat import Seat
 from bench.replay._site import Service, Site
 from standins.mesh import Mesh, NodePlan
 
 READY_TIMEOUT_S = 30
-WARM_UP_WAIT_S = 0.1
+WARM_UP_RETRY_S = 0.1
 
 
 def make_plans(site: Site, seed: int) -> list[NodePlan]:
-    """Return the pairs of backend server and node of ``site``."""
+    """Return the plans of the nodes and backend servers of ``site``."""
     return [
         NodePlan(
             service=service.name,
-            data_centre=centre,
+            data_centre=data_centre,
             slots=service.slots,
             service_ms=service.service_ms,
             seed=seed + index,
             connections=service.connections,
         )
-        for index, (service, _, centre) in enumerate(site.places())
+        for index, (service, _, data_centre) in enumerate(site.placements())
     ]
 
 
-def settings_text(site: Site, policy: str, changes: dict[str, Any]) -> str:
-    """Return the settings tree of ``site``: the users differ by it alone."""
+def settings_tree(site: Site, policy: str, changes: dict[str, Any]) -> str:
+    """Return the settings tree of ``site``, the only difference between the users."""
     services = {
         service.name: {"slots": service.slots, "connections": service.connections}
         for service in site.services
@@ -42,29 +42,33 @@
 
 
 class Fleet:
-    """A site that runs, under one selector and ``changes`` of the settings' root branch."""
+    """A running site with one selector and ``changes`` to the settings' root branch."""
 
     def __init__(
         self, site: Site, policy: str, folder: Path, seed: int, changes: dict[str, Any]
     ) -> None:
         self.site = site
         self.policy = policy
-        self.mesh = Mesh(folder, make_plans(site, seed), settings_text(site, policy, changes))
-        self.seats = [
-            Seat(service, number, pair, with_node=policy != DIRECT)
-            for (service, number, _), pair in zip(site.places(), self.mesh.nodes, strict=True)
+        self.mesh = Mesh(folder, make_plans(site, seed), settings_tree(site, policy, changes))
+        self.instances = [
+            Instance(service, number, mesh_node, with_node=policy != DIRECT)
+            for (service, number, _), mesh_node in zip(
+                site.placements(), self.mesh.nodes, strict=True
+            )
         ]
-        for pair in self.mesh.nodes:
-            pair.extra_settings = {"region": site.region, "log_level": "warning"}
+        for mesh_node in self.mesh.nodes:
+            mesh_node.extra_settings = {"region": site.region, "log_level": "warning"}
 
     def entries(self) -> dict[str, Sequence[str]]:
-        """Return where callers enter: any node, or for ``direct`` the service's own servers."""
+        """Return the addresses for callers: all nodes, or for ``direct`` the service's servers."""
         if self.policy == DIRECT:
             return {
-                service.name: [seat.backend for seat in self.seats if seat.service is service]
+                service.name: [
+                    instance.backend for instance in self.instances if instance.service is service
+                ]
                 for service in self.site.services
             }
-        nodes = [seat.pair.callers for seat in self.seats]
+        nodes = [instance.mesh_node.callers for instance in self.instances]
         return {service.name: nodes for service in self.site.services}
 
     async def __aenter__(self) -> Self:
@@ -79,61 +83,66 @@
         await self.mesh.stop()
 
     async def start(self) -> None:
-        """Start everything and wait until each entry serves each service."""
+        """Start all processes and wait until each address serves each service."""
         if self.policy == DIRECT:
-            await asyncio.gather(*(seat.start() for seat in self.seats))
+            await asyncio.gather(*(instance.start() for instance in self.instances))
         else:
             await self.mesh.start()
         async with asyncio.TaskGroup() as group:
             for service, addresses in self.entries().items():
                 for address in addresses:
-                    group.create_task(self.until_served(service, address))
-        async with Backends([seat.backend for seat in self.seats]) as backends:
+                    group.create_task(self.wait_until_served(service, address))
+        async with Backends([instance.backend for instance in self.instances]) as backends:
             await backends.reset()
 
-    async def until_served(self, service: str, address: str) -> None:
-        """Call a service through one entry until it answers; raises ``RuntimeError`` if never."""
+    async def wait_until_served(self, service: str, address: str) -> None:
+        """Call a service at one address until it succeeds; raises ``RuntimeError`` if never."""
         call = PlannedCall(
             at_s=0,
             request_id="warm-up",
             service=service,
             label="warm-up",
             timeout_ms=2000,
-            retries=int(READY_TIMEOUT_S / WARM_UP_WAIT_S),
-            retry_wait_ms=WARM_UP_WAIT_S * 1000,
+            retries=int(READY_TIMEOUT_S / WARM_UP_RETRY_S),
+            retry_wait_ms=WARM_UP_RETRY_S * 1000,
         )
         async with Caller({service: [address]}) as caller:
             last = (await caller.call(call))[-1]
         if last.outcome is not Outcome.COMPLETED:
-            said = self.mesh.output()
-            raise RuntimeError(f"{service} is not served at {address}: {last}\n{said}")
+            output = self.mesh.output()
+            raise RuntimeError(f"{service} is not served at {address}: {last}\n{output}")
 
-    async def replace(self, seat: Seat, faults: dict[str, Any]) -> None:
-        """End an instance in good order and start another at its address."""
-        await seat.stop()
-        await seat.pair.start_server()
+    async def replace(self, instance: Instance, faults: dict[str, Any]) -> None:
+        """Stop an instance gracefully and start another at its address."""
+        await instance.stop()
+        await instance.mesh_node.start_server()
         if faults:
-            await self.mesh.wait_for(lambda: answers_at(seat.backend))
-            await seat.pair.set_faults(**faults)
-        if seat.with_node:
-            await seat.pair.start_node()
+            await self.mesh.wait_for(lambda: is_responding(instance.backend))
+            await instance.mesh_node.set_faults(**faults)
+        if instance.with_node:
+            await instance.mesh_node.start_node()
 
     async def reports(self) -> list[StandInReport]:
-        """Return what each stand-in has run, those that have ended included."""
-        async with Backends([seat.backend for seat in self.seats if seat.running]) as backends:
+        """Return the reports of all stand-ins, including those that have exited."""
+        async with Backends(
+            [instance.backend for instance in self.instances if instance.running]
+        ) as backends:
             running = await backends.reports()
-        return [*running, *(report for seat in self.seats for report in seat.ended)]
+        return [
+            *running,
+            *(report for instance in self.instances for report in instance.final_reports),
+        ]
 
     def service_at(self, address: str) -> Service:
         """Return the service of the backend server at ``address``."""
-        return next(seat.service for seat in self.seats if seat.backend == address)
+        return next(instance.service for instance in self.instances if instance.backend == address)
 
     def node_cpu_s(self) -> float:
-        """Return the processor time of all nodes there have been, in seconds."""
-        return sum(seat.node_cpu_s() for seat in self.seats)
+        """Return the processor time of all nodes, including exited ones, in seconds."""
+        return sum(instance.node_cpu_s() for instance in self.instances)
 
 
-async def answers_at(address: str) -> bool:
-    """Tell whether a stand-in answers at ``address``."""
+async def is_responding(address: str) -> bool:
+    """Tell whether a stand-in responds at ``address``."""
     async with Backends([address]) as backends:
         return await backends.are_responding()
--- a/bench/replay/_phase.py
+++ b/bench/replay/_phase.py
@@ -1,4 +1,4 @@
-"""A stretch of steady arrivals of one class."""
+"""Phases of a trace with a constant arrival rate."""
 
 import attrs
 
@@ -8,8 +8,8 @@
     """Arrivals of one class of calls to one service, as a Poisson process.
 
     Times are in seconds of the trace, ``rate`` in calls a second. Bookings are non-idempotent and
-    carry an idempotency key unless ``keyed`` is false. ``service_ms`` is the median service time
-    where it is not the usual one of the service.
+    have an idempotency key unless ``keyed`` is false. ``service_ms`` replaces the service's median
+    service time.
     """
 
     service: str
--- a/bench/replay/_policies.py
+++ b/bench/replay/_policies.py
@@ -1,4 +1,4 @@
-"""The policies that are compared."""
+"""The policies to compare."""
 
-DIRECT = "direct"  # callers go straight to a random backend server: what no balancer would give
+DIRECT = "direct"  # no load balancer: callers pick a random backend server
 DEFAULT_POLICIES = ("predicted", "round-robin", "two-choices", "least-outstanding")
--- a/bench/replay/_processor_time.py
+++ b/bench/replay/_processor_time.py
@@ -1,4 +1,4 @@
-"""Processor time of a process that the replay started."""
+"""Processor time of the replay's child processes."""
 
 import os
 from pathlib import Path
@@ -6,11 +6,11 @@
 from standins.mesh import ManagedProcess
 
 TICKS_PER_S = os.sysconf("SC_CLK_TCK")
-USER_AND_SYSTEM = slice(11, 13)  # of the fields behind the command's name, see proc(5)
+USER_AND_SYSTEM = slice(11, 13)  # indices of the fields after the command name, see proc(5)
 
 
 def processor_time_s(process: ManagedProcess | None) -> float:
-    """Return the processor time a running process has used, in seconds; 0 once it has ended."""
+    """Return the processor time of a running process, in seconds; 0 if it has exited."""
     if process is None or not process.running:
         return 0.0
     try:
--- a/bench/replay/_progress.py
+++ b/bench/replay/_progress.py
@@ -1,4 +1,4 @@
-"""One line that tells how far the replay is."""
+"""Progress output of the replay."""
 
 import sys
 import time
@@ -8,16 +8,18 @@
 
 @attrs.define(slots=True)
 class Progress:
-    """Counts runs; on a terminal the line replaces itself."""
+    """Counts runs and prints the current one; on a terminal in one line."""
 
     total: int
-    done: int = 0
-    began: float = attrs.field(factory=time.monotonic)
+    started_runs: int = 0
+    started_at: float = attrs.field(factory=time.monotonic)
 
     def begin(self, trace: str, policy: str) -> None:
-        """Say which run begins."""
-        elapsed = time.monotonic() - self.began
-        line = f"[{self.done + 1}/{self.total}] {trace} under {policy}, {elapsed:.0f} s so far"
+        """Print which run starts."""
+        elapsed = time.monotonic() - self.started_at
+        line = (
+            f"[{self.started_runs + 1}/{self.total}] {trace} under {policy}, {elapsed:.0f} s so far"
+        )
         end = "\r" if sys.stderr.isatty() else "\n"
         print(line.ljust(78), end=end, file=sys.stderr, flush=True)
-        self.done += 1
+        self.started_runs += 1
--- a/bench/replay/_site.py
+++ b/bench/replay/_site.py
@@ -1,4 +1,4 @@
-"""The users' sites of today, at their real sizes."""
+"""The users' sites at their real sizes."""
 
 import itertools
 from typing import Any
@@ -8,7 +8,7 @@
 
 @attrs.frozen(slots=True)
 class Service:
-    """A service and the shape of its backend servers; ``service_ms`` is a median."""
+    """A service and the properties of its backend servers; ``service_ms`` is a median."""
 
     name: str
     backends: int
@@ -19,7 +19,7 @@
 
 @attrs.frozen(slots=True)
 class Site:
-    """A user's services, its region and data centres, and what its settings set at the root."""
+    """A user's services, region, data centres and settings of the root branch."""
 
     name: str
     region: str
@@ -27,12 +27,16 @@
     services: tuple[Service, ...]
     settings: dict[str, Any]
 
-    def places(self) -> list[tuple[Service, int, str]]:
-        """Return service, number and data centre of each backend server, spread in turn."""
-        each = ((service, n) for service in self.services for n in range(service.backends))
+    def placements(self) -> list[tuple[Service, int, str]]:
+        """Return service, number and data centre of each server, data centres in turn."""
+        numbered_services = (
+            (service, n) for service in self.services for n in range(service.backends)
+        )
         return [
-            (service, number, centre)
-            for (service, number), centre in zip(each, itertools.cycle(self.data_centres))
+            (service, number, data_centre)
+            for (service, number), data_centre in zip(
+                numbered_services, itertools.cycle(self.data_centres)
+            )
         ]
 
 
--- a/bench/replay/_table.py
+++ b/bench/replay/_table.py
@@ -1,9 +1,9 @@
-"""The figures of one trace side by side, as text."""
+"""Text tables of the results of one trace."""
 
 from collections.abc import Iterator, Sequence
 
 from bench.load import Outcome, Tally
-from bench.replay._figures import Figures
+from bench.replay._run_result import RunResult
 
 CLASS_COLUMNS = (
     *("policy", "class", "calls", "p50", "p99", "p99.9", "goodput", "missed"),
@@ -14,11 +14,11 @@
     *("reads/s", "reads % cap.", "CPU ms/call", "load tool lag ms"),
 )
 
-REASONS_SHOWN = 4
+MAX_LINES_SHOWN = 4
 
 
 def align(rows: Sequence[Sequence[str]]) -> str:
-    """Return rows as a table; the first column is flush left, the others right."""
+    """Return rows as a table; the first column is left-aligned, the others right-aligned."""
     widths = [max(map(len, column)) for column in zip(*rows, strict=True)]
     lines = (
         "  ".join(
@@ -30,14 +30,14 @@
     return "\n".join(lines)
 
 
-def class_rows(runs: Sequence[Figures]) -> Iterator[tuple[str, ...]]:
-    """Yield a row for each class and policy, the classes together."""
+def class_rows(runs: Sequence[RunResult]) -> Iterator[tuple[str, ...]]:
+    """Yield a row for each class and policy, grouped by class."""
     for label in runs[0].labels():
         for run in runs:
             yield class_row(run, label, run.tally(label))
 
 
-def class_row(run: Figures, label: str, counts: Tally) -> tuple[str, ...]:
+def class_row(run: RunResult, label: str, counts: Tally) -> tuple[str, ...]:
     return (
         run.policy,
         label,
@@ -54,15 +54,15 @@
     )
 
 
-def run_row(run: Figures) -> tuple[str, ...]:
-    found = run.audit
+def run_row(run: RunResult) -> tuple[str, ...]:
+    audit = run.audit
     return (
         run.policy,
-        str(found.executions),
-        str(found.wasted),
-        str(len(found.duplicates)),
-        str(len(found.false_not_run)),
-        str(len(found.wrong)),
+        str(audit.executions),
+        str(audit.wasted),
+        str(len(audit.duplicates)),
+        str(len(audit.false_not_run)),
+        str(len(audit.wrong)),
         f"{run.measuring_per_s():.2f}",
         f"{run.measuring_share() * 100:.2f}",
         f"{run.cpu_ms_per_call():.2f}",
@@ -70,23 +70,23 @@
     )
 
 
-def reason_lines(run: Figures) -> Iterator[str]:
-    """Yield why attempts did not complete, the most frequent reasons first."""
-    for reason, count in run.tally().reasons.most_common(REASONS_SHOWN):
+def reason_lines(run: RunResult) -> Iterator[str]:
+    """Yield the most frequent reasons why attempts did not complete."""
+    for reason, count in run.tally().reasons.most_common(MAX_LINES_SHOWN):
         yield f"{run.policy}: {count} x {reason}"
 
 
-def broken_lines(run: Figures) -> Iterator[str]:
-    """Yield the first broken promises by name, for a look into the logs."""
-    found = run.audit
+def violation_lines(run: RunResult) -> Iterator[str]:
+    """Yield the ids of the first violations, to look them up in the logs."""
+    audit = run.audit
     for kind in ("duplicates", "false_not_run", "wrong", "unrun"):
-        names = getattr(found, kind)[:REASONS_SHOWN]
-        if names:
-            yield f"{run.policy}: {kind}: {', '.join(names)}"
+        request_ids = getattr(audit, kind)[:MAX_LINES_SHOWN]
+        if request_ids:
+            yield f"{run.policy}: {kind}: {', '.join(request_ids)}"
 
 
-def table(runs: Sequence[Figures]) -> str:
-    """Return both tables of one trace and the reasons; times are in milliseconds."""
+def table(runs: Sequence[RunResult]) -> str:
+    """Return the tables of one trace and its reasons; times are in milliseconds."""
     classes = align([CLASS_COLUMNS, *class_rows(runs)])
-    lines = (line for run in runs for line in (*reason_lines(run), *broken_lines(run)))
+    lines = (line for run in runs for line in (*reason_lines(run), *violation_lines(run)))
     return "\n\n".join([classes, align([RUN_COLUMNS, *map(run_row, runs)]), "\n".join(lines)])
--- a/bench/replay/_trace.py
+++ b/bench/replay/_trace.py
@@ -1,4 +1,4 @@
-"""A recorded trace."""
+"""Traces of arrivals and events, stored as TOML files."""
 
 import tomllib
 from pathlib import Path
@@ -16,10 +16,10 @@
 
 @attrs.frozen(slots=True)
 class Trace:
-    """Arrivals and faults, from a TOML file.
+    """Phases of arrivals and events, from a TOML file.
 
-    ``origin`` says where the rates come from. ``service_factor`` makes every backend server slower
-    from the beginning; ``policies`` are compared in this trace besides those of every trace.
+    ``origin`` documents the source of the rates. ``service_factor`` multiplies the service time of
+    every backend server; ``policies`` are compared in this trace in addition to the default ones.
     """
 
     name: str
@@ -43,7 +43,7 @@
         return attrs.evolve(site, services=tuple(services))
 
     def scaled(self, seconds: float | None) -> "Trace":
-        """Return the trace at another length: rates stay, the times of the timeline move."""
+        """Return the trace with another length: the rates stay, all times are scaled."""
         if seconds is None or seconds == self.seconds:
             return self
         ratio = seconds / self.seconds
@@ -62,7 +62,7 @@
 
 
 def load_trace(path: Path) -> Trace:
-    """Read a trace; raises ``ValueError`` that names the file and what is wrong in it."""
+    """Load a trace; raises ``ValueError`` with the file name and the errors in it."""
     try:
         raw = {"name": path.stem, **tomllib.loads(path.read_text())}
         return cattrs.Converter(forbid_extra_keys=True).structure(raw, Trace)
--- a/bench/replay/_verdict.py
+++ b/bench/replay/_verdict.py
@@ -1,11 +1,11 @@
-"""Whether a stated outcome was met."""
+"""Verdicts on expected outcomes."""
 
 import attrs
 
 
 @attrs.frozen(slots=True)
 class Verdict:
-    """``met`` is ``None`` where the run could not tell."""
+    """The result of a check; ``met`` is ``None`` if it could not be checked."""
 
     name: str
     met: bool | None
--- a/features/bench/replay.feature
+++ b/features/bench/replay.feature
@@ -9,8 +9,7 @@
     Then each recorded trace names a site, its origin and at least one outcome
 
   Scenario Outline: An outcome is met, missed or not checked
-    # The verdicts are what the replay is for. A comparison with a policy that was not run must not
-    # pass for a met outcome.
+    # A comparison with a policy that was not run must not count as a met outcome.
     Given replay runs whose lookups took 100 ms under "predicted" and 300 ms under "round-robin"
     When the p99 of "predicted" is held to at most <ratio> of "<reference>"
     Then the replay's verdict is "<verdict>"
@@ -23,14 +22,14 @@
       | 0.5   | two-choices   | not checked |
 
   Scenario: A policy without a single completed call does not pass for a fast one
-    # A balancer that refuses everything has no latency at all. Its p99 must not count as 0 ms.
+    # A load balancer that refuses every request has no latencies. Its p99 must not count as 0 ms.
     Given replay runs whose lookups took 100 ms under "round-robin" and none completed under "predicted"
     When the p99 of "predicted" is held to at most 1.05 of "round-robin"
     Then the replay's verdict is "MISSED"
 
   Scenario: A run in which the load tool was late proves no tail, but its broken promises count
-    # The machine was busy with other work: requests went out late, and the latencies say more of
-    # the machine than of the balancer. A booking that ran twice remains one that ran twice.
+    # On a busy machine the load tool sends late, and the latencies measure the machine rather than
+    # the load balancer. Executions are still valid: a booking that ran twice is a duplicate.
     Given replay runs whose lookups took 100 ms under "predicted" and 300 ms under "round-robin"
     And the load tool was 400 ms late under "round-robin", where a booking ran twice
     When the p99 of "predicted" is held to at most 0.5 of "round-robin"
--- a/features/steps/bench_replay_steps.py
+++ b/features/steps/bench_replay_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the replay's traces and verdicts: nothing is started."""
+"""Steps for the replay's traces and verdicts, without any processes."""
 
 import tempfile
 from pathlib import Path
@@ -9,8 +9,8 @@
 
 from bench.load import Attempt, Audit, CallResult, Outcome, PlannedCall
 from bench.replay._arrivals import arrivals
-from bench.replay._expectation import Expectation, load_expectations, promises
-from bench.replay._figures import Figures
+from bench.replay._expectation import Expectation, guarantees, load_expectations
+from bench.replay._run_result import RunResult
 from bench.replay._trace import TRACES, load_trace, trace_names
 
 
@@ -18,7 +18,7 @@
     return load_trace(TRACES / f"{name}.toml")
 
 
-def figures(policy: str, latency_ms: float | None) -> Figures:
+def run_result(policy: str, latency_ms: float | None) -> RunResult:
     """Return a run of 20 lookups that took ``latency_ms`` each, or were all refused."""
     outcome = Outcome.NOT_RUN if latency_ms is None else Outcome.COMPLETED
     took_ms = latency_ms or 1.0
@@ -31,8 +31,8 @@
         )
         for number in range(20)
     ]
-    nothing = Audit((), (), (), (), executions=20, wasted=0)
-    return Figures(recorded("straggler"), policy, results, nothing, [], {}, 1.0, 2.0)
+    clean_audit = Audit((), (), (), (), executions=20, wasted=0)
+    return RunResult(recorded("straggler"), policy, results, clean_audit, [], {}, 1.0, 2.0)
 
 
 @given('the recorded trace "{name}"')
@@ -68,12 +68,12 @@
 
 @given('replay runs whose lookups took {own:d} ms under "{a}" and {other:d} ms under "{b}"')
 def step_runs(context: Any, own: int, a: str, other: int, b: str) -> None:
-    context.runs = {a: figures(a, own), b: figures(b, other)}
+    context.runs = {a: run_result(a, own), b: run_result(b, other)}
 
 
 @given('replay runs whose lookups took {own:d} ms under "{a}" and none completed under "{b}"')
 def step_refused(context: Any, own: int, a: str, b: str) -> None:
-    context.runs = {a: figures(a, own), b: figures(b, None)}
+    context.runs = {a: run_result(a, own), b: run_result(b, None)}
 
 
 @given('the load tool was {lag:d} ms late under "{policy}", where a booking ran twice')
@@ -88,7 +88,7 @@
 
 @then('the replay finds the duplicate under "{policy}"')
 def step_duplicate(context: Any, policy: str) -> None:
-    missed = [each for each in promises(policy) if each.check(context.runs).met is False]
+    missed = [each for each in guarantees(policy) if each.check(context.runs).met is False]
     assert [each.metric for each in missed] == ["duplicates"], missed
 
 
