--- a/bench/replay/_expectation.py
+++ b/bench/replay/_expectation.py
@@ -22,8 +22,8 @@
 
     It applies to the run under ``policy``. The bound is ``at_most`` or ``at_least``; if ``of`` or
     ``of_window`` is given, it is multiplied by the same metric under the policy ``of`` or in that
-    window. In ``of``, ``best-baseline`` is the best of all other selectors. Windows are fractions of
-    the trace.
+    window. In ``of``, ``best-baseline`` is the best of all other selectors. Windows are fractions
+    of the trace.
     """
 
     name: str
--- a/bench/replay/_fleet.py
+++ b/bench/replay/_fleet.py
@@ -22,13 +22,13 @@
     return [
         NodePlan(
             service=service.name,
-            data_centre=data_centre,
+            data_centre=centre,
             slots=service.slots,
             service_ms=service.service_ms,
             seed=seed + index,
             connections=service.connections,
         )
-        for index, (service, _, data_centre) in enumerate(site.placements())
+        for index, (service, _, centre) in enumerate(site.placements())
     ]
 
 
