--- a/bench/hop/__init__.py
+++ b/bench/hop/__init__.py
@@ -1,5 +1,5 @@
-"""What a hop through the nodes adds to a call: ``python -m bench.hop``."""
+"""Measures the latency and processor time that a hop adds: ``python -m bench.hop``."""
 
-from bench.hop._process_use import ProcessUse, read_use
+from bench.hop._process_use import ProcessUsage, read_use
 
-__all__ = ["ProcessUse", "read_use"]
+__all__ = ["ProcessUsage", "read_use"]
--- a/bench/hop/__main__.py
+++ b/bench/hop/__main__.py
@@ -1,10 +1,10 @@
-"""Compares a call to a backend server with the same call over one hop and over two.
+"""Compares calls to a backend server with the same calls over one hop and over two.
 
-Starts a mesh on loopback, idle but for the measured calls. Direct calls, calls over the node beside
-the backend server (one hop) and calls that a node of another service forwards (two hops) take
-turns at a steady rate, GET (idempotent) and POST (not) alike; then each way over nodes is driven
-by callers that wait for nothing but their answers. Prints two tables and writes
-``out/bench-hop.json``. Processor time is that of the nodes alone, without what they use when idle.
+Starts a mesh on loopback that serves no other calls. Direct calls, calls through the backend
+server's node (one hop) and calls that a node of another service forwards (two hops) alternate at a
+constant rate, both as GET (idempotent) and as POST (not idempotent). Then a closed loop of callers
+saturates each path through nodes. Prints two tables and writes ``out/bench-hop.json``. Processor
+time is that of the nodes, less what they use when idle.
 """
 
 import argparse
@@ -18,99 +18,101 @@
 from pathlib import Path
 from typing import Any
 
-from bench.hop._crowd import Crowd
-from bench.hop._process_use import ProcessUse, read_use
-from bench.hop._way import Way
-from bench.hop._ways import SERVICES, SLOTS, make_ways
+from bench.hop._call_generator import CallGenerator
+from bench.hop._call_path import CallPath
+from bench.hop._call_paths import SERVICES, SLOTS, make_call_paths
+from bench.hop._process_use import ProcessUsage, read_use
 from standins.mesh import Mesh, make_plan
 
 WARM_UP_S = 3.0
 IDLE_S = 4.0
-OUT = Path("out/bench-hop.json")
+OUTPUT_FILE = Path("out/bench-hop.json")
 
 
-def read_all(ways: list[Way]) -> dict[int, ProcessUse]:
-    return {pid: read_use(pid) for way in ways for pid in way.nodes}
+def read_all_usage(call_paths: list[CallPath]) -> dict[int, ProcessUsage]:
+    return {pid: read_use(pid) for path in call_paths for pid in path.nodes}
 
 
-def cpu_between(before: dict[int, ProcessUse], after: dict[int, ProcessUse]) -> dict[int, float]:
-    """Return the processor seconds that each process used."""
+def cpu_used_s(before: dict[int, ProcessUsage], after: dict[int, ProcessUsage]) -> dict[int, float]:
+    """Return the processor time that each process used, in seconds."""
     return {pid: use.cpu_s - before[pid].cpu_s for pid, use in after.items()}
 
 
-async def measure_idle(ways: list[Way]) -> dict[int, float]:
-    """Return the share of a core that each node uses without calls."""
-    before = read_all(ways)
+async def measure_idle(call_paths: list[CallPath]) -> dict[int, float]:
+    """Return the fraction of a core that each node uses without calls."""
+    before = read_all_usage(call_paths)
     await asyncio.sleep(IDLE_S)
-    return {pid: cpu / IDLE_S for pid, cpu in cpu_between(before, read_all(ways)).items()}
+    return {
+        pid: cpu / IDLE_S for pid, cpu in cpu_used_s(before, read_all_usage(call_paths)).items()
+    }
 
 
 async def run_steady(
-    ways: list[Way], idle: dict[int, float], per_s: float, seconds: float
+    call_paths: list[CallPath], idle: dict[int, float], per_s: float, seconds: float
 ) -> list[dict[str, Any]]:
-    """Run all ways at the steady rate; return a row for each."""
-    crowd = Crowd(ways)
-    await crowd.connect()
-    await crowd.steady(per_s, WARM_UP_S)
-    for way in ways:
-        way.latency.reset()
-    before = read_all(ways)
-    await crowd.steady(per_s, seconds)
-    after = read_all(ways)
-    crowd.close()
-    used = cpu_between(before, after)
-    return [steady_row(way, ways, used, idle, after, seconds) for way in ways]
+    """Run all paths at a constant rate; return a row for each."""
+    generator = CallGenerator(call_paths)
+    await generator.connect()
+    await generator.run_open_loop(per_s, WARM_UP_S)
+    for path in call_paths:
+        path.latency.reset()
+    before = read_all_usage(call_paths)
+    await generator.run_open_loop(per_s, seconds)
+    after = read_all_usage(call_paths)
+    generator.close()
+    used = cpu_used_s(before, after)
+    return [steady_row(path, call_paths, used, idle, after, seconds) for path in call_paths]
 
 
 def steady_row(
-    way: Way,
-    ways: list[Way],
+    path: CallPath,
+    call_paths: list[CallPath],
     used: dict[int, float],
     idle: dict[int, float],
-    after: dict[int, ProcessUse],
+    after: dict[int, ProcessUsage],
     seconds: float,
 ) -> dict[str, Any]:
-    calls = sum(other.latency.get_total_count() for other in ways if other.name == way.name)
-    cpu_s = sum(used[pid] - idle[pid] * seconds for pid in way.nodes)
-    direct = next(each for each in ways if each.method == way.method and not each.nodes)
+    calls = sum(other.latency.get_total_count() for other in call_paths if other.name == path.name)
+    cpu_s = sum(used[pid] - idle[pid] * seconds for pid in path.nodes)
+    direct = next(each for each in call_paths if each.method == path.method and not each.nodes)
     percents = (50, 99, 99.9)
     return {
-        "way": way.name,
-        "method": way.method,
-        "calls": way.latency.get_total_count(),
-        "failed": way.failed,
-        **{f"p{each}_ms": way.percentile_ms(each) for each in percents},
-        **{f"added_p{each}_ms": added_ms(way, direct, each) for each in percents},
-        # Both methods run at once on the same nodes, so this is the mean of the two.
+        "way": path.name,
+        "method": path.method,
+        "calls": path.latency.get_total_count(),
+        "failed": path.failed,
+        **{f"p{each}_ms": path.percentile_ms(each) for each in percents},
+        **{f"added_p{each}_ms": added_ms(path, direct, each) for each in percents},
+        # Both methods run concurrently on the same nodes, so this is the mean of both.
         "cpu_us_per_call": round(cpu_s / calls * 1e6),
-        "rss_mb": [round(after[pid].rss_bytes / 1e6, 1) for pid in way.nodes],
+        "rss_mb": [round(after[pid].rss_bytes / 1e6, 1) for pid in path.nodes],
     }
 
 
-def added_ms(way: Way, direct: Way, percent: float) -> float:
-    return round(way.percentile_ms(percent) - direct.percentile_ms(percent), 3)
+def added_ms(path: CallPath, direct: CallPath, percent: float) -> float:
+    return round(path.percentile_ms(percent) - direct.percentile_ms(percent), 3)
 
 
 async def run_saturated(
-    way: Way, idle: dict[int, float], callers: int, seconds: float
+    path: CallPath, idle: dict[int, float], callers: int, seconds: float
 ) -> dict[str, Any]:
-    """Drive one way as fast as it answers; return calls a second for one core of each node."""
-    crowd = Crowd([way])
-    await crowd.connect(callers)
-    await crowd.saturate(way, callers, 0.5)
-    failed_before = way.failed
-    before = read_all([way])
-    answered = await crowd.saturate(way, callers, seconds)
-    used = cpu_between(before, read_all([way]))
-    crowd.close()
-    busy = {pid: used[pid] - idle[pid] * seconds for pid in way.nodes}
+    """Saturate one path; return the call rate and the processor time of its nodes."""
+    generator = CallGenerator([path])
+    await generator.connect(callers)
+    await generator.run_closed_loop(path, callers, 0.5)
+    failed_before = path.failed
+    before = read_all_usage([path])
+    completed = await generator.run_closed_loop(path, callers, seconds)
+    used = cpu_used_s(before, read_all_usage([path]))
+    generator.close()
+    busy = {pid: used[pid] - idle[pid] * seconds for pid in path.nodes}
     return {
-        "way": way.name,
-        "method": way.method,
-        "calls_per_s": round(answered / seconds),
-        "failed": way.failed - failed_before,
-        "cores_used": [round(used[pid] / seconds, 2) for pid in way.nodes],
-        "cpu_us_per_call": [round(busy[pid] / answered * 1e6) for pid in way.nodes],
+        "way": path.name,
+        "method": path.method,
+        "calls_per_s": round(completed / seconds),
+        "failed": path.failed - failed_before,
+        "cores_used": [round(used[pid] / seconds, 2) for pid in path.nodes],
+        "cpu_us_per_call": [round(busy[pid] / completed * 1e6) for pid in path.nodes],
     }
 
 
@@ -142,17 +144,17 @@
     with tempfile.TemporaryDirectory() as folder:
         async with Mesh(Path(folder), make_plan(SERVICES, SLOTS, 0.0)) as mesh:
             await mesh.wait_until_ready()
-            ways = make_ways(mesh)
-            # The collector of this process would show in the latencies of the calls.
+            call_paths = make_call_paths(mesh)
+            # Garbage collections in this process would add to the latencies.
             gc.collect()
             gc.disable()
-            idle = await measure_idle(ways)
-            steady = await run_steady(ways, idle, options.rate, options.seconds)
+            idle = await measure_idle(call_paths)
+            steady = await run_steady(call_paths, idle, options.rate, options.seconds)
             print_steady(steady)
             saturated = [
-                await run_saturated(way, idle, options.callers, options.saturated_seconds)
-                for way in ways
-                if way.nodes
+                await run_saturated(path, idle, options.callers, options.saturated_seconds)
+                for path in call_paths
+                if path.nodes
             ]
             print_saturated(saturated)
     result = {
@@ -167,15 +169,15 @@
 
 
 def write(result: dict[str, Any]) -> None:
-    """Keep the result where other tools can read it."""
-    OUT.parent.mkdir(exist_ok=True)
-    OUT.write_text(json.dumps(result, indent=1) + "\n")
-    print(f"load average {result['load_average'][0]:.1f}; written to {OUT}")
+    """Write the result to ``OUTPUT_FILE`` for other tools."""
+    OUTPUT_FILE.parent.mkdir(exist_ok=True)
+    OUTPUT_FILE.write_text(json.dumps(result, indent=1) + "\n")
+    print(f"load average {result['load_average'][0]:.1f}; written to {OUTPUT_FILE}")
 
 
 def parse() -> argparse.Namespace:
     parser = argparse.ArgumentParser(prog="python -m bench.hop", description=__doc__)
-    parser.add_argument("--rate", type=float, default=300.0, help="calls a second over all ways")
+    parser.add_argument("--rate", type=float, default=300.0, help="calls a second over all paths")
     parser.add_argument("--seconds", type=float, default=45.0)
     parser.add_argument("--callers", type=int, default=8, help="callers at saturation")
     parser.add_argument("--saturated-seconds", type=float, default=4.0)
@@ -183,7 +185,7 @@
 
 
 def precise_loop() -> asyncio.AbstractEventLoop:
-    """Return a loop whose timers are exact to microseconds; epoll's wait in whole milliseconds."""
+    """Return a loop with microsecond timers; those of epoll have millisecond resolution."""
     return asyncio.SelectorEventLoop(selectors.SelectSelector())
 
 
--- a/bench/hop/_way.py
+++ b/bench/hop/_call_path.py
@@ -1,4 +1,4 @@
-"""The ways of a call that are compared."""
+"""Paths of calls to compare."""
 
 import attrs
 from hdrh.histogram import HdrHistogram
@@ -10,11 +10,11 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Way:
-    """One way to one backend server for one kind of call, and what became of the calls.
+class CallPath:
+    """A path to a backend server for one HTTP method, with the results of its calls.
 
-    ``latency`` is in microseconds from the planned time of each call. ``nodes`` are the process
-    ids of the nodes on the way.
+    ``latency`` is in microseconds from the planned time of each call. ``nodes`` are the process ids
+    of the nodes on the path.
     """
 
     name: str
@@ -30,7 +30,7 @@
         return f"{self.name} {self.method}"
 
     def encode(self, request_id: str) -> bytes:
-        """Return the whole request as it goes onto the wire."""
+        """Return the bytes of the request."""
         body = b"x" * BODY_BYTES if self.method == "POST" else b""
         length = f"Content-Length: {len(body)}\r\n" if body else ""
         head = (
@@ -39,9 +39,9 @@
         )
         return head.encode() + body
 
-    def record(self, latency_s: float, answered_well: bool) -> None:
-        """Note the end of a call; only whole and own answers count for the latency."""
-        if answered_well:
+    def record(self, latency_s: float, is_valid: bool) -> None:
+        """Record the result of a call; only valid responses count for the latency."""
+        if is_valid:
             self.latency.record_value(max(1, round(latency_s * 1e6)))
         else:
             self.failed += 1
--- a/bench/hop/_connection.py
+++ b/bench/hop/_connection.py
@@ -1,4 +1,4 @@
-"""A caller's connection, with as little work of its own as can be."""
+"""A minimal HTTP client connection, to keep the measuring overhead low."""
 
 import asyncio
 from collections.abc import Callable
@@ -6,35 +6,35 @@
 
 import httptools
 
-from bench.hop._way import BODY_BYTES
+from bench.hop._call_path import BODY_BYTES
 from standins.expected_body import expected_body
 
 
 class Connection(asyncio.Protocol):
-    """Sends one request at a time and tells when its whole answer is there."""
+    """Sends one request at a time and reports when its response is complete."""
 
     def __init__(self) -> None:
         self.transport: asyncio.Transport | None = None
         self.parser: Any = None
         self.request_id = ""
-        self.echo = b""
+        self.echoed_id = b""
         self.body: list[bytes] = []
-        self.done: Callable[[bool], None] | None = None
+        self.on_done: Callable[[bool], None] | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self.transport = cast(asyncio.Transport, transport)
 
     def connection_lost(self, exc: Exception | None) -> None:
         self.transport = None
-        self.end(False)
+        self.finish(False)
 
-    def send(self, request_id: str, request: bytes, done: Callable[[bool], None]) -> None:
-        """Send a request; ``done`` is called with whether the answer is whole and its own."""
-        self.request_id, self.done = request_id, done
+    def send(self, request_id: str, request: bytes, on_done: Callable[[bool], None]) -> None:
+        """Send a request; call ``on_done`` with whether its response is complete and matches."""
+        self.request_id, self.on_done = request_id, on_done
         self.parser = httptools.HttpResponseParser(self)
-        self.echo, self.body = b"", []
+        self.echoed_id, self.body = b"", []
         if self.transport is None:
-            self.end(False)
+            self.finish(False)
         else:
             self.transport.write(request)
 
@@ -43,17 +43,17 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == b"x-echo-id":
-            self.echo = value
+            self.echoed_id = value
 
     def on_body(self, body: bytes) -> None:
         self.body.append(body)
 
     def on_message_complete(self) -> None:
-        whole = b"".join(self.body) == expected_body(self.request_id, BODY_BYTES)
-        own = self.echo.decode() == self.request_id
-        self.end(whole and own and self.parser.get_status_code() == 200)
-
-    def end(self, answered_well: bool) -> None:
-        done, self.done = self.done, None
-        if done is not None:
-            done(answered_well)
+        is_complete = b"".join(self.body) == expected_body(self.request_id, BODY_BYTES)
+        matches = self.echoed_id.decode() == self.request_id
+        self.finish(is_complete and matches and self.parser.get_status_code() == 200)
+
+    def finish(self, is_valid: bool) -> None:
+        on_done, self.on_done = self.on_done, None
+        if on_done is not None:
+            on_done(is_valid)
--- a/bench/hop/_process_use.py
+++ b/bench/hop/_process_use.py
@@ -1,4 +1,4 @@
-"""What a process has used, as the kernel tells it."""
+"""Processor time and memory of a process, from procfs."""
 
 import os
 from pathlib import Path
@@ -10,10 +10,10 @@
 
 
 @attrs.frozen(slots=True)
-class ProcessUse:
-    """Processor time since the start in seconds, and memory in bytes now.
+class ProcessUsage:
+    """Processor time since the process started, in seconds, and current memory, in bytes.
 
-    ``user_s`` is the part of ``cpu_s`` that was spent outside the kernel.
+    ``user_s`` is the part of ``cpu_s`` in user mode.
     """
 
     cpu_s: float
@@ -21,10 +21,10 @@
     user_s: float = 0.0
 
 
-def read_use(pid: int) -> ProcessUse:
+def read_use(pid: int) -> ProcessUsage:
     """Read ``/proc/<pid>/stat``; processor time comes in ticks of 10 ms."""
     text = Path(f"/proc/{pid}/stat").read_text()
-    # The name of the program stands in parentheses and may hold spaces.
+    # The command name is in parentheses and may contain spaces.
     fields = text.rpartition(")")[2].split()
     user, system, pages = int(fields[11]), int(fields[12]), int(fields[21])
-    return ProcessUse((user + system) / TICKS_PER_S, pages * PAGE_BYTES, user / TICKS_PER_S)
+    return ProcessUsage((user + system) / TICKS_PER_S, pages * PAGE_BYTES, user / TICKS_PER_S)
--- a/bench/hop/slopes.py
+++ b/bench/hop/slopes.py
@@ -1,9 +1,9 @@
-"""What connections cost a node: ``python -m bench.hop.slopes``.
+"""Measures what connections cost a node: ``python -m bench.hop.slopes``.
 
-Opens callers' connections, then peers' connections, to one idle node in steps, and prints the
-node's memory and processor time at each step; for peers also those of this process, which holds
-the other ends. Each caller's connection has carried one call and each peer's connection its
-handshake. Writes ``out/bench-slopes.json``.
+Opens connections of callers, then of peers, to one idle node in steps, and prints the node's memory
+and processor time at each step; for peers also those of this process, which holds the other ends.
+Each caller's connection has carried one call, and each peer's connection its handshake. Writes
+``out/bench-slopes.json``.
 """
 
 import asyncio
@@ -18,22 +18,22 @@
 
 import attrs
 
-from bench.hop._crowd import Crowd
+from bench.hop._call_generator import CallGenerator
+from bench.hop._call_paths import SERVICES, SLOTS, make_call_paths, pid_of
 from bench.hop._process_use import read_use
-from bench.hop._ways import SERVICES, SLOTS, make_ways, pid_of
 from marjoramtide.clock import SystemClock
 from marjoramtide.peers import PeerClient
 from standins.mesh import KEY, Mesh, make_plan
 
 STEPS = (0, 50, 200, 400)
 SETTLE_S = 1.0
-WATCH_S = 4.0
-OUT = Path("out/bench-slopes.json")
+MEASURE_S = 4.0
+OUTPUT_FILE = Path("out/bench-slopes.json")
 
 
 @attrs.frozen(slots=True)
 class Row:
-    """One step: connections open, memory in MB and the share of a core, here and in the node."""
+    """One step: open connections, memory in MB and fraction of a core, here and in the node."""
 
     kind: str
     connections: int
@@ -43,35 +43,37 @@
     own_core_share: float
 
 
-async def watch(kind: str, connections: int, node_pid: int) -> Row:
-    """Let things settle, then watch the node and this process for a while."""
+async def measure_step(kind: str, connections: int, node_pid: int) -> Row:
+    """Wait until the processes have settled, then measure the node and this process."""
     gc.collect()
     await asyncio.sleep(SETTLE_S)
     pids = {"node": node_pid, "own": os.getpid()}
     before = {name: read_use(pid) for name, pid in pids.items()}
-    await asyncio.sleep(WATCH_S)
+    await asyncio.sleep(MEASURE_S)
     values: dict[str, float] = {}
     for name, pid in pids.items():
         use = read_use(pid)
         values[f"{name}_mb"] = round(use.rss_bytes / 1e6, 2)
-        values[f"{name}_core_share"] = round((use.cpu_s - before[name].cpu_s) / WATCH_S, 4)
+        values[f"{name}_core_share"] = round((use.cpu_s - before[name].cpu_s) / MEASURE_S, 4)
     return Row(kind, connections, **values)
 
 
-async def climb(kind: str, node_pid: int, add: Callable[[int], Awaitable[None]]) -> list[Row]:
-    """Add connections step by step; ``add`` brings their number to what it is given."""
+async def measure_steps(
+    kind: str, node_pid: int, connect_up_to: Callable[[int], Awaitable[None]]
+) -> list[Row]:
+    """Add connections in steps; ``connect_up_to(count)`` raises their number to ``count``."""
     rows = []
     for count in STEPS:
-        await add(count)
-        rows.append(await watch(kind, count, node_pid))
+        await connect_up_to(count)
+        rows.append(await measure_step(kind, count, node_pid))
         print_row(rows[-1], rows[0])
     return rows
 
 
 def print_row(row: Row, first: Row) -> None:
     per_kb = "".join(
-        f"{(now - then) * 1000 / row.connections:>10.1f}" if row.connections else f"{'-':>10}"
-        for now, then in ((row.node_mb, first.node_mb), (row.own_mb, first.own_mb))
+        f"{(now - initial) * 1000 / row.connections:>10.1f}" if row.connections else f"{'-':>10}"
+        for now, initial in ((row.node_mb, first.node_mb), (row.own_mb, first.own_mb))
     )
     print(
         f"{row.kind:<9}{row.connections:>6}{row.node_mb:>9.2f}{row.node_core_share:>9.2%}"
@@ -81,20 +83,20 @@
 
 
 async def measure_callers(mesh: Mesh) -> list[Row]:
-    way = make_ways(mesh)[1]
-    crowd = Crowd([way])
+    path = make_call_paths(mesh)[1]
+    generator = CallGenerator([path])
 
-    async def add(count: int) -> None:
-        await crowd.connect(count - len(crowd.free[way]))
-        # All at once, so that each connection carries a call.
+    async def connect_up_to(count: int) -> None:
+        await generator.connect(count - len(generator.idle_connections[path]))
+        # Concurrent calls, so that each connection carries one.
         for _ in range(count):
-            crowd.call(way, asyncio.get_running_loop().time())
+            generator.call(path, asyncio.get_running_loop().time())
             await asyncio.sleep(0.002)
         if count:
-            await crowd.all_ended()
+            await generator.wait_until_idle()
 
-    rows = await climb("callers", pid_of(mesh.nodes[0]), add)
-    crowd.close()
+    rows = await measure_steps("callers", pid_of(mesh.nodes[0]), connect_up_to)
+    generator.close()
     return rows
 
 
@@ -102,12 +104,12 @@
     node = mesh.nodes[1]
     clients: list[PeerClient] = []
 
-    async def add(count: int) -> None:
+    async def connect_up_to(count: int) -> None:
         while len(clients) < count:
             clients.append(PeerClient(KEY, SystemClock()))
             await clients[-1].link(node.peers, "routine")
 
-    rows = await climb("peers", pid_of(node), add)
+    rows = await measure_steps("peers", pid_of(node), connect_up_to)
     await asyncio.gather(*(client.close() for client in clients))
     return rows
 
@@ -124,9 +126,9 @@
 
 
 def write(rows: list[dict[str, Any]]) -> None:
-    OUT.parent.mkdir(exist_ok=True)
-    OUT.write_text(json.dumps(rows, indent=1) + "\n")
-    print(f"KB for each connection in the last two columns; written to {OUT}")
+    OUTPUT_FILE.parent.mkdir(exist_ok=True)
+    OUTPUT_FILE.write_text(json.dumps(rows, indent=1) + "\n")
+    print(f"KB for each connection in the last two columns; written to {OUTPUT_FILE}")
 
 
 if __name__ == "__main__":
