--- a/bench/hop/__main__.py
+++ b/bench/hop/__main__.py
@@ -18,9 +18,9 @@
 from pathlib import Path
 from typing import Any
 
-from bench.hop._call_generator import CallGenerator
 from bench.hop._call_path import CallPath
 from bench.hop._call_paths import SERVICES, SLOTS, make_call_paths
+from bench.hop._crowd import CallGenerator
 from bench.hop._process_use import ProcessUsage, read_use
 from standins.mesh import Mesh, make_plan
 
--- a/bench/hop/slopes.py
+++ b/bench/hop/slopes.py
@@ -18,8 +18,8 @@
 
 import attrs
 
-from bench.hop._call_generator import CallGenerator
 from bench.hop._call_paths import SERVICES, SLOTS, make_call_paths, pid_of
+from bench.hop._crowd import CallGenerator
 from bench.hop._process_use import read_use
 from marjoramtide.clock import SystemClock
 from marjoramtide.peers import PeerClient
