--- a/bench/fleet/_fleet.py
+++ b/bench/fleet/_fleet.py
@@ -13,7 +13,7 @@
 
 from bench.fleet._memory import Memory, read_memory
 from bench.fleet._store_calls import StoreCalls
-from bench.hop import read_use
+from bench.hop import read_process_usage
 from marjoramtide.settings import parse_address
 from standins.mesh import Mesh, MeshNode, NodePlan
 
@@ -120,7 +120,7 @@
 
     def cpu_s(self, nodes: Iterable[MeshNode]) -> float:
         """Return the processor time that these nodes have used."""
-        return sum(read_use(pid).cpu_s for pid in pids(nodes))
+        return sum(read_process_usage(pid).cpu_s for pid in pids(nodes))
 
     def memory(self) -> Memory:
         """Return the mean of the nodes."""
--- a/bench/hop/__main__.py
+++ b/bench/hop/__main__.py
@@ -21,7 +21,7 @@
 from bench.hop._call_path import CallPath
 from bench.hop._call_paths import SERVICES, SLOTS, make_call_paths
 from bench.hop._crowd import CallGenerator
-from bench.hop._process_use import ProcessUsage, read_use
+from bench.hop._process_use import ProcessUsage, read_process_usage
 from standins.mesh import Mesh, make_plan
 
 WARM_UP_S = 3.0
@@ -30,7 +30,7 @@
 
 
 def read_all_usage(call_paths: list[CallPath]) -> dict[int, ProcessUsage]:
-    return {pid: read_use(pid) for path in call_paths for pid in path.nodes}
+    return {pid: read_process_usage(pid) for path in call_paths for pid in path.nodes}
 
 
 def cpu_used_s(before: dict[int, ProcessUsage], after: dict[int, ProcessUsage]) -> dict[int, float]:
--- a/bench/hop/_process_use.py
+++ b/bench/hop/_process_use.py
@@ -21,7 +21,7 @@
     user_s: float = 0.0
 
 
-def read_use(pid: int) -> ProcessUsage:
+def read_process_usage(pid: int) -> ProcessUsage:
     """Read ``/proc/<pid>/stat``; processor time comes in ticks of 10 ms."""
     text = Path(f"/proc/{pid}/stat").read_text()
     # The command name is in parentheses and may contain spaces.
--- a/bench/hop/slopes.py
+++ b/bench/hop/slopes.py
@@ -20,7 +20,7 @@
 
 from bench.hop._call_paths import SERVICES, SLOTS, make_call_paths, pid_of
 from bench.hop._crowd import CallGenerator
-from bench.hop._process_use import read_use
+from bench.hop._process_use import read_process_usage
 from marjoramtide.clock import SystemClock
 from marjoramtide.peers import PeerClient
 from standins.mesh import KEY, Mesh, make_plan
@@ -48,11 +48,11 @@
     gc.collect()
     await asyncio.sleep(SETTLE_S)
     pids = {"node": node_pid, "own": os.getpid()}
-    before = {name: read_use(pid) for name, pid in pids.items()}
+    before = {name: read_process_usage(pid) for name, pid in pids.items()}
     await asyncio.sleep(MEASURE_S)
     values: dict[str, float] = {}
     for name, pid in pids.items():
-        use = read_use(pid)
+        use = read_process_usage(pid)
         values[f"{name}_mb"] = round(use.rss_bytes / 1e6, 2)
         values[f"{name}_core_share"] = round((use.cpu_s - before[name].cpu_s) / MEASURE_S, 4)
     return Row(kind, connections, **values)
--- a/bench/processor/_fleet.py
+++ b/bench/processor/_fleet.py
@@ -6,7 +6,7 @@
 
 import tomlkit
 
-from bench.hop import read_use
+from bench.hop import read_process_usage
 from bench.limits._fleet import LimitFleet
 from bench.processor._spent import Spent
 
@@ -45,7 +45,7 @@
     def spent(self) -> Spent:
         """Return the processor time of all nodes since their start."""
         running = [seat.process.process.pid for seat in self.seats if seat.process is not None]
-        uses = [read_use(pid) for pid in running]
+        uses = [read_process_usage(pid) for pid in running]
         return Spent(
             1000 * sum(use.user_s for use in uses),
             1000 * sum(use.cpu_s - use.user_s for use in uses),
