--- a/bench/replay/_fleet.py
+++ b/bench/replay/_fleet.py
@@ -59,7 +59,7 @@
         for mesh_node in self.mesh.nodes:
             mesh_node.extra_settings = {"region": site.region, "log_level": "warning"}
 
-    def entries(self) -> dict[str, Sequence[str]]:
+    def caller_addresses(self) -> dict[str, Sequence[str]]:
         """Return the addresses for callers: all nodes, or for ``direct`` the service's servers."""
         if self.policy == DIRECT:
             return {
@@ -89,7 +89,7 @@
         else:
             await self.mesh.start()
         async with asyncio.TaskGroup() as group:
-            for service, addresses in self.entries().items():
+            for service, addresses in self.caller_addresses().items():
                 for address in addresses:
                     group.create_task(self.wait_until_served(service, address))
         async with Backends([instance.backend for instance in self.instances]) as backends:
--- a/bench/replay/_run.py
+++ b/bench/replay/_run.py
@@ -43,7 +43,7 @@
         start = time.monotonic() + START_DELAY_S
         timeline = asyncio.create_task(Timeline(trace.events, fleet).run(start))
         results = await play_in_workers(
-            calls, fleet.entries(), workers=WORKERS, seed=trace.seed, start=start
+            calls, fleet.caller_addresses(), workers=WORKERS, seed=trace.seed, start=start
         )
         await timeline
         await asyncio.sleep(SETTLE_S)
--- a/features/bench/backend_stand_in.feature
+++ b/features/bench/backend_stand_in.feature
@@ -7,7 +7,7 @@
     # before a slot is free; the server refuses it and it never runs.
     Given a stand-in with 2 slots that are held by requests of 60000 ms
     When a stand-in booking with a deadline of 50 ms arrives
-    Then the stand-in answers it 503 with the outcome "not-run"
+    Then the stand-in responds with 503 and the outcome "not-run"
     And the stand-in has run 2 requests
 
   Scenario: A lookup whose caller leaves frees its slot; a booking runs on
@@ -22,7 +22,7 @@
     # requests are refused once the grace period has passed.
     Given a stand-in with 2 slots that drains with a grace of 0 ms
     When a stand-in booking with a deadline of 1000 ms arrives
-    Then the stand-in answers it 503 with the outcome "not-run"
+    Then the stand-in responds with 503 and the outcome "not-run"
     And the stand-in asked to close the connection and says "draining"
 
   Scenario: A misleading load endpoint says idle while the server is full
--- a/features/bench/load_tool.feature
+++ b/features/bench/load_tool.feature
@@ -46,7 +46,7 @@
     # The first lookup leaves a persistent connection. The second one runs, and the connection breaks
     # before its response. A client library that retries it would hide the loss, and the load
     # balancer would be blamed for the second execution.
-    Given a load-tool backend server that loses every answer after the first
+    Given a load-tool backend server that loses every response after the first
     When the load tool makes two lookups over one connection
     Then the second lookup ran once and is "unknown"
 
@@ -62,5 +62,5 @@
     # The tool's own process is delayed by two seconds. Real callers would have sent on time, so the
     # latency counts from the planned times.
     Given an open loop on a manual clock with a call planned every 0.1 s for 1 s
-    When the clock jumps by 2 s at once and every answer takes no time
+    When the clock jumps by 2 s at once and every response takes no time
     Then the latencies counted are the 2 s less each planned time
--- a/features/steps/bench_stand_in_steps.py
+++ b/features/steps/bench_stand_in_steps.py
@@ -83,10 +83,10 @@
     context.server.set_faults(Faults(mislead=True))
 
 
-@then('the stand-in answers it {status:d} with the outcome "{outcome}"')
+@then('the stand-in responds with {status:d} and the outcome "{outcome}"')
 def step_refused(context: Any, status: int, outcome: str) -> None:
-    answered, headers, _ = context.response
-    assert (answered, headers["Request-Outcome"]) == (status, outcome), context.response
+    actual_status, headers, _ = context.response
+    assert (actual_status, headers["Request-Outcome"]) == (status, outcome), context.response
 
 
 @then("the stand-in has run {count:d} requests")
--- a/features/steps/bench_steps.py
+++ b/features/steps/bench_steps.py
@@ -90,7 +90,7 @@
     return attempt, server.ledger.requests[calls[1].request_id]
 
 
-@given("a load-tool backend server that loses every answer after the first")
+@given("a load-tool backend server that loses every response after the first")
 def step_loses_responses(context: Any) -> None:
     context.calls = planned_calls(2, "GET")
 
@@ -161,13 +161,13 @@
     context.calls = planned_calls(10, "GET", spacing_s=0.1)
 
 
-@when("the clock jumps by 2 s at once and every answer takes no time")
+@when("the clock jumps by 2 s at once and every response takes no time")
 def step_jump(context: Any) -> None:
-    async def answer(call: PlannedCall) -> tuple[Attempt, ...]:
+    async def respond(call: PlannedCall) -> tuple[Attempt, ...]:
         return (Attempt(call.request_id, Outcome.COMPLETED, 0.0),)
 
     async def run() -> Any:
-        loop = OpenLoop(answer, context.clock)
+        loop = OpenLoop(respond, context.clock)
         start_s = context.clock.monotonic()
         context.clock.advance(2.0)
         async with asyncio.timeout(2):
