--- a/standins/mesh/__init__.py
+++ b/standins/mesh/__init__.py
@@ -1,9 +1,9 @@
-"""A mesh of real processes on loopback: store, backend servers and their nodes.
+"""A mesh of processes on loopback: object store, backend servers and their nodes.
 
 For example::
 
     async with Mesh(folder, make_plan({"mapdesk": 3})) as mesh:
-        await mesh.ready()
+        await mesh.wait_until_ready()
         await mesh.nodes[0].process.kill()
 """
 
