--- a/features/edge/watching.py
+++ b/features/edge/watching.py
@@ -8,30 +8,30 @@
 from bench.load import play
 
 # Ten lines a second of one kind are written; slower than that, each refusal has a line of its own.
-PAUSE_S = 0.12
-TRACE = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
-REFUSALS = ("ingress.refused", "peers.refused", "peers.bad_frame", "ingress.caller_left")
+LOG_LINE_INTERVAL_S = 0.12
+TRACEPARENT = "00-4bf92f3577b34da6a3ce929d0e0e4736-00f067aa0ba902b7-01"
+REFUSAL_EVENTS = ("ingress.refused", "peers.refused", "peers.bad_frame", "ingress.caller_left")
 
 
-def find(context: Any, name: str) -> Any:
+def find_node(context: Any, name: str) -> Any:
     """Return a node of the mesh."""
     return next(each for each in context.mesh.nodes if each.name == name)
 
 
-def lines(node: Any, *events: str) -> list[dict[str, Any]]:
+def log_lines(node: Any, *events: str) -> list[dict[str, Any]]:
     """Return the log lines of a node, of some events only where any are named."""
     text = node.process.text().splitlines()
     rows = [json.loads(line) for line in text if line.startswith("{")]
     return [row for row in rows if not events or row["event"] in events]
 
 
-def get(service: str, *headers: str, target: str = "/") -> bytes:
+def get_request(service: str, *headers: str, target: str = "/") -> bytes:
     """Return the bytes of a lookup."""
     fields = "".join(f"{header}\r\n" for header in headers)
     return f"GET {target} HTTP/1.1\r\nHost: {service}\r\n{fields}\r\n".encode()
 
 
-async def until(condition: Any, timeout: float = 3.0) -> bool:
+async def wait_until(condition: Any, timeout: float = 3.0) -> bool:
     """Poll until the condition holds; tell whether it did."""
     end = time.monotonic() + timeout
     while not condition():
@@ -41,15 +41,15 @@
     return True
 
 
-async def one_line(node: Any, seen: int, events: tuple[str, ...]) -> list[dict[str, Any]]:
+async def wait_for_log_lines(node: Any, seen: int, events: tuple[str, ...]) -> list[dict[str, Any]]:
     """Return the lines of these events after the first ``seen``, once there is one."""
-    await until(lambda: len(lines(node, *events)) > seen)
-    return lines(node, *events)[seen:]
+    await wait_until(lambda: len(log_lines(node, *events)) > seen)
+    return log_lines(node, *events)[seen:]
 
 
-async def amid_traffic(context: Any, name: str, work: Any) -> list[str]:
+async def during_traffic(context: Any, name: str, work: Any) -> list[str]:
     """Play the planned traffic while ``work`` runs, and return what ``work`` found."""
-    entries = {call.service: [find(context, name).callers] for call in context.calls}
+    entries = {call.service: [find_node(context, name).callers] for call in context.calls}
     playing = asyncio.create_task(play(context.calls, entries))
     found: list[str] = await work
     context.results = await playing
--- a/features/platform_harness.py
+++ b/features/platform_harness.py
@@ -35,7 +35,7 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Seat:
+class FleetNode:
     """One node with the backend server beside it."""
 
     settings: NodeSettings
@@ -65,7 +65,7 @@
         # Not 0, which the library takes for no limit: a watch that waits would hold up the end of a
         # scenario by its half minute.
         self.runner = web.AppRunner(self.store.app(), access_log=None, shutdown_timeout=0.2)
-        self.seats: list[Seat] = []
+        self.fleet_nodes: list[FleetNode] = []
         self.rng = random.Random(1)
         self.routes: list[dict[str, Any]] = []
         self.limits = {
@@ -90,7 +90,7 @@
 
     def configure(self, version: int, routes: list[dict[str, Any]] | None = None) -> None:
         """Write a configuration as the operator does."""
-        services = sorted({seat.settings.service for seat in self.seats})
+        services = sorted({fleet_node.settings.service for fleet_node in self.fleet_nodes})
         if routes is not None:
             self.routes = routes
         self.store.state.put(
@@ -108,7 +108,7 @@
             | ({} if self.tenants is None else {"Tenants": self.tenants}),
         )
 
-    async def add_seat(
+    async def add_node(
         self,
         service: str,
         *,
@@ -116,7 +116,7 @@
         slots: int = 10,
         instance: str = "i-1",
         data_centre: str = "z",
-    ) -> Seat:
+    ) -> FleetNode:
         """Start a backend server and the node beside it; nothing is registered yet.
 
         A node that finds its server sound and with an identity takes it before any registration;
@@ -127,7 +127,7 @@
         addresses = [f"{self.host}:{free_port(self.host)}" for _ in range(7)]
         callers, peers, gossip, operators, readiness, registration, metrics = addresses
         settings = NodeSettings(
-            name=f"node-{len(self.seats) + 1}",
+            name=f"node-{len(self.fleet_nodes) + 1}",
             service=service,
             region="r",
             data_centre=data_centre,
@@ -147,17 +147,17 @@
         )
         node = Node(settings, platform_interface(settings))
         registrant = Registrant(registration, service, server.name, slots)
-        seat = Seat(settings, node, server, registrant)
-        self.seats.append(seat)
+        fleet_node = FleetNode(settings, node, server, registrant)
+        self.fleet_nodes.append(fleet_node)
         await node.start()
-        return seat
+        return fleet_node
 
     async def restart_node(self, number: int) -> None:
         """End the node of a seat without a word, and start another at its addresses."""
-        seat = self.seats[number]
-        await self.end_node(seat.node)
-        seat.node = Node(seat.settings, platform_interface(seat.settings))
-        await seat.node.start()
+        fleet_node = self.fleet_nodes[number]
+        await self.end_node(fleet_node.node)
+        fleet_node.node = Node(fleet_node.settings, platform_interface(fleet_node.settings))
+        await fleet_node.node.start()
 
     async def end_node(self, node: Node) -> None:
         await node.membership.stop(leave=False)
@@ -166,16 +166,18 @@
 
     async def settle(self) -> None:
         """Register each backend server, and wait until all nodes know all and take callers."""
-        for seat in self.seats:
-            await seat.registrant.heartbeat(seat.server.instance)
-        await self.wait_for(lambda: all(self.knows_all(seat) for seat in self.seats))
+        for fleet_node in self.fleet_nodes:
+            await fleet_node.registrant.heartbeat(fleet_node.server.instance)
+        await self.wait_for(
+            lambda: all(self.knows_all(fleet_node) for fleet_node in self.fleet_nodes)
+        )
         # From here on changes are heard of at once; before, nodes that start look in turn.
         await self.wait_for(lambda: self.store.calls["watches"] > 0)
 
-    def knows_all(self, seat: Seat) -> bool:
-        services = {each.settings.service for each in self.seats}
-        known = sum(len(seat.node.membership.members_of(service)) for service in services)
-        return seat.node.takes_callers() and known == len(self.seats)
+    def knows_all(self, fleet_node: FleetNode) -> bool:
+        services = {each.settings.service for each in self.fleet_nodes}
+        known = sum(len(fleet_node.node.membership.members_of(service)) for service in services)
+        return fleet_node.node.takes_callers() and known == len(self.fleet_nodes)
 
     async def wait_for(self, condition: Callable[[], bool], timeout: float = WAIT_S) -> None:
         async with asyncio.timeout(timeout):
@@ -184,7 +186,7 @@
 
     async def call(
         self,
-        seat: Seat,
+        fleet_node: FleetNode,
         path: str = "/tiles/7",
         *,
         method: str = "GET",
@@ -201,7 +203,7 @@
         async with (
             aiohttp.ClientSession() as session,
             session.request(
-                method, f"http://{seat.callers}{path}", headers=sent, data=body
+                method, f"http://{fleet_node.callers}{path}", headers=sent, data=body
             ) as response,
         ):
             content = await response.read()
@@ -211,9 +213,9 @@
 
     async def close(self) -> None:
         self.stops.close()
-        for seat in self.seats:
-            await self.end_node(seat.node)
-            await seat.server.close()
+        for fleet_node in self.fleet_nodes:
+            await self.end_node(fleet_node.node)
+            await fleet_node.server.close()
         self.store.mode = "reset"
         self.store.state.forget_history()
         await self.runner.cleanup()
--- a/features/steps/edge_observability_steps.py
+++ b/features/steps/edge_observability_steps.py
@@ -13,7 +13,7 @@
 
 from features.edge.peer_attacks import ATTACKS
 from features.edge.sink import Sink
-from features.edge.watching import REFUSALS, TRACE, find, get, lines
+from features.edge.watching import REFUSAL_EVENTS, TRACEPARENT, find_node, get_request, log_lines
 from marjoramtide.telemetry._line_output import LineOutput
 from standins.raw_caller import send_raw
 
@@ -24,15 +24,15 @@
 
 @when("a traced request of {service} enters by {name}")
 def traced_request(context: Any, service: str, name: str) -> None:
-    data = get(service, f"Traceparent: {TRACE}")
-    answer = context.runner.run(send_raw(find(context, name).callers, data, silence_s=1.0))
+    data = get_request(service, f"Traceparent: {TRACEPARENT}")
+    answer = context.runner.run(send_raw(find_node(context, name).callers, data, silence_s=1.0))
     assert answer.statuses == [200], answer
 
 
 def spans(context: Any) -> list[dict[str, Any]]:
     """Return the spans of the traced request over all nodes, first to last."""
-    trace_id = TRACE.split("-")[1]
-    found = [line for node in context.mesh.nodes for line in lines(node, "span")]
+    trace_id = TRACEPARENT.split("-")[1]
+    found = [line for node in context.mesh.nodes for line in log_lines(node, "span")]
     mine = [span for span in found if span["trace_id"] == trace_id]
     order = {"ingress": 0, "attempt": 1, "serving": 2}
     return sorted(mine, key=lambda span: order[span["name"]])
@@ -52,7 +52,7 @@
 
 @then("the first is the child of the caller's span")
 def child_of_caller(context: Any) -> None:
-    assert spans(context)[0]["parent_id"] == TRACE.split("-")[2]
+    assert spans(context)[0]["parent_id"] == TRACEPARENT.split("-")[2]
 
 
 @then("the backend server was told the last one as its parent")
@@ -64,12 +64,12 @@
 
 @then("a request with traceparent {value} leaves {count:d} spans at {name}")
 def spans_left(context: Any, value: str, count: int, name: str) -> None:
-    node = find(context, name)
-    seen = len(lines(node, "span"))
+    node = find_node(context, name)
+    seen = len(log_lines(node, "span"))
     headers = [] if value == "none" else [f"Traceparent: {value}"]
-    answer = context.runner.run(send_raw(node.callers, get("mapdesk", *headers)))
+    answer = context.runner.run(send_raw(node.callers, get_request("mapdesk", *headers)))
     assert answer.statuses == [200], answer
-    found = lines(node, "span")[seen:]
+    found = log_lines(node, "span")[seen:]
     assert len(found) == count, found
     parents = {span["parent_id"] for span in found if span["name"] == "ingress"}
     continued = value.startswith("00-") and count
@@ -98,15 +98,17 @@
 
 @when("{count:d} traced lookups of {service} enter by {name} at once")
 def traced_lookups(context: Any, count: int, service: str, name: str) -> None:
-    data = get(service, f"Traceparent: {TRACE}", "Request-Timeout-Ms: 5000")
-    address = find(context, name).callers
+    data = get_request(service, f"Traceparent: {TRACEPARENT}", "Request-Timeout-Ms: 5000")
+    address = find_node(context, name).callers
     found = context.runner.run(lookups(address, data, count, workers=min(count, 5)))
     assert len(found) == count, len(found)
 
 
 @then("{name} has begun at most {count:d} traces a second")
 def bounded_traces(context: Any, name: str, count: int) -> None:
-    found = [span for span in lines(find(context, name), "span") if span["name"] == "ingress"]
+    found = [
+        span for span in log_lines(find_node(context, name), "span") if span["name"] == "ingress"
+    ]
     took = max(span["start"] for span in found) - min(span["start"] for span in found)
     assert 0 < len(found) <= count * (int(took) + 2), (len(found), took)
     assert len(found) < 400, len(found)
@@ -114,7 +116,7 @@
 
 def restart(context: Any, name: str, **extra: Any) -> None:
     """Start a node again with more settings."""
-    node = find(context, name)
+    node = find_node(context, name)
     context.runner.run(node.process.stop())
     node.extra.update(extra)
     context.runner.run(node.start_node())
@@ -130,16 +132,20 @@
 @then("the file of {name} has {count:d} spans and its log has none")
 def file_has(context: Any, name: str, count: int) -> None:
     rows = [json.loads(line) for line in context.trace_file.read_text().splitlines()]
-    trace_id = TRACE.split("-")[1]
+    trace_id = TRACEPARENT.split("-")[1]
     found = [row for row in rows if row["event"] == "span" and row["trace_id"] == trace_id]
     assert len(found) == count, len(found)
-    assert not [span for span in lines(find(context, name), "span") if span["trace_id"] == trace_id]
+    assert not [
+        span for span in log_lines(find_node(context, name), "span") if span["trace_id"] == trace_id
+    ]
 
 
 @when("{count:d} requests of an unknown host enter by {name} as fast as they can")
 def flood(context: Any, count: int, name: str) -> None:
     started = time.monotonic()
-    found = context.runner.run(lookups(find(context, name).callers, get("nobody"), count))
+    found = context.runner.run(
+        lookups(find_node(context, name).callers, get_request("nobody"), count)
+    )
     context.took_s = time.monotonic() - started
     assert found == [404] * count, Counter(found)
     context.runner.run(asyncio.sleep(1.5))
@@ -147,27 +153,29 @@
 
 @then("{name} wrote at most {rate:d} lines a second of them, and counted {count:d}")
 def few_lines(context: Any, name: str, rate: int, count: int) -> None:
-    node = find(context, name)
-    written = [line for line in lines(node, "ingress.refused") if line["code"] == "unknown-service"]
-    held = [line for line in lines(node, "log.suppressed") if line["code"] == "unknown-service"]
+    node = find_node(context, name)
+    written = [
+        line for line in log_lines(node, "ingress.refused") if line["code"] == "unknown-service"
+    ]
+    held = [line for line in log_lines(node, "log.suppressed") if line["code"] == "unknown-service"]
     assert len(written) + len(held) <= rate * (int(context.took_s) + 3), (len(written), len(held))
     assert len(written) + sum(line["count"] for line in held) == count, (len(written), held)
 
 
 @when("much goes wrong at {name}")
 def much_goes_wrong(context: Any, name: str) -> None:
-    node = find(context, name)
+    node = find_node(context, name)
     other = next(each for each in context.mesh.nodes if each is not node)
 
     async def trouble() -> None:
         await send_raw(node.callers, b"\x00garbage\r\n\r\n")
-        await send_raw(node.callers, get("nobody"))
+        await send_raw(node.callers, get_request("nobody"))
         await ATTACKS["another key"](node.peers)
         await ATTACKS["deep nesting"](node.peers)
         await other.kill()
-        await lookups(node.callers, get("mapdesk", f"Traceparent: {TRACE}"), 40)
+        await lookups(node.callers, get_request("mapdesk", f"Traceparent: {TRACEPARENT}"), 40)
         await node.server.kill()
-        await lookups(node.callers, get("mapdesk"), 40)
+        await lookups(node.callers, get_request("mapdesk"), 40)
         await asyncio.sleep(1.5)
         await node.process.stop()
 
@@ -176,7 +184,7 @@
 
 @then("every line of {name} is JSON with event, level, timestamp and node")
 def every_line(context: Any, name: str) -> None:
-    text = find(context, name).process.text().splitlines()
+    text = find_node(context, name).process.text().splitlines()
     rows = [json.loads(line) for line in text]
     bad = [row for row in rows if not all(map(row.get, ("event", "level", "timestamp", "node")))]
     assert rows and not bad, bad[:3]
@@ -185,7 +193,7 @@
 
 @then("each of its refusals has code, step and peer")
 def refusals_tell(context: Any) -> None:
-    found = [row for row in context.rows if row["event"] in REFUSALS]
+    found = [row for row in context.rows if row["event"] in REFUSAL_EVENTS]
     kinds = {row["code"] for row in found}
     bad = [row for row in found if not (row["code"] and row["step"] and "peer" in row)]
     assert not bad, bad[:3]
@@ -215,7 +223,9 @@
     async def paced() -> None:
         for _ in range(int(seconds * 10)):
             part = round(count / seconds / 10)
-            found = await lookups(find(context, name).callers, get(service), part, workers=10)
+            found = await lookups(
+                find_node(context, name).callers, get_request(service), part, workers=10
+            )
             assert found == [200] * part, Counter(found)
 
     context.runner.run(paced())
--- a/features/steps/edge_steps.py
+++ b/features/steps/edge_steps.py
@@ -9,7 +9,15 @@
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from features.edge.recorder import Recorder
-from features.edge.watching import PAUSE_S, REFUSALS, amid_traffic, find, get, lines, one_line
+from features.edge.watching import (
+    LOG_LINE_INTERVAL_S,
+    REFUSAL_EVENTS,
+    during_traffic,
+    find_node,
+    get_request,
+    log_lines,
+    wait_for_log_lines,
+)
 from standins.raw_caller import read_answer, send_raw, spell
 
 use_step_matcher("parse")
@@ -19,22 +27,22 @@
     """Send each form and return what was not as its row says."""
     wrong = []
     for row in rows:
-        seen = len(lines(node, *REFUSALS))
+        seen = len(log_lines(node, *REFUSAL_EVENTS))
         answer = await send_raw(node.callers, spell(row["raw"]))
-        told = await one_line(node, seen, REFUSALS)
+        told = await wait_for_log_lines(node, seen, REFUSAL_EVENTS)
         codes = [line["code"] for line in told]
         good = answer.statuses == [int(row["status"])] and codes == [row["code"]]
         if not (good and b"Request-Outcome: not-run" in answer.data and told[0]["step"]):
             wrong.append(f"{row['raw'][:90]}\n   {answer.statuses} {codes} {answer.data[:200]!r}")
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(LOG_LINE_INTERVAL_S)
     return wrong
 
 
 @when("raw requests are sent to {name} amid the traffic")
 def forms_amid_traffic(context: Any, name: str) -> None:
     rows = list(context.table)
-    work = send_forms(find(context, name), rows)
-    wrong = context.runner.run(amid_traffic(context, name, work))
+    work = send_forms(find_node(context, name), rows)
+    wrong = context.runner.run(during_traffic(context, name, work))
     assert not wrong, "\n".join(wrong)
 
 
@@ -58,22 +66,22 @@
 async def break_bodies(node: Any, rows: list[Any]) -> list[str]:
     wrong = []
     for row in rows:
-        seen = len(lines(node, *REFUSALS))
+        seen = len(log_lines(node, *REFUSAL_EVENTS))
         head = f"POST / HTTP/1.1\r\nHost: {row['service']}\r\n".encode()
         pieces = (head + spell(row["head"]) + b"\r\n\r\n", spell(row["body"]))
         silence_s = 0.2 if row["then"] == "close" else 1.0
         answer = await send_raw(node.callers, *pieces, silence_s=silence_s)
-        codes = [line["code"] for line in await one_line(node, seen, REFUSALS)]
+        codes = [line["code"] for line in await wait_for_log_lines(node, seen, REFUSAL_EVENTS)]
         statuses = [int(row["status"])] if row["status"] else []
         if answer.statuses != statuses or codes != [row["code"]]:
             wrong.append(f"{list(row)}\n   {answer.statuses} {codes} {answer.data[:300]!r}")
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(LOG_LINE_INTERVAL_S)
     return wrong
 
 
 @when("bodies go wrong at {name}")
 def bodies_go_wrong(context: Any, name: str) -> None:
-    wrong = context.runner.run(break_bodies(find(context, name), list(context.table)))
+    wrong = context.runner.run(break_bodies(find_node(context, name), list(context.table)))
     assert not wrong, "\n".join(wrong)
 
 
@@ -86,15 +94,15 @@
 
 @then("a lookup of {service} by {name} is answered")
 def lookup_answered(context: Any, service: str, name: str) -> None:
-    call = send_raw(find(context, name).callers, get(service), silence_s=1.0)
+    call = send_raw(find_node(context, name).callers, get_request(service), silence_s=1.0)
     answer = context.runner.run(call)
     assert answer.statuses == [200], answer
 
 
 @when("a caller sends {name} one byte a second")
 def trickle(context: Any, name: str) -> None:
-    node = find(context, name)
-    pieces = (bytes((byte,)) for byte in get("mapdesk"))
+    node = find_node(context, name)
+    pieces = (bytes((byte,)) for byte in get_request("mapdesk"))
     started = time.monotonic()
     call = send_raw(node.callers, *itertools.islice(pieces, 7), pause_s=1.0)
     context.answer = context.runner.run(call)
@@ -106,7 +114,7 @@
 def closed_in_time(context: Any, seconds: float, code: str) -> None:
     assert context.answer.closed and not context.answer.statuses, context.answer
     assert context.took_s < seconds, context.took_s
-    found = [line for line in lines(context.node, "ingress.refused") if line["code"] == code]
+    found = [line for line in log_lines(context.node, "ingress.refused") if line["code"] == code]
     assert len(found) == 1 and found[0]["step"], found
 
 
@@ -115,7 +123,7 @@
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     target = f"/?bytes={size}"
-    writer.write(get(service, "Request-Timeout-Ms: 1000", target=target))
+    writer.write(get_request(service, "Request-Timeout-Ms: 1000", target=target))
     await asyncio.sleep(seconds)
     answer = await read_answer(reader, 1.0)
     writer.close()
@@ -126,7 +134,7 @@
     "callers ask {name} for {size:d} bytes of {one} and {other} and read nothing for {seconds:g} s"
 )
 def stop_reading(context: Any, name: str, size: int, one: str, other: str, seconds: float) -> None:
-    address = find(context, name).callers
+    address = find_node(context, name).callers
     context.size = size
 
     async def both() -> Any:
@@ -140,7 +148,7 @@
 def part_and_end(context: Any, code: str, name: str) -> None:
     for answer in context.answers:
         assert answer.closed and len(answer.data) < context.size, (answer.closed, len(answer.data))
-    found = lines(find(context, name), "ingress.broken_off")
+    found = log_lines(find_node(context, name), "ingress.broken_off")
     assert [line["code"] for line in found] == [code, code], found
 
 
@@ -148,26 +156,26 @@
 def leave_amid_body(context: Any, service: str, name: str, seconds: int) -> None:
     head = f"POST / HTTP/1.1\r\nHost: {service}\r\nRequest-Timeout-Ms: {seconds}000\r\n"
     pieces = (f"{head}Content-Length: 200000\r\n\r\n".encode(), b"a" * 100000)
-    answer = context.runner.run(send_raw(find(context, name).callers, *pieces))
+    answer = context.runner.run(send_raw(find_node(context, name).callers, *pieces))
     assert not answer.data and not answer.closed, answer
 
 
 @then("{one} and {other} stop without cutting anything off")
 def stop_both(context: Any, one: str, other: str) -> None:
-    for node in (find(context, one), find(context, other)):
+    for node in (find_node(context, one), find_node(context, other)):
         assert context.runner.run(node.process.stop()) == 0
-        events = [line["event"] for line in lines(node)]
+        events = [line["event"] for line in log_lines(node)]
         assert "daemon.stopped" in events and "daemon.stop_cut" not in events, events[-5:]
 
 
 @when("raw requests are answered by recorders through {name}")
 def through_recorders(context: Any, name: str) -> None:
-    node = find(context, name)
+    node = find_node(context, name)
     context.passed = []
     for row in context.table:
         recorder = context.recorders[row["service"]]
         recorder.reply = spell(row["answer"])
-        head = get(row["service"])[:-2] + spell(row["headers"]) + b"\r\n\r\n"
+        head = get_request(row["service"])[:-2] + spell(row["headers"]) + b"\r\n\r\n"
         answer = context.runner.run(send_raw(node.callers, head, silence_s=1.0))
         assert answer.statuses == [200], answer
         context.passed.append((recorder.wait(1)[-1], answer))
@@ -202,11 +210,11 @@
 
 @then("two requests on one connection to {name} get their own answers")
 def two_answers(context: Any, name: str) -> None:
-    node = find(context, name)
+    node = find_node(context, name)
     for row in context.table:
         context.recorders[row["service"]].reply = spell(row["answer"])
-        first = get(row["service"]).replace(b"GET", row["method"].encode(), 1)
-        second = get("nobody", "Connection: close")
+        first = get_request(row["service"]).replace(b"GET", row["method"].encode(), 1)
+        second = get_request("nobody", "Connection: close")
         answer = context.runner.run(send_raw(node.callers, first + second, silence_s=1.5))
         assert answer.statuses == [int(row["status"]), 404], (row, answer)
         head, _, after = answer.data.partition(b"\r\n\r\n")
@@ -231,5 +239,5 @@
 
 @then("a waiting caller of {name} with {size:d} bytes {invited} invited and gets {status:d}")
 def waiting_caller(context: Any, name: str, size: int, invited: str, status: int) -> None:
-    found = context.runner.run(wait_and_send(find(context, name).callers, size))
+    found = context.runner.run(wait_and_send(find_node(context, name).callers, size))
     assert found == (invited == "is", [status]), found
--- a/features/steps/foreign_writers_steps.py
+++ b/features/steps/foreign_writers_steps.py
@@ -7,7 +7,7 @@
 import cbor2
 from behave import given, then, when  # type: ignore[attr-defined]
 
-from features.steps.platform_node_steps import fill, run, seat, start_fleet
+from features.steps.platform_node_steps import fleet_node, populate_fleet, run, start_fleet
 from marjoramtide.claims._claim_record import ClaimRecord, decode_record
 from marjoramtide.claims._claim_state import ClaimState
 from marjoramtide.platform._backends import read_load
@@ -41,7 +41,7 @@
 @given("a fleet on the platform whose server has not registered: {service}")
 def given_unregistered(context: Any, service: str) -> None:
     fleet = start_fleet(context)
-    run(context, fill(fleet, [service], instance=""))
+    run(context, populate_fleet(fleet, [service], instance=""))
 
 
 def spoiled(body: dict[str, Any], field: str, value: str) -> dict[str, Any]:
@@ -59,7 +59,7 @@
 
 @when("a heartbeat arrives at node 1 whose {field:S} is {value}")
 def when_spoiled(context: Any, field: str, value: str) -> None:
-    registrant = seat(context, 1).registrant
+    registrant = fleet_node(context, 1).registrant
     body = spoiled(registrant.body(), field, value)
     data = json.dumps(body).encode()
     context.status = run(context, registrant.call("PUT", INSTANCE, data))
@@ -67,7 +67,7 @@
 
 @when('a heartbeat of the identity "{instance}" arrives at node 1')
 def when_identity(context: Any, instance: str) -> None:
-    registrant = seat(context, 1).registrant
+    registrant = fleet_node(context, 1).registrant
     plain = instance.replace("%0d%0a", "\r\n")
     context.status = run(context, registrant.call("PUT", plain, registrant.body()))
 
@@ -75,13 +75,13 @@
 @then("it is refused with {status:d} and counted")
 def then_refused(context: Any, status: int) -> None:
     assert context.status == status, context.status
-    registrar = seat(context, 1).node.server.registrar
+    registrar = fleet_node(context, 1).node.server.registrar
     assert registrar is not None and registrar.rejected_count == 1
 
 
 @then("node 1 refuses these heartbeats, and no server is registered")
 def then_bytes_refused(context: Any) -> None:
-    each = seat(context, 1)
+    each = fleet_node(context, 1)
     for row in context.table:
         status = run(context, each.registrant.call("PUT", INSTANCE, BYTES[row["bytes"]]))
         assert status in (400, 413), (row["bytes"], status)
@@ -153,7 +153,7 @@
 
 @when("another node starts")
 def when_another(context: Any) -> None:
-    context.newcomer = run(context, context.fleet.add_seat("mapdesk"))
+    context.newcomer = run(context, context.fleet.add_node("mapdesk"))
 
 
 @then("it knows {count:d} nodes within {seconds:d} s")
--- a/features/steps/platform_cold_steps.py
+++ b/features/steps/platform_cold_steps.py
@@ -8,8 +8,8 @@
 import attrs
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.platform_harness import CallResult, Seat, route
-from features.steps.platform_evacuation_steps import add
+from features.platform_harness import CallResult, FleetNode, route
+from features.steps.platform_evacuation_steps import add_nodes
 from features.steps.platform_node_steps import run, start_fleet
 from features.unscheduled_time import TICK_S, UnscheduledTime
 
@@ -30,7 +30,7 @@
     ended: float
 
 
-async def tell_cold(context: Any, each: Seat) -> None:
+async def tell_cold(context: Any, each: FleetNode) -> None:
     """Have a server tell that it is cold, in the way that the scenario names."""
     loop = asyncio.get_running_loop()
     each.server.cold_until = loop.time() + COLD_S
@@ -48,13 +48,13 @@
 
     async def begin() -> None:
         # Without an identity no node takes its server before it has been told to be cold.
-        await add(context, places.split(", "), instance="", service_ms=RUN_S * 1000, slots=7)
+        await add_nodes(context, places.split(", "), instance="", service_ms=RUN_S * 1000, slots=7)
         fleet.configure(4, [route("/tiles/", {"mapdesk": 1}, MaxAttempts=2)])
-        await fleet.wait_for(lambda: all(each.node.view.revision for each in fleet.seats))
-        for each in fleet.seats:
+        await fleet.wait_for(lambda: all(each.node.view.revision for each in fleet.fleet_nodes))
+        for each in fleet.fleet_nodes:
             await tell_cold(context, each)
             each.server.instance = "i-1"
-        await fleet.wait_for(lambda: all(fleet.knows_all(each) for each in fleet.seats))
+        await fleet.wait_for(lambda: all(fleet.knows_all(each) for each in fleet.fleet_nodes))
 
     run(context, begin())
 
@@ -71,7 +71,7 @@
 
 def set_cold(context: Any, seconds: float) -> None:
     async def turn() -> None:
-        for each in context.fleet.seats:
+        for each in context.fleet.fleet_nodes:
             each.server.cold_until = asyncio.get_running_loop().time() + seconds
         # Until the next look at each server.
         await asyncio.sleep(0.2)
@@ -81,7 +81,7 @@
 
 @when("{count:d} requests come through all nodes within {seconds:d} s")
 def when_come(context: Any, count: int, seconds: int) -> None:
-    async def call(number: int, each: Seat) -> TimedResult:
+    async def call(number: int, each: FleetNode) -> TimedResult:
         await asyncio.sleep(number * seconds / count)
         began = time.monotonic()
         result = await context.fleet.call(each)
@@ -89,7 +89,7 @@
 
     async def play() -> list[TimedResult]:
         watching = asyncio.create_task(context.unscheduled.watch())
-        turns = zip(range(count), itertools.cycle(context.fleet.seats), strict=False)
+        turns = zip(range(count), itertools.cycle(context.fleet.fleet_nodes), strict=False)
         try:
             return await asyncio.gather(*(call(number, each) for number, each in turns))
         finally:
@@ -103,7 +103,7 @@
 
 @then("no server was sent more than {most:d} requests in a second while it was cold")
 def then_within(context: Any, most: int) -> None:
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         times = each.server.arrivals
         busiest = max(sum(0 <= at - begin < 1 for at in times) for begin in times)
         assert busiest <= most, busiest
--- a/features/steps/platform_crashes_steps.py
+++ b/features/steps/platform_crashes_steps.py
@@ -6,8 +6,8 @@
 import aiohttp
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.platform_harness import CallResult, Seat
-from features.steps.platform_node_steps import run, seat
+from features.platform_harness import CallResult, FleetNode
+from features.steps.platform_node_steps import fleet_node, run
 from marjoramtide.policy import ServerCrash, SuspectReport
 from marjoramtide.quarantine import pack_news
 
@@ -25,17 +25,17 @@
     context.ends = []
     context.reviving = []
 
-    async def revive(each: Seat) -> None:
+    async def revive(each: FleetNode) -> None:
         await asyncio.sleep(seconds)
         await each.server.come_back(f"i-{len(context.ends) + 1}-{each.settings.name}")
         await each.registrant.heartbeat(each.server.instance, sequence=1)
 
-    def crash(each: Seat) -> None:
+    def crash(each: FleetNode) -> None:
         each.server.end()
         context.ends.append(each.settings.name)
         context.reviving.append(asyncio.ensure_future(revive(each)))
 
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         each.server.faults.deadly = path
         each.server.crash = lambda each=each: crash(each)
 
@@ -53,7 +53,7 @@
     async def ask() -> list[CallResult]:
         calls = []
         for number in range(count):
-            entry = context.fleet.seats[number % len(context.fleet.seats)]
+            entry = context.fleet.fleet_nodes[number % len(context.fleet.fleet_nodes)]
             attempt = f"{number:016x}.{number:016x}" if "call" in what else f"{number:016x}"
             work = context.fleet.call(entry, "/tiles/deadly", attempt=attempt, **how)
             calls.append(asyncio.create_task(work))
@@ -65,7 +65,7 @@
 
 @then('operators of node {number:d} see "{what}" held back for {ends:d} ends or more')
 def operators_see(context: Any, number: int, what: str, ends: int) -> None:
-    address = seat(context, number).settings.operators
+    address = fleet_node(context, number).settings.operators
     (context.held,) = run(context, call_operators("GET", address, "/quarantine"))["held"]
     assert context.held["what"] == what and context.held["ends"] >= ends, context.held
     status = run(context, call_operators("GET", address, "/status"))
@@ -74,7 +74,7 @@
 
 @when("operators release it at node {number:d}")
 def operators_release(context: Any, number: int) -> None:
-    address = seat(context, number).settings.operators
+    address = fleet_node(context, number).settings.operators
     path = f"/quarantine/release?fingerprint={context.held['fingerprint']}"
     run(context, call_operators("POST", address, path))
 
@@ -92,7 +92,9 @@
 def none_holds(context: Any) -> None:
     async def wait() -> None:
         fleet = context.fleet
-        await fleet.wait_for(lambda: not any(each.node.quarantine.shown() for each in fleet.seats))
+        await fleet.wait_for(
+            lambda: not any(each.node.quarantine.shown() for each in fleet.fleet_nodes)
+        )
 
     run(context, wait())
 
@@ -102,7 +104,7 @@
     async def ask() -> list[CallResult]:
         calls = []
         for number in range(count):
-            entry = context.fleet.seats[number % len(context.fleet.seats)]
+            entry = context.fleet.fleet_nodes[number % len(context.fleet.fleet_nodes)]
             calls.append(asyncio.create_task(context.fleet.call(entry, path)))
             await asyncio.sleep(seconds / count)
         return await asyncio.gather(*calls)
@@ -125,9 +127,9 @@
     assert not bad, bad
 
 
-async def set_drained(seats: list[Seat], drained: bool) -> None:
+async def set_drained(fleet_nodes: list[FleetNode], drained: bool) -> None:
     """Have some nodes take no work, or again, and let the others hear of it."""
-    for each in seats:
+    for each in fleet_nodes:
         each.node.drain(drained)
     await asyncio.sleep(HEARD_S)
 
@@ -135,7 +137,7 @@
 @when('the server of node 1 leaves while it runs "{path}", and ends')
 def leaves_and_ends(context: Any, path: str) -> None:
     async def leave() -> None:
-        first, *others = context.fleet.seats[:4]
+        first, *others = context.fleet.fleet_nodes[:4]
         first.server.faults.slow_factor = SLOW
         await set_drained(others, True)
         call = asyncio.create_task(context.fleet.call(first, path))
@@ -153,15 +155,15 @@
 
 @when('two servers in turn lose the answer of "{path}" and live on')
 def lose_answers(context: Any, path: str) -> None:
-    async def lose(each: Seat) -> None:
+    async def lose(each: FleetNode) -> None:
         each.server.faults.close_before_answer = 1.0
         assert (await context.fleet.call(each, path)).status == 502
         each.server.faults.close_before_answer = 0.0
         await asyncio.sleep(0.3)
 
     async def lose_both() -> None:
-        for each in context.fleet.seats[:2]:
-            others = [other for other in context.fleet.seats[:4] if other is not each]
+        for each in context.fleet.fleet_nodes[:2]:
+            others = [other for other in context.fleet.fleet_nodes[:4] if other is not each]
             await set_drained(others, True)
             await lose(each)
             await set_drained(others, False)
@@ -171,13 +173,13 @@
 
 @then("nothing is suspected at node {number:d}")
 def nothing_suspected(context: Any, number: int) -> None:
-    assert len(seat(context, number).node.quarantine.policy) == 0
+    assert len(fleet_node(context, number).node.quarantine.policy) == 0
 
 
 @when("node 1 hears that this booking has ended two servers")
 def hears_of_ends(context: Any) -> None:
     async def tell() -> None:
-        node = seat(context, 1).node
+        node = fleet_node(context, 1).node
         execution, *_ = node.serving.in_progress.values()
         ends = (ServerCrash(1, 2.0, 0.1), ServerCrash(2, 1.0, 0.1))
         (fields,) = pack_news([SuspectReport(execution.fingerprint, ends)])
--- a/features/steps/platform_evacuation_steps.py
+++ b/features/steps/platform_evacuation_steps.py
@@ -10,7 +10,7 @@
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from features.platform_harness import CallResult, route
-from features.steps.platform_node_steps import PATIENT, run, seat, start_fleet
+from features.steps.platform_node_steps import PATIENT, fleet_node, run, start_fleet
 from marjoramtide.policy import EvacuationSnapshot, EvacuationState
 
 use_step_matcher("parse")
@@ -27,16 +27,16 @@
         return False
 
 
-async def add(context: Any, places: Sequence[str], **seats: Any) -> None:
+async def add_nodes(context: Any, places: Sequence[str], **node_options: Any) -> None:
     """Start nodes, each told as "SERVICE at DATA_CENTRE"."""
     for place in places:
         service, data_centre = place.split(" at ")
-        await context.fleet.add_seat(service, data_centre=data_centre, **seats)
+        await context.fleet.add_node(service, data_centre=data_centre, **node_options)
 
 
-def start(context: Any, places: str, **seats: Any) -> None:
+def start(context: Any, places: str, **node_options: Any) -> None:
     fleet = start_fleet(context)
-    run(context, add(context, places.split(", "), **seats))
+    run(context, add_nodes(context, places.split(", "), **node_options))
     fleet.configure(
         4,
         [
@@ -73,10 +73,10 @@
 @when("a node starts beside {place}")
 def when_starts(context: Any, place: str) -> None:
     async def begin() -> None:
-        await add(context, [place])
+        await add_nodes(context, [place])
         fleet = context.fleet
         fleet.configure(5, [route("/tiles/", {"mapdesk": 1}, MaxAttempts=2)])
-        started = fleet.seats[-1]
+        started = fleet.fleet_nodes[-1]
         await started.registrant.heartbeat(started.server.instance)
         await fleet.wait_for(started.node.takes_callers)
 
@@ -86,14 +86,14 @@
 @given("only the nodes at {name} hear of what is evacuated")
 def given_deaf(context: Any, name: str) -> None:
     """Have all others take in nothing of the kind."""
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         if each.settings.data_centre != name:
             each.node.evacuations.policy = DeafEvacuations()
 
 
 @given("the store turns away all nodes but node {number:d}")
 def given_turned_away(context: Any, number: int) -> None:
-    for position, each in enumerate(context.fleet.seats, 1):
+    for position, each in enumerate(context.fleet.fleet_nodes, 1):
         if position != number:
             store = each.node.store
             store.url = "http://127.0.0.1:9"
@@ -102,7 +102,7 @@
 
 @given("no news of the store goes by datagram")
 def given_no_datagrams(context: Any) -> None:
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         each.node.evacuations.publish = lambda fields, readers: None
 
 
@@ -171,13 +171,13 @@
 
 def ran_at(context: Any, name: str) -> int:
     """Return how many requests the servers of a data centre have run."""
-    seats = [each for each in context.fleet.seats if each.settings.data_centre == name]
-    return sum(len(each.server.seen) for each in seats)
+    fleet_nodes = [each for each in context.fleet.fleet_nodes if each.settings.data_centre == name]
+    return sum(len(each.server.seen) for each in fleet_nodes)
 
 
 async def ask_all(context: Any, after_s: float, count: int) -> list[CallResult]:
     await asyncio.sleep(max(0.0, context.ordered_at + after_s - time.monotonic()))
-    turns = itertools.chain.from_iterable(itertools.repeat(context.fleet.seats, count))
+    turns = itertools.chain.from_iterable(itertools.repeat(context.fleet.fleet_nodes, count))
     return [await context.fleet.call(each) for each in turns]
 
 
@@ -223,7 +223,7 @@
         told = []
         for _ in range(count):
             began = time.monotonic()
-            result = await context.fleet.call(seat(context, number))
+            result = await context.fleet.call(fleet_node(context, number))
             told.append((result, time.monotonic() - began))
         return told
 
@@ -240,7 +240,7 @@
         context.bookings = [
             asyncio.create_task(
                 context.fleet.call(
-                    seat(context, number),
+                    fleet_node(context, number),
                     "/book/7",
                     method="POST",
                     body=b"7",
@@ -261,7 +261,11 @@
 
     results = run(context, collect())
     assert {result.status for result in results} == {status}, results
-    ran = [headers["x-attempt-id"] for each in context.fleet.seats for headers in each.server.seen]
+    ran = [
+        headers["x-attempt-id"]
+        for each in context.fleet.fleet_nodes
+        for headers in each.server.seen
+    ]
     assert sorted(ran) == sorted(result.attempt for result in results), ran
 
 
@@ -272,7 +276,7 @@
 
 @then("node {number:d} has asked at most 1 node in vain for each of {count:d} requests")
 def few_in_vain(context: Any, number: int, count: int) -> None:
-    retries = seat(context, number).node.metrics.all_counts().get("ingress.retries", 0)
+    retries = fleet_node(context, number).node.metrics.all_counts().get("ingress.retries", 0)
     assert 0 < retries <= count, retries
 
 
@@ -292,7 +296,7 @@
 
 @then("the last of them is in force everywhere within {seconds:d} s")
 def last_in_force(context: Any, seconds: int) -> None:
-    nodes = [each.node for each in context.fleet.seats]
+    nodes = [each.node for each in context.fleet.fleet_nodes]
     known = context.fleet.wait_for(
         lambda: all(node.view.revision == context.version for node in nodes), float(seconds)
     )
--- a/features/steps/platform_life_steps.py
+++ b/features/steps/platform_life_steps.py
@@ -12,10 +12,10 @@
 from features.steps.platform_node_steps import (
     all_at,
     begin_booking,
-    fill,
+    fleet_node,
+    populate_fleet,
     register_first_time,
     run,
-    seat,
     start_fleet,
 )
 from marjoramtide.platform import platform_interface
@@ -32,10 +32,10 @@
 def told_to_stop(context: Any, number: int) -> None:
     async def stop() -> None:
         context.told_at = asyncio.get_running_loop().time()
-        context.stopping = asyncio.create_task(seat(context, number).node.stop())
+        context.stopping = asyncio.create_task(fleet_node(context, number).node.stop())
         await asyncio.sleep(0.05)
 
-    context.before = [len(each.server.seen) for each in context.fleet.seats]
+    context.before = [len(each.server.seen) for each in context.fleet.fleet_nodes]
     run(context, stop())
 
 
@@ -49,7 +49,7 @@
         ends = loop.time() + seconds
         while loop.time() < ends:
             began = loop.time()
-            result = await context.fleet.call(seat(context, 1))
+            result = await context.fleet.call(fleet_node(context, 1))
             if await context.fleet.stops.since(began):
                 # All nodes stood still with their caller; what that costs is no node's doing.
                 continue
@@ -69,19 +69,19 @@
         if await stops.since(context.told_at + seconds - STEPS_S):
             # The node's own time for this has just passed, unseen; let it act.
             await asyncio.sleep(STEPS_S)
-        before = len(seat(context, number).server.seen)
+        before = len(fleet_node(context, number).server.seen)
         while loop.time() < context.told_at + LINGER_S:
             began = loop.time()
-            result = await context.fleet.call(seat(context, 1))
+            result = await context.fleet.call(fleet_node(context, 1))
             assert result.status == 200 or await stops.since(began), result
-        assert len(seat(context, number).server.seen) == before
+        assert len(fleet_node(context, number).server.seen) == before
 
     run(context, ask())
 
 
 @given("2 bookings are under way through node 2, one of which waits at node 1")
 def given_waiting_booking(context: Any) -> None:
-    first, second = seat(context, 1), seat(context, 2)
+    first, second = fleet_node(context, 1), fleet_node(context, 2)
 
     async def book() -> None:
         await register_first_time(first)
@@ -97,7 +97,7 @@
 
 @when("node {number:d} is told to stop, with {seconds:g} s for it")
 def told_to_stop_soon(context: Any, number: int, seconds: float) -> None:
-    seat(context, number).node.stop_grace_s = seconds
+    fleet_node(context, number).node.stop_grace_s = seconds
     told_to_stop(context, number)
 
 
@@ -135,10 +135,10 @@
     fleet: PlatformFleet = start_fleet(context)
 
     async def start() -> None:
-        await fill(fleet, services.split(", "))
-        for each in fleet.seats:
+        await populate_fleet(fleet, services.split(", "))
+        for each in fleet.fleet_nodes:
             each.server.faults.drain = leaving
-        await fleet.wait_for(lambda: all(each.node.takes_callers() for each in fleet.seats))
+        await fleet.wait_for(lambda: all(each.node.takes_callers() for each in fleet.fleet_nodes))
         await asyncio.sleep(0.5)
 
     run(context, start())
@@ -146,7 +146,7 @@
 
 @when("the settings file of node {number:d} changes its bounds and its name")
 def changes_settings(context: Any, number: int) -> None:
-    node = seat(context, number).node
+    node = fleet_node(context, number).node
     changed = attrs.evolve(node.settings, bounds=["GraceS=4"], name="another")
     with structlog.testing.capture_logs() as lines:
         node.reload(changed, platform_interface(changed))
@@ -155,7 +155,7 @@
 
 @then("node {number:d} goes by the new bounds and logs that the name waits for a restart")
 def goes_by(context: Any, number: int) -> None:
-    assert seat(context, number).node.stop_grace_s == 4
+    assert fleet_node(context, number).node.stop_grace_s == 4
     line = next(each for each in context.lines if each["event"] == "daemon.reloaded")
     assert line["changed"] == ["bounds"] and line["waiting_for_restart"] == ["name"], line
 
@@ -163,7 +163,7 @@
 @then("the metrics of node {number:d} hold")
 def metrics_hold(context: Any, number: int) -> None:
     async def read() -> str:
-        address = seat(context, number).settings.metrics
+        address = fleet_node(context, number).settings.metrics
         async with (
             aiohttp.ClientSession() as session,
             session.get(f"http://{address}/metrics") as response,
@@ -178,7 +178,7 @@
 @then("the log tells of that request with the fields")
 def log_tells(context: Any) -> None:
     with structlog.testing.capture_logs() as lines:
-        work = context.fleet.call(seat(context, 1), "/book/9", method="POST", body=b"booking")
+        work = context.fleet.call(fleet_node(context, 1), "/book/9", method="POST", body=b"booking")
         result = run(context, work)
     line = next(each for each in lines if each.get("request") == result.attempt)
     check_fields(context, line)
@@ -199,7 +199,7 @@
 @then("the log tells of a late answer with the fields")
 def log_tells_late(context: Any) -> None:
     with structlog.testing.capture_logs() as lines:
-        result = run(context, context.fleet.call(seat(context, 1)))
+        result = run(context, context.fleet.call(fleet_node(context, 1)))
     assert result.status == 200, result
     line = next(each for each in lines if each["event"] == "ingress.late")
     assert line["request"] == result.attempt and line["tries"][0]["outcome"] == "answered", line
--- a/features/steps/platform_limits_steps.py
+++ b/features/steps/platform_limits_steps.py
@@ -5,8 +5,8 @@
 
 from behave import step, then, use_step_matcher  # type: ignore[attr-defined]
 
-from features.platform_harness import HOST_NAME, Seat
-from features.steps.platform_node_steps import all_at, run, seat
+from features.platform_harness import HOST_NAME, FleetNode
+from features.steps.platform_node_steps import all_at, fleet_node, run
 from standins.raw_caller import send_raw
 
 use_step_matcher("parse")
@@ -31,11 +31,11 @@
 
 @then("a request with a header of {size:d} bytes through node {number:d} gets {status:d}")
 def long_header(context: Any, size: int, number: int, status: int) -> None:
-    work = context.fleet.call(seat(context, number), headers={"X-Long": "a" * size})
+    work = context.fleet.call(fleet_node(context, number), headers={"X-Long": "a" * size})
     assert run(context, work).status == status
 
 
-async def closed_within(at: Seat, data: bytes, seconds: float) -> bool:
+async def closed_within(at: FleetNode, data: bytes, seconds: float) -> bool:
     answer = await send_raw(at.callers, data, silence_s=seconds)
     return answer.closed
 
@@ -43,13 +43,13 @@
 @then("a head that never ends is given up by node {number:d} within {seconds:g} s")
 def head_given_up(context: Any, number: int, seconds: float) -> None:
     begun = b"GET /tiles/7 HTTP/1.1\r\nHost: "
-    assert run(context, closed_within(seat(context, number), begun, seconds))
+    assert run(context, closed_within(fleet_node(context, number), begun, seconds))
 
 
 @then("a connection that rests is closed by node {number:d} within {seconds:g} s")
 def rest_ended(context: Any, number: int, seconds: float) -> None:
     whole = REQUEST.format("0a").encode()
-    assert run(context, closed_within(seat(context, number), whole, seconds))
+    assert run(context, closed_within(fleet_node(context, number), whole, seconds))
 
 
 async def ask(context: Any, attempt: str) -> bytes:
@@ -61,7 +61,7 @@
 
 @step("a client keeps a connection to node {number:d} open")
 def keeps_open(context: Any, number: int) -> None:
-    host, _, port = seat(context, number).callers.rpartition(":")
+    host, _, port = fleet_node(context, number).callers.rpartition(":")
     context.kept = run(context, asyncio.open_connection(host, int(port)))
     assert run(context, ask(context, "0b")).startswith(b"HTTP/1.1 200")
 
--- a/features/steps/platform_machines_steps.py
+++ b/features/steps/platform_machines_steps.py
@@ -9,7 +9,7 @@
 
 from behave import then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.steps.platform_node_steps import run, seat
+from features.steps.platform_node_steps import fleet_node, run
 
 use_step_matcher("parse")
 
@@ -40,7 +40,7 @@
 
 @then("the first request through node {number:d} is refused with when to come back")
 def first_refused(context: Any, number: int) -> None:
-    result = run(context, context.fleet.call(seat(context, number)))
+    result = run(context, context.fleet.call(fleet_node(context, number)))
     assert result.status == 503, result
     assert float(result.headers["Retry-After"]) >= 0, result.headers
 
@@ -50,9 +50,9 @@
     "and the node had asked what is in force"
 )
 def answered_after_asking(context: Any, number: int, status: int) -> None:
-    freshness = seat(context, number).node.view.freshness
+    freshness = fleet_node(context, number).node.view.freshness
     assert freshness.caught_up_at < context.woke_at, "it asked before the first request"
-    result = run(context, context.fleet.call(seat(context, number)))
+    result = run(context, context.fleet.call(fleet_node(context, number)))
     assert result.status == status, result
     assert freshness.caught_up_at >= context.woke_at, (freshness.caught_up_at, context.woke_at)
 
@@ -61,7 +61,7 @@
 def answered_soon(context: Any, number: int, status: int, seconds: float) -> None:
     async def ask() -> None:
         async with asyncio.timeout(seconds):
-            while (await context.fleet.call(seat(context, number))).status != status:
+            while (await context.fleet.call(fleet_node(context, number))).status != status:
                 await asyncio.sleep(0.05)
 
     run(context, ask())
@@ -72,7 +72,7 @@
     async def ask() -> None:
         ends = asyncio.get_running_loop().time() + seconds
         while asyncio.get_running_loop().time() < ends:
-            result = await context.fleet.call(seat(context, number))
+            result = await context.fleet.call(fleet_node(context, number))
             assert result.status == status, result
             await asyncio.sleep(0.02)
 
@@ -81,7 +81,7 @@
 
 @then("node {number:d} still knows {count:d} members")
 def knows(context: Any, number: int, count: int) -> None:
-    members = seat(context, number).node.membership.members()
+    members = fleet_node(context, number).node.membership.members()
     assert len(members) == count, members
 
 
@@ -94,11 +94,11 @@
 
 @then("node {number:d} notices silence on its connections to the other node")
 def notices_peers(context: Any, number: int) -> None:
-    links = list(seat(context, number).node.peer_client.links.values())
+    links = list(fleet_node(context, number).node.peer_client.links.values())
     assert links and all(notices(link.socket.transport) for link in links), links
 
 
 @then("node {number:d} notices silence on its connections to its backend server")
 def notices_backend(context: Any, number: int) -> None:
-    connections = list(seat(context, number).node.transport.connections)
+    connections = list(fleet_node(context, number).node.transport.connections)
     assert connections and all(notices(each.transport) for each in connections), connections
--- a/features/steps/platform_moved_route_steps.py
+++ b/features/steps/platform_moved_route_steps.py
@@ -6,7 +6,7 @@
 from behave import step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from features.platform_harness import HOST_NAME, route
-from features.steps.platform_node_steps import run, seat
+from features.steps.platform_node_steps import fleet_node, run
 
 use_step_matcher("parse")
 
@@ -21,7 +21,7 @@
     )
 
     async def send() -> None:
-        host, _, port = seat(context, number).callers.rpartition(":")
+        host, _, port = fleet_node(context, number).callers.rpartition(":")
         context.reader, context.writer = await asyncio.open_connection(host, int(port))
         context.writer.write(head.encode() + HALF)
         await asyncio.sleep(0.1)
@@ -33,7 +33,10 @@
 def version_moves(context: Any, prefix: str, service: str) -> None:
     fleet = context.fleet
     fleet.configure(7, [route(prefix, {service: 1})])
-    run(context, fleet.wait_for(lambda: all(each.node.view.revision == 7 for each in fleet.seats)))
+    run(
+        context,
+        fleet.wait_for(lambda: all(each.node.view.revision == 7 for each in fleet.fleet_nodes)),
+    )
 
 
 @step("the client sends the rest")
@@ -49,8 +52,8 @@
 @then('{count:d} more requests to "{path}" by node {number:d} run on {service} alone')
 def then_run_on(context: Any, count: int, path: str, number: int, service: str) -> None:
     for _ in range(count):
-        result = run(context, context.fleet.call(seat(context, number), path))
+        result = run(context, context.fleet.call(fleet_node(context, number), path))
         assert result.status == 200, result
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         ran = each.server.targets.count(path)
         assert ran == (count if each.settings.service == service else 0), (each.settings, ran)
--- a/features/steps/platform_named_limits_steps.py
+++ b/features/steps/platform_named_limits_steps.py
@@ -8,7 +8,7 @@
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from bench.limits import Lookups, NamedRate, Reply, fullest_window
-from features.platform_harness import Seat, route
+from features.platform_harness import FleetNode, route
 from features.steps.platform_node_steps import run, start_fleet
 
 use_step_matcher("parse")
@@ -24,7 +24,7 @@
 
     lookups: Lookups
     named: list[NamedRate] = attrs.Factory(list)
-    limited: list[Seat] = attrs.Factory(list)
+    limited: list[FleetNode] = attrs.Factory(list)
 
 
 @given("{count:d} servers on the platform that run lookups for {ms:d} ms")
@@ -34,14 +34,14 @@
     async def begin() -> None:
         for number in range(count):
             zone = f"z{number % 2}"
-            await fleet.add_seat("mapdesk", service_ms=float(ms), slots=18, data_centre=zone)
+            await fleet.add_node("mapdesk", service_ms=float(ms), slots=18, data_centre=zone)
         fleet.configure(4, [route("/tiles/", {"mapdesk": 1}, MaxAttempts=2)])
         await fleet.settle()
 
     run(context, begin())
 
     async def send(turn: int, attempt: str) -> Reply:
-        result = await fleet.call(fleet.seats[turn], attempt=attempt)
+        result = await fleet.call(fleet.fleet_nodes[turn], attempt=attempt)
         return Reply(result.status, result.headers)
 
     context.play = LimitPlay(Lookups(count, send))
@@ -49,13 +49,13 @@
 
 @given("their health says what their answers do")
 def given_stating(context: Any) -> None:
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         each.server.health_states = True
 
 
 @given("their health says nothing")
 def given_silent(context: Any) -> None:
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         each.server.health_states = False
 
 
@@ -77,7 +77,7 @@
     async def name() -> None:
         await asyncio.sleep(seconds)
         play = context.play
-        play.limited = context.fleet.seats[:count]
+        play.limited = context.fleet.fleet_nodes[:count]
         for each in play.limited:
             each.server.rate = rate
         play.named.append(NamedRate(time.monotonic(), float(rate)))
@@ -99,7 +99,7 @@
 def when_replaced(context: Any, seconds: int) -> None:
     async def replace() -> None:
         await asyncio.sleep(seconds)
-        first = context.fleet.seats[0]
+        first = context.fleet.fleet_nodes[0]
         first.server.end()
         first.server.rate = None
         await first.server.come_back("i-2")
@@ -116,8 +116,8 @@
         lookups.down.add(0)
         lookups.entered_anew(0)
         await context.fleet.restart_node(0)
-        await context.fleet.seats[0].registrant.heartbeat("i-1")
-        await context.fleet.wait_for(context.fleet.seats[0].node.takes_callers)
+        await context.fleet.fleet_nodes[0].registrant.heartbeat("i-1")
+        await context.fleet.wait_for(context.fleet.fleet_nodes[0].node.takes_callers)
         lookups.down.discard(0)
 
     run(context, restart())
@@ -131,11 +131,11 @@
     async def beat() -> None:
         while True:
             await asyncio.sleep(HEARTBEAT_S)
-            await context.fleet.seats[0].registrant.heartbeat("i-1")
+            await context.fleet.fleet_nodes[0].registrant.heartbeat("i-1")
 
     async def leave() -> None:
         await asyncio.sleep(seconds)
-        context.fleet.seats[0].server.leaves = True
+        context.fleet.fleet_nodes[0].server.leaves = True
         context.beats = asyncio.create_task(beat())
 
     run(context, leave())
@@ -178,7 +178,7 @@
 @then("nothing reached it from a node {seconds:d} s after that had passed its word on")
 def then_nothing(context: Any, seconds: int) -> None:
     run(context, end_play(context))
-    lookups, first = context.play.lookups, context.fleet.seats[0]
+    lookups, first = context.play.lookups, context.fleet.fleet_nodes[0]
     told = lookups.told(first.server, "Server-Leaving")
     assert told, "no node had passed the word on"
     late = lookups.late_at(first.server, told, seconds)
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -8,7 +8,7 @@
 import aiohttp
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.platform_harness import HOST_NAME, CallResult, PlatformFleet, Seat, route
+from features.platform_harness import HOST_NAME, CallResult, FleetNode, PlatformFleet, route
 from marjoramtide.errors import MarjoramtideError
 from marjoramtide.settings.sync import ChangeRequest
 from standins.expected_body import expected_body
@@ -25,8 +25,8 @@
     return context.runner.run(asyncio.wait_for(work, 30))
 
 
-def seat(context: Any, number: int) -> Seat:
-    return context.fleet.seats[number - 1]
+def fleet_node(context: Any, number: int) -> FleetNode:
+    return context.fleet.fleet_nodes[number - 1]
 
 
 def start_fleet(context: Any) -> PlatformFleet:
@@ -37,9 +37,9 @@
     return context.fleet
 
 
-async def fill(fleet: PlatformFleet, services: list[str], **seats: Any) -> None:
+async def populate_fleet(fleet: PlatformFleet, services: list[str], **node_options: Any) -> None:
     for service in services:
-        await fleet.add_seat(service, **seats)
+        await fleet.add_node(service, **node_options)
     fleet.configure(
         4,
         [
@@ -52,7 +52,7 @@
 @given("a fleet on the platform: {services}")
 def given_fleet(context: Any, services: str) -> None:
     fleet = start_fleet(context)
-    run(context, fill(fleet, services.split(", ")))
+    run(context, populate_fleet(fleet, services.split(", ")))
     run(context, fleet.settle())
 
 
@@ -60,10 +60,10 @@
 def given_slow_fleet(context: Any, milliseconds: int, services: str) -> None:
     fleet = start_fleet(context)
     sizes = {"slots": 1, "service_ms": float(milliseconds)}
-    run(context, fill(fleet, services.split(", "), instance="", **sizes))
+    run(context, populate_fleet(fleet, services.split(", "), instance="", **sizes))
 
 
-async def register_first_time(each: Seat) -> None:
+async def register_first_time(each: FleetNode) -> None:
     """Give the server of a seat its identity, and register it."""
     each.server.instance = "i-1"
     await each.registrant.heartbeat("i-1")
@@ -73,7 +73,7 @@
 def given_no_store(context: Any) -> None:
     fleet = start_fleet(context)
     fleet.store.mode = "refuse"
-    run(context, fleet.add_seat("mapdesk"))
+    run(context, fleet.add_node("mapdesk"))
 
 
 @given("a node on the platform whose store holds no configuration")
@@ -82,7 +82,7 @@
 
     async def start() -> None:
         context.started = time.monotonic()
-        await fleet.add_seat("mapdesk")
+        await fleet.add_node("mapdesk")
         await asyncio.sleep(0.5)
 
     run(context, start())
@@ -102,61 +102,68 @@
 
 
 def all_at(context: Any, revision: int) -> bool:
-    return all(each.node.view.revision == revision for each in context.fleet.seats)
+    return all(each.node.view.revision == revision for each in context.fleet.fleet_nodes)
 
 
 @given("the server of node {number:d} answers the next request twice")
 def given_twice(context: Any, number: int) -> None:
-    seat(context, number).server.extra_answers = 1
+    fleet_node(context, number).server.extra_answers = 1
 
 
 @given("every server answers the next request without a seal")
 def given_unsealed(context: Any) -> None:
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         each.server.unsealed = 1
 
 
 @step('the server of node {number:d} becomes instance "{instance}" without a word')
 def becomes(context: Any, number: int, instance: str) -> None:
-    seat(context, number).server.instance = instance
+    fleet_node(context, number).server.instance = instance
 
 
 @given("the place of node {number:d} is taken by a node of another service")
 def place_taken(context: Any, number: int) -> None:
-    seat(context, number).node.serving.service = "another"
+    fleet_node(context, number).node.serving.service = "another"
 
 
 @when('the server of node {number:d} registers as "{instance}"')
 def registers(context: Any, number: int, instance: str) -> None:
-    assert run(context, seat(context, number).registrant.heartbeat(instance, sequence=1)) == 200
-    run(context, context.fleet.wait_for(lambda: context.fleet.knows_all(seat(context, number))))
+    assert (
+        run(context, fleet_node(context, number).registrant.heartbeat(instance, sequence=1)) == 200
+    )
+    run(
+        context,
+        context.fleet.wait_for(lambda: context.fleet.knows_all(fleet_node(context, number))),
+    )
 
 
 @when('a client asks node {number:d} for "{path}"')
 def asks(context: Any, number: int, path: str) -> None:
-    context.result = run(context, context.fleet.call(seat(context, number), path))
+    context.result = run(context, context.fleet.call(fleet_node(context, number), path))
 
 
 @when('a client asks node {number:d} for "{path}" with headers')
 def asks_with(context: Any, number: int, path: str) -> None:
     headers = {row["name"]: row["value"] for row in context.table}
-    work = context.fleet.call(seat(context, number), path, headers=headers)
+    work = context.fleet.call(fleet_node(context, number), path, headers=headers)
     context.result = run(context, work)
 
 
 @when('a client asks node {number:d} for "{path}" {count:d} times')
 def asks_often(context: Any, number: int, path: str, count: int) -> None:
-    context.before = [len(each.server.seen) for each in context.fleet.seats]
+    context.before = [len(each.server.seen) for each in context.fleet.fleet_nodes]
     context.results = []
     for _ in range(count):
-        context.result = run(context, context.fleet.call(seat(context, number), path))
+        context.result = run(context, context.fleet.call(fleet_node(context, number), path))
         assert context.result.status == 200, context.result
         context.results.append(context.result)
 
 
 @when("a client books through node {number:d}")
 def books(context: Any, number: int) -> None:
-    work = context.fleet.call(seat(context, number), "/book/7", method="POST", body=b"booking")
+    work = context.fleet.call(
+        fleet_node(context, number), "/book/7", method="POST", body=b"booking"
+    )
     context.result = run(context, work)
 
 
@@ -211,7 +218,7 @@
     attempt = context.result.attempt
     found = [
         headers
-        for each in context.fleet.seats
+        for each in context.fleet.fleet_nodes
         for headers in each.server.seen
         if headers["x-attempt-id"] == attempt
     ]
@@ -221,66 +228,76 @@
 
 @then("no server ran anything")
 def ran_nothing(context: Any) -> None:
-    assert not any(each.server.seen for each in context.fleet.seats)
+    assert not any(each.server.seen for each in context.fleet.fleet_nodes)
 
 
 @then("node {number:d} does not take callers")
 def not_ready(context: Any, number: int) -> None:
-    assert not run(context, seat(context, number).ready())
+    assert not run(context, fleet_node(context, number).ready())
 
 
 @then("mapdesk ran {least:d} to {most:d} of them")
 def ran_share(context: Any, least: int, most: int) -> None:
     count = sum(
-        len(each.server.seen) for each in context.fleet.seats if each.settings.service == "mapdesk"
+        len(each.server.seen)
+        for each in context.fleet.fleet_nodes
+        if each.settings.service == "mapdesk"
     )
     assert least <= count <= most, count
 
 
 @when("the server of node {number:d} says that it drains")
 def drains(context: Any, number: int) -> None:
-    seat(context, number).server.faults.drain = True
-    assert run(context, seat(context, number).registrant.heartbeat("i-1", state="draining")) == 200
+    fleet_node(context, number).server.faults.drain = True
+    assert (
+        run(context, fleet_node(context, number).registrant.heartbeat("i-1", state="draining"))
+        == 200
+    )
 
 
 @when("the server of node {number:d} says that it drains, while its health is good")
 def drains_in_health(context: Any, number: int) -> None:
-    assert run(context, seat(context, number).registrant.heartbeat("i-1", state="draining")) == 200
+    assert (
+        run(context, fleet_node(context, number).registrant.heartbeat("i-1", state="draining"))
+        == 200
+    )
 
 
 @then("no server is registered at node {number:d}")
 def none_registered(context: Any, number: int) -> None:
-    registrar = seat(context, number).node.server.registrar
+    registrar = fleet_node(context, number).node.server.registrar
     assert registrar is not None and registrar.current is None
 
 
 @when("the server of node {number:d} leaves")
 def leaves(context: Any, number: int) -> None:
-    assert run(context, seat(context, number).registrant.leave("i-1")) == 200
+    assert run(context, fleet_node(context, number).registrant.leave("i-1")) == 200
 
 
 @when("an old heartbeat of the server of node {number:d} arrives")
 def old_heartbeat(context: Any, number: int) -> None:
-    assert run(context, seat(context, number).registrant.heartbeat("i-1", sequence=1)) == 200
+    assert run(context, fleet_node(context, number).registrant.heartbeat("i-1", sequence=1)) == 200
 
 
 @when('a heartbeat of a start "{instance}" arrives at node {number:d}')
 def dead_heartbeat(context: Any, instance: str, number: int) -> None:
-    assert run(context, seat(context, number).registrant.heartbeat(instance, sequence=99)) == 200
+    assert (
+        run(context, fleet_node(context, number).registrant.heartbeat(instance, sequence=99)) == 200
+    )
 
 
 @then("the server of node {number:d} ran none of them")
 def ran_none(context: Any, number: int) -> None:
     before = context.before[number - 1]
-    assert len(seat(context, number).server.seen) == before
+    assert len(fleet_node(context, number).server.seen) == before
 
 
 @then("the server of node {number:d} ran {count:d} of them")
 def ran_count(context: Any, number: int, count: int) -> None:
-    assert len(seat(context, number).server.seen) == count
+    assert len(fleet_node(context, number).server.seen) == count
 
 
-def begin_booking(context: Any, entry: Seat) -> Coroutine[Any, Any, CallResult]:
+def begin_booking(context: Any, entry: FleetNode) -> Coroutine[Any, Any, CallResult]:
     """Return a booking by a caller with nine seconds of patience."""
     headers = {"X-Deadline-Ms": "9000"}
     return context.fleet.call(entry, "/book/7", method="POST", body=b"booking", headers=headers)
@@ -288,7 +305,7 @@
 
 @given("{count:d} bookings are under way through node 1, where only node 1 has a server")
 def given_bookings(context: Any, count: int) -> None:
-    first = seat(context, 1)
+    first = fleet_node(context, 1)
 
     async def begin() -> None:
         await register_first_time(first)
@@ -305,14 +322,14 @@
 @when("the server of node 1 says that it drains and that of node 2 registers")
 def drains_and_registers(context: Any) -> None:
     async def change() -> None:
-        second = seat(context, 2)
+        second = fleet_node(context, 2)
         await register_first_time(second)
         name = second.node.name
-        members = seat(context, 1).node.membership.members_of
+        members = fleet_node(context, 1).node.membership.members_of
         await context.fleet.wait_for(
             lambda: any(member.node == name for member in members("mapdesk"))
         )
-        await seat(context, 1).registrant.heartbeat("i-1", state="draining")
+        await fleet_node(context, 1).registrant.heartbeat("i-1", state="draining")
 
     run(context, change())
 
@@ -324,13 +341,17 @@
 
     results = run(context, collect())
     assert [result.status for result in results] == [200] * count, results
-    ran = [headers["x-attempt-id"] for each in context.fleet.seats for headers in each.server.seen]
+    ran = [
+        headers["x-attempt-id"]
+        for each in context.fleet.fleet_nodes
+        for headers in each.server.seen
+    ]
     assert sorted(ran) == sorted(result.attempt for result in results)
 
 
 @then("node {number:d} refuses the heartbeat of another service with {status:d}")
 def other_service(context: Any, number: int, status: int) -> None:
-    registrant = seat(context, number).registrant
+    registrant = fleet_node(context, number).registrant
     registrant.service = "another"
     assert run(context, registrant.heartbeat("i-9")) == status
 
@@ -338,7 +359,7 @@
 @then("node {number:d} refuses a heartbeat that is no JSON with {status:d}")
 def no_json(context: Any, number: int, status: int) -> None:
     async def send() -> int:
-        url = f"http://{seat(context, number).settings.registration}/instances/i-9"
+        url = f"http://{fleet_node(context, number).settings.registration}/instances/i-9"
         async with (
             aiohttp.ClientSession() as session,
             session.put(url, data=b"{{{") as response,
@@ -378,7 +399,7 @@
 
 async def answered_everywhere(context: Any, path: str, status: int, seconds: float) -> None:
     async with asyncio.timeout(seconds):
-        for each in context.fleet.seats:
+        for each in context.fleet.fleet_nodes:
             while (await context.fleet.call(each, path)).status != status:
                 await asyncio.sleep(TRIES_PAUSE_S)
 
@@ -390,7 +411,7 @@
 
 @then('a client that asks node {number:d} for "{path}" gets {status:d}')
 def asks_and_gets(context: Any, number: int, path: str, status: int) -> None:
-    result = run(context, context.fleet.call(seat(context, number), path))
+    result = run(context, context.fleet.call(fleet_node(context, number), path))
     assert result.status == status, result
 
 
@@ -412,7 +433,7 @@
 
 @then('the resolved settings of host "{host}" and path "{path}" hold')
 def resolved(context: Any, host: str, path: str) -> None:
-    _, found = seat(context, 1).node.view.resolved(host, path)
+    _, found = fleet_node(context, 1).node.view.resolved(host, path)
     for row in context.table:
         told = str(found.values[row["key"]]), found.origins[row["key"]]
         assert told == (row["value"], row["origin"]), told
@@ -423,7 +444,7 @@
     async def change() -> str:
         request = ChangeRequest(change="c", author="a", base=None, edits=None, text="x = 1")
         try:
-            await seat(context, 1).node.settings_service.change(request)
+            await fleet_node(context, 1).node.settings_service.change(request)
         except MarjoramtideError as error:
             return error.message
         return ""
@@ -433,7 +454,7 @@
 
 @given("its server keeps idle connections for {seconds:d} s, and its health is not read")
 def keeps_idle(context: Any, seconds: int) -> None:
-    first = seat(context, 1)
+    first = fleet_node(context, 1)
     first.server.keeps_idle_s = seconds
 
     async def unread() -> None:
@@ -447,9 +468,9 @@
 @when("a booking is made, and another one {seconds:g} s later")
 def two_bookings(context: Any, seconds: float) -> None:
     async def book() -> None:
-        first = await begin_booking(context, seat(context, 1))
+        first = await begin_booking(context, fleet_node(context, 1))
         await asyncio.sleep(seconds)
-        context.two = [first, await begin_booking(context, seat(context, 1))]
+        context.two = [first, await begin_booking(context, fleet_node(context, 1))]
 
     run(context, book())
 
--- a/features/steps/platform_quota_steps.py
+++ b/features/steps/platform_quota_steps.py
@@ -9,7 +9,7 @@
 import attrs
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.platform_harness import CallResult, PlatformFleet, Seat, route
+from features.platform_harness import CallResult, FleetNode, PlatformFleet, route
 from features.steps.platform_node_steps import run, start_fleet
 
 use_step_matcher("parse")
@@ -19,7 +19,7 @@
 PLACES = ("east", "east", "west", "west")
 KNOWN_S = 1.5
 
-Choose = Callable[[float], Seat]
+Choose = Callable[[float], FleetNode]
 
 
 @attrs.frozen(slots=True)
@@ -44,7 +44,7 @@
 
     async def begin() -> None:
         for place in PLACES:
-            await fleet.add_seat("mapdesk", data_centre=place, slots=30)
+            await fleet.add_node("mapdesk", data_centre=place, slots=30)
         fleet.configure(4, [route("/tiles/", {"mapdesk": 1}, TargetLatencyMs=900)])
         await fleet.settle()
         # Pools are full once they have been owned for a while.
@@ -55,13 +55,13 @@
 
 def chooser(fleet: PlatformFleet, how: str) -> Choose:
     """Return which seat a request enters by, by how many seconds after the first it comes."""
-    seats, rng, turns = fleet.seats, random.Random(1), iter(range(1 << 30))
+    fleet_nodes, rng, turns = fleet.fleet_nodes, random.Random(1), iter(range(1 << 30))
     ways: dict[str, Choose] = {
-        "spread over all nodes": lambda at_s: seats[next(turns) % len(seats)],
-        "by one node": lambda at_s: seats[0],
-        "by another node each second": lambda at_s: seats[int(at_s) % len(seats)],
-        "by one node after the other at random": lambda at_s: rng.choice(seats),
-        "to the data centre west": lambda at_s: rng.choice(seats[2:]),
+        "spread over all nodes": lambda at_s: fleet_nodes[next(turns) % len(fleet_nodes)],
+        "by one node": lambda at_s: fleet_nodes[0],
+        "by another node each second": lambda at_s: fleet_nodes[int(at_s) % len(fleet_nodes)],
+        "by one node after the other at random": lambda at_s: rng.choice(fleet_nodes),
+        "to the data centre west": lambda at_s: rng.choice(fleet_nodes[2:]),
     }
     return ways[how]
 
@@ -103,14 +103,14 @@
 
 def end_east(context: Any) -> None:
     async def end() -> None:
-        east, west = context.fleet.seats[:2], context.fleet.seats[2:]
-        for seat in east:
-            await context.fleet.end_node(seat.node)
-        gone = {seat.node.name for seat in east}
+        east, west = context.fleet.fleet_nodes[:2], context.fleet.fleet_nodes[2:]
+        for fleet_node in east:
+            await context.fleet.end_node(fleet_node.node)
+        gone = {fleet_node.node.name for fleet_node in east}
         await context.fleet.wait_for(
             lambda: all(
-                not gone & {member.node for member in seat.node.membership.members()}
-                for seat in west
+                not gone & {member.node for member in fleet_node.node.membership.members()}
+                for fleet_node in west
             )
         )
 
@@ -118,11 +118,11 @@
 
 
 def when_moves(context: Any, rate: int, workspace: str, seconds: int) -> None:
-    seats = context.fleet.seats
+    fleet_nodes = context.fleet.fleet_nodes
     context.moved_s = float(seconds)
 
-    def choose(at_s: float) -> Seat:
-        return seats[0] if at_s < seconds else seats[3]
+    def choose(at_s: float) -> FleetNode:
+        return fleet_nodes[0] if at_s < seconds else fleet_nodes[3]
 
     total = rate * seconds * 2
     context.calls = run(context, come(context.fleet, workspace, total, seconds * 2, choose))
@@ -146,13 +146,17 @@
 
 async def restart_owner(fleet: PlatformFleet, workspace: str) -> None:
     await asyncio.sleep(1.0)
-    owner = fleet.seats[0].node.quotas.owners.of(workspace)[0].peer_address
-    numbers = [number for number, seat in enumerate(fleet.seats) if seat.settings.peers == owner]
+    owner = fleet.fleet_nodes[0].node.quotas.owners.of(workspace)[0].peer_address
+    numbers = [
+        number
+        for number, fleet_node in enumerate(fleet.fleet_nodes)
+        if fleet_node.settings.peers == owner
+    ]
     await fleet.restart_node(numbers[0])
 
 
 async def restart_all(fleet: PlatformFleet) -> None:
-    for number in range(len(fleet.seats)):
+    for number in range(len(fleet.fleet_nodes)):
         await asyncio.sleep(0.7)
         await fleet.restart_node(number)
 
@@ -173,7 +177,9 @@
     fleet = context.fleet
     fleet.tenants = tenants(QUOTAS | {"acme": (rate, burst)})
     fleet.configure(5)
-    in_force = fleet.wait_for(lambda: all(each.node.view.revision == 5 for each in fleet.seats))
+    in_force = fleet.wait_for(
+        lambda: all(each.node.view.revision == 5 for each in fleet.fleet_nodes)
+    )
     run(context, in_force)
 
 
@@ -182,13 +188,13 @@
     fleet = context.fleet
 
     async def play() -> None:
-        for each in fleet.seats:
+        for each in fleet.fleet_nodes:
             each.node.serving.set_accepting(False)
         choose = chooser(fleet, "spread over all nodes")
         calls = await come(fleet, workspace, count, seconds, choose)
         assert {each.result.status for each in calls} <= {503, 429}, calls
         assert sum(each.result.status == 503 for each in calls) * 2 > count, calls
-        for each in fleet.seats:
+        for each in fleet.fleet_nodes:
             each.node.serving.set_accepting(True)
 
     run(context, play())
@@ -206,7 +212,9 @@
 
 def those_that_ran(context: Any) -> list[QuotaCall]:
     attempts = {
-        headers["x-attempt-id"] for each in context.fleet.seats for headers in each.server.seen
+        headers["x-attempt-id"]
+        for each in context.fleet.fleet_nodes
+        for headers in each.server.seen
     }
     return [each for each in context.calls if each.result.attempt in attempts]
 
--- a/features/steps/platform_status_steps.py
+++ b/features/steps/platform_status_steps.py
@@ -11,7 +11,7 @@
 import aiohttp
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.steps.platform_node_steps import run, seat
+from features.steps.platform_node_steps import fleet_node, run
 from marjoramtide.daemon import _process
 from marjoramtide.interface import Interface, own_interface
 from marjoramtide.settings import NodeSettings, load_node_settings
@@ -36,8 +36,8 @@
 
 @when("the server of node {number:d} is slowed to {times:d} times")
 def slowed(context: Any, number: int, times: int) -> None:
-    serving = seat(context, number).node.serving
-    seat(context, number).server.slowdown = float(times)
+    serving = fleet_node(context, number).node.serving
+    fleet_node(context, number).server.slowdown = float(times)
     run(
         context,
         context.fleet.wait_for(lambda: serving.interference.slowdown == times),
@@ -47,7 +47,7 @@
 @then("the operators of node {number:d} are shown a slowdown of {times:d}")
 def shown_slowdown(context: Any, number: int, times: int) -> None:
     async def read() -> Any:
-        url = f"http://{seat(context, number).settings.operators}/status"
+        url = f"http://{fleet_node(context, number).settings.operators}/status"
         async with aiohttp.ClientSession() as session, session.get(url) as response:
             return await response.json()
 
@@ -59,9 +59,9 @@
 def more_heartbeats(context: Any, count: int, number: int) -> None:
     async def beat() -> None:
         for _ in range(count):
-            assert await seat(context, number).registrant.heartbeat("i-1") == 200
+            assert await fleet_node(context, number).registrant.heartbeat("i-1") == 200
 
-    serving = seat(context, number).node.serving
+    serving = fleet_node(context, number).node.serving
     with mock.patch.object(serving, "open", wraps=serving.open) as opened:
         run(context, beat())
         context.opened = opened.call_count
--- a/features/steps/platform_workspaces_steps.py
+++ b/features/steps/platform_workspaces_steps.py
@@ -10,7 +10,7 @@
 import attrs
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.platform_harness import BOUNDS, HOST_NAME, CallResult, Seat, route
+from features.platform_harness import BOUNDS, HOST_NAME, CallResult, FleetNode, route
 from features.steps.platform_node_steps import run, start_fleet
 from marjoramtide.exchange import Request
 from marjoramtide.settings import key_digest, key_fingerprint
@@ -57,7 +57,7 @@
 
     async def begin() -> None:
         for service in services.split(", "):
-            await fleet.add_seat(service)
+            await fleet.add_node(service)
         fleet.configure(
             context.version,
             [
@@ -67,24 +67,26 @@
             ],
         )
         await fleet.settle()
-        await fleet.wait_for(lambda: all(each.node.view.vouches_for_keys for each in fleet.seats))
+        await fleet.wait_for(
+            lambda: all(each.node.view.vouches_for_keys for each in fleet.fleet_nodes)
+        )
 
     run(context, begin())
 
 
 @step("the nodes have been up for long")
 def up_for_long(context: Any) -> None:
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         each.node.serving.running.process_started_at -= 3600
 
 
 def ran(context: Any) -> list[dict[str, str]]:
-    return [headers for each in context.fleet.seats for headers in each.server.seen]
+    return [headers for each in context.fleet.fleet_nodes for headers in each.server.seen]
 
 
 @when('a caller with the key {key} that claims to be "{name}" asks each node')
 def when_claims(context: Any, key: str, name: str) -> None:
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         headers = token(KEYS[key]) | {"X-Tenant-Name": name}
         result = run(context, context.fleet.call(each, headers=headers))
         assert result.status == 200, result
@@ -93,7 +95,7 @@
 @then('each request ran for "{name}"')
 def then_ran_for(context: Any, name: str) -> None:
     seen = ran(context)
-    assert len(seen) == len(context.fleet.seats), seen
+    assert len(seen) == len(context.fleet.fleet_nodes), seen
     assert all(headers.get("x-tenant-name") == name for headers in seen), seen
 
 
@@ -122,7 +124,7 @@
     ]
 
     async def send() -> None:
-        host, _, port = context.fleet.seats[0].callers.rpartition(":")
+        host, _, port = context.fleet.fleet_nodes[0].callers.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         began = time.monotonic()
         writer.write("\r\n".join([*head, "", "a part"]).encode())
@@ -141,9 +143,9 @@
 
 @when('"{path}" is asked without a key, with an unknown one and with the key {key}')
 def when_open(context: Any, path: str, key: str) -> None:
-    seat = context.fleet.seats[0]
+    fleet_node = context.fleet.fleet_nodes[0]
     for headers in ({}, token(UNKNOWN_KEY), token(KEYS[key])):
-        result = run(context, context.fleet.call(seat, path, headers=headers))
+        result = run(context, context.fleet.call(fleet_node, path, headers=headers))
         assert result.status == 200, result
 
 
@@ -154,16 +156,18 @@
 
 async def call_of(context: Any, attempt: str, *, after: bool) -> CallResult:
     """Make the call of a run while it is there, or once it has ended."""
-    seat = context.fleet.seats[0]
-    seat.server.service_time = ServiceTime(5.0 if after else RUN_MS, seed=1)
+    fleet_node = context.fleet.fleet_nodes[0]
+    fleet_node.server.service_time = ServiceTime(5.0 if after else RUN_MS, seed=1)
     parent = asyncio.create_task(
-        context.fleet.call(seat, attempt=attempt, headers=token(KEYS["a1"]))
+        context.fleet.call(fleet_node, attempt=attempt, headers=token(KEYS["a1"]))
     )
     if after:
         await parent
     else:
-        await context.fleet.wait_for(lambda: seat.node.serving.running.find(attempt) is not None)
-    result = await context.fleet.call(seat, "/called/1", attempt=f"{attempt}.1")
+        await context.fleet.wait_for(
+            lambda: fleet_node.node.serving.running.find(attempt) is not None
+        )
+    result = await context.fleet.call(fleet_node, "/called/1", attempt=f"{attempt}.1")
     await parent
     return result
 
@@ -181,14 +185,16 @@
 @then("the call ran, with the identity of no workspace")
 def then_call_ran(context: Any) -> None:
     assert context.call.status == 200, context.call
-    headers = context.fleet.seats[-1].server.seen[-1]
+    headers = context.fleet.fleet_nodes[-1].server.seen[-1]
     assert headers["x-attempt-id"].endswith(".1"), headers
     assert "x-tenant-name" not in headers, headers
 
 
 @when("a call is made for a request that runs nowhere")
 def when_made_up(context: Any) -> None:
-    call = context.fleet.call(context.fleet.seats[0], "/called/1", attempt="00000000000000ff.1")
+    call = context.fleet.call(
+        context.fleet.fleet_nodes[0], "/called/1", attempt="00000000000000ff.1"
+    )
     context.call = run(context, call)
 
 
@@ -203,23 +209,23 @@
     fleet = context.fleet
     fleet.tenants = [tenant("acme", [KEYS["a1"]], Priority=priority), tenant("beta", [KEYS["b1"]])]
     fleet.configure(context.version + 1)
-    seat = fleet.seats[0]
-    run(context, fleet.wait_for(lambda: seat.node.view.revision == context.version + 1))
+    fleet_node = fleet.fleet_nodes[0]
+    run(context, fleet.wait_for(lambda: fleet_node.node.view.revision == context.version + 1))
 
 
 @then("a request of acme is urgent, and one of beta goes by its route")
 def then_priority(context: Any) -> None:
-    seat = context.fleet.seats[0]
+    fleet_node = context.fleet.fleet_nodes[0]
     admitted: list[Request] = []
-    dispatch = seat.node.dispatcher.dispatch
+    dispatch = fleet_node.node.dispatcher.dispatch
 
     async def note(request: Request, *rest: Any) -> Any:
         admitted.append(request)
         return await dispatch(request, *rest)
 
-    seat.node.ingress.dispatcher = type("Noting", (), {"dispatch": staticmethod(note)})
+    fleet_node.node.ingress.dispatcher = type("Noting", (), {"dispatch": staticmethod(note)})
     for key in ("a1", "b1"):
-        run(context, context.fleet.call(seat, headers=token(KEYS[key])))
+        run(context, context.fleet.call(fleet_node, headers=token(KEYS[key])))
     assert [(each.urgent, each.rank) for each in admitted] == [(True, 0), (False, 1)], admitted
 
 
@@ -228,7 +234,7 @@
     context.told = io.StringIO()
 
     async def ask() -> None:
-        for each in context.fleet.seats:
+        for each in context.fleet.fleet_nodes:
             for headers in (token(KEYS["a1"]), token(UNKNOWN_KEY), {}):
                 result = await context.fleet.call(each, headers=headers)
                 context.told.write(f"{result.headers} {result.body!r}")
@@ -238,15 +244,15 @@
         run(context, ask())
 
 
-async def shown_by(seat: Seat) -> str:
+async def shown_by(fleet_node: FleetNode) -> str:
     """Return what operators and metrics tell of a node."""
     pages = [
-        f"http://{seat.settings.operators}{path}"
+        f"http://{fleet_node.settings.operators}{path}"
         for path in ("/status", "/settings", "/explain?service=mapdesk", "/workspaces")
     ]
     async with aiohttp.ClientSession() as session:
         texts = []
-        for page in [*pages, f"http://{seat.settings.metrics}/metrics"]:
+        for page in [*pages, f"http://{fleet_node.settings.metrics}/metrics"]:
             async with session.get(page) as response:
                 texts.append(await response.text())
     return "\n".join(texts)
@@ -266,9 +272,9 @@
     run(context, asyncio.sleep(REVOKED_AFTER_S))
 
 
-def store_of(seat: Seat) -> str:
+def store_of(fleet_node: FleetNode) -> str:
     """Return the address at which a node reaches the store."""
-    return seat.settings.store.removeprefix("http://")
+    return fleet_node.settings.store.removeprefix("http://")
 
 
 def take_away(context: Any, left: list[str]) -> None:
@@ -279,7 +285,7 @@
 
 @then("after 2 s each node answers 401 to a1 and 200 to a2")
 def then_replaced(context: Any) -> None:
-    for each in context.fleet.seats:
+    for each in context.fleet.fleet_nodes:
         for key, status in (("a1", 401), ("a2", 200)):
             result = run(context, context.fleet.call(each, headers=token(KEYS[key])))
             assert result.status == status, (each.settings.name, key, result)
@@ -287,29 +293,31 @@
 
 @when("a version takes the key a1 away while the store turns node {number:d} away")
 def when_taken_while_away(context: Any, number: int) -> None:
-    context.fleet.store.turned_away = {store_of(context.fleet.seats[number - 1])}
+    context.fleet.store.turned_away = {store_of(context.fleet.fleet_nodes[number - 1])}
     take_away(context, [])
     run(context, asyncio.sleep(REVOKED_AFTER_S))
 
 
 @then("after 2 s node {number:d} answers 401 to a1")
 def then_taken(context: Any, number: int) -> None:
-    call = context.fleet.call(context.fleet.seats[number - 1], headers=token(KEYS["a1"]))
+    call = context.fleet.call(context.fleet.fleet_nodes[number - 1], headers=token(KEYS["a1"]))
     result = run(context, call)
     assert result.status == 401, result
 
 
-async def come(context: Any, seats: list[Seat], path: str, seconds: float) -> list[KeyCall]:
+async def come(
+    context: Any, fleet_nodes: list[FleetNode], path: str, seconds: float
+) -> list[KeyCall]:
     """Have callers come with the key a1 to each seat in turn."""
     began = time.monotonic()
 
-    async def call(each: Seat) -> KeyCall:
+    async def call(each: FleetNode) -> KeyCall:
         sent_s = time.monotonic() - began
         return KeyCall(sent_s, await context.fleet.call(each, path, headers=token(KEYS["a1"])))
 
     tasks = []
     while time.monotonic() - began < seconds:
-        tasks += [asyncio.create_task(call(each)) for each in seats]
+        tasks += [asyncio.create_task(call(each)) for each in fleet_nodes]
         await asyncio.sleep(PACE_S)
     return await asyncio.gather(*tasks)
 
@@ -321,12 +329,14 @@
     async def play() -> None:
         fleet.store.mode = "refuse"
         context.calls, context.open_calls = await asyncio.gather(
-            come(context, fleet.seats, "/tiles/7", 3.5),
-            come(context, fleet.seats[:1], "/open/7", 3.5),
+            come(context, fleet.fleet_nodes, "/tiles/7", 3.5),
+            come(context, fleet.fleet_nodes[:1], "/open/7", 3.5),
         )
         fleet.store.mode = "up"
         await asyncio.sleep(1.0)
-        context.after = [await fleet.call(each, headers=token(KEYS["a1"])) for each in fleet.seats]
+        context.after = [
+            await fleet.call(each, headers=token(KEYS["a1"])) for each in fleet.fleet_nodes
+        ]
 
     run(context, play())
 
@@ -364,11 +374,11 @@
 
 @when("the store turns node {number:d} away for 3 s while callers come to it with the key a1")
 def when_turned_away(context: Any, number: int) -> None:
-    seat = context.fleet.seats[number - 1]
+    fleet_node = context.fleet.fleet_nodes[number - 1]
 
     async def play() -> None:
-        context.fleet.store.turned_away = {store_of(seat)}
-        context.calls = await come(context, [seat], "/tiles/7", 3.0)
+        context.fleet.store.turned_away = {store_of(fleet_node)}
+        context.calls = await come(context, [fleet_node], "/tiles/7", 3.0)
         context.fleet.store.turned_away = set()
 
     run(context, play())
--- a/features/steps/server_ends_steps.py
+++ b/features/steps/server_ends_steps.py
@@ -6,7 +6,7 @@
 import structlog
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from features.steps.platform_node_steps import run, seat
+from features.steps.platform_node_steps import fleet_node, run
 from marjoramtide.exchange import Fingerprinter, Request, RequestBody, inline_body, stream_body
 from marjoramtide.serving import BackendState, HealthCheckResult, HttpTransport
 from marjoramtide.serving._crash_detector import CrashDetector
@@ -81,13 +81,13 @@
 
 @given('requests for "{path}" crash the server of node {number:d}')
 def given_crashing_requests(context: Any, path: str, number: int) -> None:
-    seat(context, number).server.faults.deadly = path
+    fleet_node(context, number).server.faults.deadly = path
 
 
 @when('a client requests "{path}" from node 1 while {count:d} other requests are in progress')
 def request_among_others(context: Any, path: str, count: int) -> None:
     async def send_requests() -> None:
-        first = seat(context, 1)
+        first = fleet_node(context, 1)
         first.server.faults.slow_factor = 100.0
         others = [
             asyncio.create_task(context.fleet.call(first, f"/tiles/{number}"))
@@ -147,7 +147,7 @@
 
 @given("the server of node 1 has been silent during a lookup for {seconds:g} s")
 def given_silent(context: Any, seconds: float) -> None:
-    node = seat(context, 1).node
+    node = fleet_node(context, 1).node
     detector = node.serving.crash_monitor.detector
     node.server.measurer.result_listener = None
     started_at = node.clock.monotonic() - seconds
@@ -157,7 +157,7 @@
 
 @when("a health check of it fails, {when}")
 def fail_health_check(context: Any, when: str) -> None:
-    node = seat(context, 1).node
+    node = fleet_node(context, 1).node
     now = node.clock.monotonic()
     if "stopped" in when:
         node.freeze.thawed_at = now
@@ -170,7 +170,7 @@
 
 @then("{count:d} requests are suspected at node 1")
 def check_suspect_count(context: Any, count: int) -> None:
-    assert len(seat(context, 1).node.quarantine.policy) == count
+    assert len(fleet_node(context, 1).node.quarantine.policy) == count
 
 
 def fingerprint(context: Any) -> int:
--- a/features/steps/server_starts_steps.py
+++ b/features/steps/server_starts_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, step, then, when  # type: ignore[attr-defined]
 
-from features.steps.platform_node_steps import begin_booking, register_first_time, run, seat
+from features.steps.platform_node_steps import begin_booking, fleet_node, register_first_time, run
 from marjoramtide.exchange import LoadReport
 from marjoramtide.policy import CallProfile
 from marjoramtide.serving import Registration
@@ -17,24 +17,24 @@
 
 
 def registered(context: Any, number: int) -> Registration:
-    registrar = seat(context, number).node.server.registrar
+    registrar = fleet_node(context, number).node.server.registrar
     assert registrar is not None and registrar.current is not None
     return registrar.current
 
 
 def report(context: Any, number: int) -> LoadReport:
-    return seat(context, number).node.serving.report(time.monotonic())
+    return fleet_node(context, number).node.serving.report(time.monotonic())
 
 
 @given("the server of node {number:d} was born at {born:d} and has sent {count:d} heartbeats")
 def born_with_heartbeats(context: Any, number: int, born: int, count: int) -> None:
-    seat(context, number).registrant.born = born
+    fleet_node(context, number).registrant.born = born
     has_sent(context, number, count)
 
 
 @given("the server of node {number:d} has sent {count:d} heartbeats")
 def has_sent(context: Any, number: int, count: int) -> None:
-    registrant = seat(context, number).registrant
+    registrant = fleet_node(context, number).registrant
     for _ in range(count):
         assert run(context, registrant.heartbeat(INSTANCE)) == 200
 
@@ -42,7 +42,7 @@
 @given("a booking runs at the server of node 1 when that crashes without a word")
 def crashes_during_booking(context: Any) -> None:
     """Crash it in the same iteration of the event loop, so that the booking can't end before."""
-    each = seat(context, 1)
+    each = fleet_node(context, 1)
 
     async def begin() -> None:
         await register_first_time(each)
@@ -58,7 +58,7 @@
 
 @step("the server of node {number:d} starts again under its identity, born at {born:d}")
 def restarts(context: Any, number: int, born: int) -> None:
-    each = seat(context, number)
+    each = fleet_node(context, number)
     each.server.faults.drain = False
     each.server.start_again(each.registrant.slots)
     each.registrant.born = born
@@ -71,27 +71,27 @@
 
 @when("a heartbeat of the start of {born:d} says that it drains")
 def late_drain(context: Any, born: int) -> None:
-    registrant = seat(context, 1).registrant
+    registrant = fleet_node(context, 1).registrant
     body = registrant.body(state="draining", sequence=99) | {"born": born}
     assert run(context, registrant.call("PUT", INSTANCE, body)) == 200
 
 
 @when("a late heartbeat of the start of {born:d} arrives")
 def late_heartbeat(context: Any, born: int) -> None:
-    registrant = seat(context, 1).registrant
+    registrant = fleet_node(context, 1).registrant
     body = registrant.body(sequence=1) | {"born": born}
     assert run(context, registrant.call("PUT", INSTANCE, body)) == 200
 
 
 @when("a departure of the start of {born:d} arrives")
 def late_departure(context: Any, born: int) -> None:
-    registrant = seat(context, 1).registrant
+    registrant = fleet_node(context, 1).registrant
     assert run(context, registrant.call("DELETE", INSTANCE, {"born": born})) == 200
 
 
 @given("node 1 has learned that its server is slow and fails")
 def has_learned(context: Any) -> None:
-    serving = seat(context, 1).node.serving
+    serving = fleet_node(context, 1).node.serving
     now = time.monotonic()
     for ticket in range(-FAILURES, 0):
         profile = CallProfile(False, True, now + 60, attempt=2, kind="learned")
@@ -115,7 +115,7 @@
     (booking,) = context.bookings
     result = run(context, asyncio.wait_for(booking, seconds))
     assert result.status == status, result
-    (first,) = context.fleet.seats
+    (first,) = context.fleet.fleet_nodes
     ran = [headers["x-attempt-id"] for headers in first.server.seen]
     assert ran.count(result.attempt) <= 1, ran
     began = first.server.ledger.requests
--- a/features/steps/store_epoch_steps.py
+++ b/features/steps/store_epoch_steps.py
@@ -7,7 +7,7 @@
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from features.platform_harness import PlatformFleet, route
-from features.steps.platform_evacuation_steps import add
+from features.steps.platform_evacuation_steps import add_nodes
 from features.steps.platform_node_steps import run, start_fleet
 from marjoramtide.errors import ErrorCode, MarjoramtideError
 from marjoramtide.platform._store_protocol import PlatformStore
@@ -26,7 +26,7 @@
 @given("nodes join it beside {places}")
 def given_joining(context: Any, places: str) -> None:
     async def join() -> None:
-        await add(context, places.split(", "))
+        await add_nodes(context, places.split(", "))
         context.fleet.configure(4, [route("/tiles/", {"mapdesk": 1})])
         await context.fleet.settle()
         await context.fleet.wait_for(lambda: len(announced(context.fleet)) == 3)
@@ -41,7 +41,7 @@
 @then("within {seconds:d} s the store holds the announcement of each node")
 def then_announced(context: Any, seconds: int) -> None:
     fleet = context.fleet
-    names = {each.node.name for each in fleet.seats}
+    names = {each.node.name for each in fleet.fleet_nodes}
     run(context, fleet.wait_for(lambda: announced(fleet) >= names, float(seconds)))
 
 
@@ -51,7 +51,7 @@
 
     async def write() -> None:
         fleet.configure(version, [route("/book/", {"mapdesk": 1}, kind="non_idempotent")])
-        nodes = [each.node for each in fleet.seats]
+        nodes = [each.node for each in fleet.fleet_nodes]
         await fleet.wait_for(lambda: all(node.view.revision == version for node in nodes))
 
     run(context, write())
@@ -62,7 +62,7 @@
     async def look() -> None:
         ends = time.monotonic() + seconds
         while time.monotonic() < ends:
-            held = [each.node.view.revision for each in context.fleet.seats]
+            held = [each.node.view.revision for each in context.fleet.fleet_nodes]
             assert min(held) >= version, held
             await asyncio.sleep(POLL_S)
 
@@ -74,8 +74,8 @@
     fleet = context.fleet
 
     async def begin() -> None:
-        await add(context, [place])
-        started = fleet.seats[-1]
+        await add_nodes(context, [place])
+        started = fleet.fleet_nodes[-1]
         context.revisions = set()
         ends = time.monotonic() + 3.0
         while time.monotonic() < ends:
--- a/features/steps/witness_steps.py
+++ b/features/steps/witness_steps.py
@@ -17,8 +17,8 @@
     stop_slowly,
     until,
 )
+from features.steps.platform_node_steps import fleet_node
 from features.steps.platform_node_steps import run as run_fleet
-from features.steps.platform_node_steps import seat
 from marjoramtide.clock import SystemClock
 from marjoramtide.membership import MemberState
 from marjoramtide.peers import PeerClient
@@ -228,15 +228,15 @@
 @given("all requests are served by node {number:d}")
 def served_by(context: Any, number: int) -> None:
     async def drain() -> None:
-        for other, each in enumerate(context.fleet.seats, start=1):
+        for other, each in enumerate(context.fleet.fleet_nodes, start=1):
             each.node.drain(other != number)
         await context.fleet.wait_for(
             lambda: all(
                 len(each.node.membership.members_of(each.settings.service)) == 1
-                for each in context.fleet.seats
+                for each in context.fleet.fleet_nodes
             )
         )
-        teller = seat(context, number).node.run_teller
+        teller = fleet_node(context, number).node.run_teller
         await context.fleet.wait_for(lambda: teller.link is not None)
 
     run_fleet(context, drain())
@@ -244,10 +244,10 @@
 
 @then("node {number:d} has told its witness of {count:d} run")
 def has_told(context: Any, number: int, count: int) -> None:
-    counts = seat(context, number).node.metrics.counts
+    counts = fleet_node(context, number).node.metrics.counts
     assert counts["witness.told"] == count, counts
 
 
 @then("no run is open at the witness of node {number:d}")
 def none_open(context: Any, number: int) -> None:
-    assert not seat(context, number).node.run_teller.open
+    assert not fleet_node(context, number).node.run_teller.open
