--- a/features/path/named_limits.feature
+++ b/features/path/named_limits.feature
@@ -26,7 +26,7 @@
     And mapdesk-2 ran 30 to 240 in each 4 s from second 4.9 on
 
   Scenario: A server that says in its answers that it leaves gets nothing, until it says so no more
-    # It has no identity, so that its answers alone tell whether it is another start.
+    # The server has no instance identity, so only its responses tell whether it has been restarted.
     Given a mesh of 3 mapdesk nodes
     And traffic: 60 lookups a second of mapdesk for 9 s
     When while traffic enters by all nodes
--- a/features/path/thin_slice.feature
+++ b/features/path/thin_slice.feature
@@ -1,8 +1,8 @@
 Feature: A request that enters any node is served by a backend server of its service
 
   Scenario: Lookups enter by one node and are served by several
-    # The caller knows one node. It sends lookups there, more than that node's server can run; the
-    # node has other nodes serve the rest. Each answer is whole and its own.
+    # The caller knows one node and sends it more lookups than its server can run; the node forwards
+    # the rest to other nodes. Each response must be complete and belong to its own request.
     Given a mesh of 3 mapdesk nodes
     And traffic: 40 lookups a second of mapdesk for 2 s
       | key        | value |
--- a/features/path/workspaces.feature
+++ b/features/path/workspaces.feature
@@ -1,6 +1,6 @@
 Feature: By our own interface, too, callers are known by their keys
-  Real processes. The workspace acme holds the digest of the key "key-of-acme", and may send 10
-  requests a second and 5 at once; open needs no key.
+  The nodes are real processes. The settings of the workspace acme hold the digest of the key
+  "key-of-acme", a rate limit of 10 requests a second and a burst of 5; the path /open needs no key.
 
   Background:
     Given a mesh of 3 mapdesk nodes
--- a/features/steps/mesh_steps.py
+++ b/features/steps/mesh_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run a mesh of real processes, play traffic through it and break it meanwhile."""
+"""Steps that run a mesh of node and server processes, send load through it and inject faults."""
 
 import asyncio
 import json
@@ -29,9 +29,9 @@
 
 
 def start_mesh(context: Any, services: dict[str, int], **plan: Any) -> None:
-    """Start the mesh; it ends with the scenario.
+    """Start the mesh; it is stopped when the scenario ends.
 
-    ``plan`` sets more of each pair of a node and its backend server.
+    ``plan`` overrides fields in the plan of each pair of a node and its backend server.
     """
     folder = context.cleanup.enter_context(tempfile.TemporaryDirectory())
     context.runner = context.cleanup.enter_context(asyncio.Runner())
@@ -68,13 +68,14 @@
     run(context, context.mesh.store_json("POST", "/faults", json.loads(faults)))
 
 
-def add_calls(
+def plan_calls(
     context: Any, label: str, service: str, rate: float, seconds: float, how: dict[str, Any]
 ) -> None:
-    """Plan calls at regular distances.
+    """Plan calls at a constant rate.
 
-    Besides the fields of a planned call: ``keyed`` gives each a key, ``twice`` plans each a second
-    time with the same key, ``from`` is the second of the first call.
+    ``how`` holds fields of the planned calls and three more options: ``keyed`` gives each call an
+    idempotency key, ``twice`` sends each call twice at the same time with the same key, and
+    ``from`` is the time of the first call, in seconds after the start of the traffic.
     """
     how = {"timeout_ms": 2000, **how}
     start, keyed, twice = (how.pop(name, 0) for name in ("from", "keyed", "twice"))
@@ -95,13 +96,13 @@
 
 @given("traffic: {rate:g} {label} a second of {service} for {seconds:g} s")
 def plan_traffic(context: Any, rate: float, label: str, service: str, seconds: float) -> None:
-    """Plan traffic; the table of the step, where there is one, sets more of each call."""
+    """Plan traffic; the optional table of the step holds more fields and options of the calls."""
     how = {row["key"]: json.loads(row["value"]) for row in context.table or ()}
-    add_calls(context, label, service, rate, seconds, how)
+    plan_calls(context, label, service, rate, seconds, how)
 
 
-async def act(context: Any, what: str, whom: str) -> None:
-    """Make one thing go wrong, or right again."""
+async def apply_event(context: Any, what: str, whom: str) -> None:
+    """Inject one fault, or end it."""
     match what:
         case "kill":
             await node(context, whom).kill()
@@ -116,41 +117,41 @@
         case "thaw":
             node(context, whom).process.thaw()
         case "stop":
-            context.stops.append(asyncio.create_task(node(context, whom).process.stop()))
+            context.stop_tasks.append(asyncio.create_task(node(context, whom).process.stop()))
         case "store":
             await context.mesh.store_json("POST", "/faults", json.loads(whom))
         case _:
             name, _, faults = whom.partition(" ")
-            assert what == "server", f"no action {what!r}"
+            assert what == "server", f"unknown event {what!r}"
             await node(context, name).set_faults(**json.loads(faults))
 
 
-async def act_on_time(context: Any, rows: list[Any]) -> None:
-    started = asyncio.get_running_loop().time()
+async def apply_events(context: Any, rows: list[Any]) -> None:
+    started_at = asyncio.get_running_loop().time()
     for row in rows:
-        wait_s = started + float(row["at"]) - asyncio.get_running_loop().time()
+        wait_s = started_at + float(row["at"]) - asyncio.get_running_loop().time()
         await asyncio.sleep(max(0.0, wait_s))
-        await act(context, row["what"], row["whom"])
+        await apply_event(context, row["what"], row["whom"])
 
 
-async def play_traffic(context: Any, entries: list[str]) -> None:
+async def send_traffic(context: Any, entries: list[str]) -> None:
     services = {call.service for call in context.calls}
     rows = list(context.table or ())
-    context.stops = []
-    acting = asyncio.create_task(act_on_time(context, rows))
-    context.began = time.time()
+    context.stop_tasks = []
+    events = asyncio.create_task(apply_events(context, rows))
+    context.traffic_started_at = time.time()
     context.results = await play(context.calls, dict.fromkeys(services, entries))
-    await acting
-    context.exit_statuses = await asyncio.gather(*context.stops)
+    await events
+    context.exit_statuses = await asyncio.gather(*context.stop_tasks)
 
 
 @when("while traffic enters by {names}")
 @when("the traffic enters by {names}")
-def play_by(context: Any, names: str) -> None:
-    """Play what was planned, with the events of the table at their seconds."""
+def send_traffic_by(context: Any, names: str) -> None:
+    """Send the planned traffic, and apply each event of the table at its time."""
     wanted = names.split(" and ")
     nodes = [each for each in context.mesh.nodes if names == "all nodes" or each.name in wanted]
-    run(context, play_traffic(context, [each.callers for each in nodes]))
+    run(context, send_traffic(context, [each.callers for each in nodes]))
 
 
 @when("{seconds:g} s pass")
@@ -160,16 +161,16 @@
 
 @when("on {name} comes {what}")
 def act_now(context: Any, name: str, what: str) -> None:
-    run(context, act(context, what, name))
+    run(context, apply_event(context, what, name))
 
 
-def audited(context: Any) -> Audit:
+def audit_results(context: Any) -> Audit:
     report = StandInReport("all", *context.mesh.executions(), {})
     return audit(context.results, [report])
 
 
-def told(context: Any) -> str:
-    """Return what happened, for the message of a failed check."""
+def failure_details(context: Any) -> str:
+    """Return the failed calls and the processes' output, for the message of a failed check."""
     rows = [
         f"{result.call.request_id}: {result.outcome} after {result.latency_ms:.0f} ms "
         f"{[attempt.reason for attempt in result.attempts]}"
@@ -181,36 +182,38 @@
 
 
 @then("every promise is kept")
-def every_promise(context: Any) -> None:
-    """No wrong answer, no second run, no false "not run", no answer without a run."""
-    found = audited(context)
-    assert found.clean, f"{attrs.asdict(found)}\n{told(context)}"
+def no_violations(context: Any) -> None:
+    """Check for wrong responses, duplicate runs, false "not run"s and successes without a run."""
+    violations = audit_results(context)
+    assert violations.clean, f"{attrs.asdict(violations)}\n{failure_details(context)}"
 
 
-def of_label(context: Any, label: str) -> list[Any]:
+def results_of(context: Any, label: str) -> list[Any]:
     return [result for result in context.results if result.call.label == label]
 
 
 @then("all {label} completed")
 def all_completed(context: Any, label: str) -> None:
-    results = of_label(context, label)
-    assert results, f"no call is labelled {label}"
-    bad = [result for result in results if result.outcome is not Outcome.COMPLETED]
-    assert not bad, f"{len(bad)} of {len(results)} not completed\n{told(context)}"
+    results = results_of(context, label)
+    assert results, f"no call has the label {label}"
+    failed = [result for result in results if result.outcome is not Outcome.COMPLETED]
+    assert not failed, f"{len(failed)} of {len(results)} not completed\n{failure_details(context)}"
 
 
 @then("at least {share:d}% of {label} completed")
 def share_completed(context: Any, share: int, label: str) -> None:
-    results = of_label(context, label)
+    results = results_of(context, label)
     good = sum(result.outcome is Outcome.COMPLETED for result in results)
-    assert good * 100 >= share * len(results), f"{good} of {len(results)}\n{told(context)}"
+    assert good * 100 >= share * len(
+        results
+    ), f"{good} of {len(results)}\n{failure_details(context)}"
 
 
 @then("{label} ended only as {outcomes}")
-def ended_as(context: Any, label: str, outcomes: str) -> None:
+def ended_only_as(context: Any, label: str, outcomes: str) -> None:
     allowed = outcomes.split(" or ")
-    bad = [result for result in of_label(context, label) if result.outcome not in allowed]
-    assert not bad, f"{bad[0]}\n{told(context)}"
+    unexpected = [result for result in results_of(context, label) if result.outcome not in allowed]
+    assert not unexpected, f"{unexpected[0]}\n{failure_details(context)}"
 
 
 @then("no {label} that ended as {outcome} ran")
@@ -218,26 +221,30 @@
     by_request, _ = context.mesh.executions()
     ran = [
         result.call.request_id
-        for result in of_label(context, label)
+        for result in results_of(context, label)
         if result.outcome == outcome and by_request[result.call.request_id]
     ]
-    assert not ran, f"{ran}\n{told(context)}"
+    assert not ran, f"{ran}\n{failure_details(context)}"
 
 
 @then("{name} ran nothing from second {second:g} on")
 def ran_nothing(context: Any, name: str, second: float) -> None:
-    rows = [row for row in node(context, name).journal() if row[0] >= context.began + second]
-    assert not rows, f"{[(at - context.began, request) for at, request, _ in rows]}"
+    rows = [
+        row
+        for row in node(context, name).journal()
+        if row[0] >= context.traffic_started_at + second
+    ]
+    assert not rows, f"{[(at - context.traffic_started_at, request) for at, request, _ in rows]}"
 
 
-def ran_at(context: Any, name: str) -> list[float]:
-    """Return when a server began what it ran, in seconds since the traffic began."""
-    return [at - context.began for at, _, _ in node(context, name).journal()]
+def run_start_times(context: Any, name: str) -> list[float]:
+    """Return when a server started each request, in seconds after the start of the traffic."""
+    return [at - context.traffic_started_at for at, _, _ in node(context, name).journal()]
 
 
 @then("{name} ran {least:d} to {most:d} in each 4 s from second {second:g} on")
 def ran_in_windows(context: Any, name: str, least: int, most: int, second: float) -> None:
-    times = ran_at(context, name)
+    times = run_start_times(context, name)
     last = max(call.at_s for call in context.calls)
     ends = [second + 0.1 * step for step in range(round((last - second) * 10))]
     counts = [sum(end - 4 < at <= end for at in times) for end in ends]
@@ -247,37 +254,39 @@
 
 @then("{name} ran nothing between second {first:g} and {second:g}")
 def ran_nothing_between(context: Any, name: str, first: float, second: float) -> None:
-    between = [at for at in ran_at(context, name) if first < at < second]
+    between = [at for at in run_start_times(context, name) if first < at < second]
     assert not between, between
 
 
 @then("{name} had run some before")
-def had_run(context: Any, name: str) -> None:
-    assert len(node(context, name).journal()) > 1, told(context)
+def ran_some(context: Any, name: str) -> None:
+    assert len(node(context, name).journal()) > 1, failure_details(context)
 
 
 @then("every refusal came at once and told when to come back")
 def refused_at_once(context: Any) -> None:
-    """At once: far from the deadline, on however busy a machine."""
+    """Check that each refusal took less than half of the timeout, which holds on a busy machine."""
     refused = [
         (result.call, attempt)
         for result in context.results
         for attempt in result.attempts
         if attempt.outcome is Outcome.NOT_RUN
     ]
-    assert refused, "nothing was refused"
-    bad = [
+    assert refused, "no attempt was refused"
+    late = [
         attempt
         for call, attempt in refused
         if attempt.retry_after_ms is None or attempt.elapsed_ms > call.timeout_ms / 2
     ]
-    assert not bad, f"{bad[:5]}\n{told(context)}"
+    assert not late, f"{late[:5]}\n{failure_details(context)}"
 
 
 @then("{name} exited with status {status:d} and left nothing unfinished")
-def exited(context: Any, name: str, status: int) -> None:
+def exited_cleanly(context: Any, name: str, status: int) -> None:
     process = node(context, name).process
-    assert process.process.returncode == status, f"{process.process.returncode}\n{told(context)}"
+    assert (
+        process.process.returncode == status
+    ), f"{process.process.returncode}\n{failure_details(context)}"
     assert "daemon.stop_cut" not in process.text(), process.text()
 
 
@@ -285,12 +294,14 @@
 def reads_within(context: Any, name: str, count: int, least: int) -> None:
     stats = run(context, node(context, name).server_json("stats"))
     reads = stats["health_reads"] + stats["load_reads"]
-    assert least <= reads <= count, f"{reads} reads\n{told(context)}"
+    assert least <= reads <= count, f"{reads} reads\n{failure_details(context)}"
 
 
 @then("some {label} ended as {outcome}")
 def some_ended_as(context: Any, label: str, outcome: str) -> None:
-    assert any(each.outcome == outcome for each in of_label(context, label)), told(context)
+    assert any(each.outcome == outcome for each in results_of(context, label)), failure_details(
+        context
+    )
 
 
 @then("the traffic was answered by {name} and by others")
--- a/features/steps/mesh_workspaces_steps.py
+++ b/features/steps/mesh_workspaces_steps.py
@@ -1,4 +1,4 @@
-"""Steps with a mesh of real processes whose callers have keys."""
+"""Steps with a mesh of real processes whose callers authenticate with keys."""
 
 import asyncio
 import os
@@ -20,55 +20,55 @@
 
 
 @attrs.frozen(slots=True)
-class KeyedAnswer:
-    """What a caller got: the status, and what it was told of the outcome."""
+class KeyedResponse:
+    """The status and the request outcome of a response to a caller."""
 
     status: int
     outcome: str
 
 
-async def ask(node: MeshNode, path: str, key: str) -> KeyedAnswer:
+async def send_request(node: MeshNode, path: str, key: str) -> KeyedResponse:
     headers = {"Host": "mapdesk"} | ({"Authorization": f"Bearer {key}"} if key else {})
     async with (
         aiohttp.ClientSession() as session,
         session.get(f"http://{node.callers}{path}", headers=headers) as response,
     ):
         await response.read()
-        return KeyedAnswer(response.status, response.headers["Request-Outcome"])
+        return KeyedResponse(response.status, response.headers["Request-Outcome"])
 
 
 @then("by each node GET {path} gets")
 def then_gets(context: Any, path: str) -> None:
     for row in context.table:
-        wanted = KeyedAnswer(int(row["status"]), row["outcome"])
+        wanted = KeyedResponse(int(row["status"]), row["outcome"])
         for node in context.mesh.nodes:
-            answer = run(context, ask(node, path, row["key"]))
-            assert answer == wanted, (node.name, row["key"], answer)
+            received = run(context, send_request(node, path, row["key"]))
+            assert received == wanted, (node.name, row["key"], received)
 
 
 @when('{count:d} requests with the key "{key}" come within {seconds:d} s by all nodes')
 def when_come(context: Any, count: int, key: str, seconds: int) -> None:
-    async def one(number: int) -> KeyedAnswer:
+    async def send_one(number: int) -> KeyedResponse:
         await asyncio.sleep(number * seconds / count)
         nodes = context.mesh.nodes
-        return await ask(nodes[number % len(nodes)], "/tiles/1", key)
+        return await send_request(nodes[number % len(nodes)], "/tiles/1", key)
 
-    async def play() -> list[KeyedAnswer]:
-        return await asyncio.gather(*(one(number) for number in range(count)))
+    async def send_all() -> list[KeyedResponse]:
+        return await asyncio.gather(*(send_one(number) for number in range(count)))
 
-    context.answers = run(context, play())
+    context.responses = run(context, send_all())
 
 
 @then("between {low:d} and {high:d} of them completed, and the others got 429 as not run")
 def then_between(context: Any, low: int, high: int) -> None:
-    good = [each for each in context.answers if each.status == 200]
-    others = {(each.status, each.outcome) for each in context.answers if each.status != 200}
-    assert low <= len(good) <= high, context.answers
+    good = [each for each in context.responses if each.status == 200]
+    others = {(each.status, each.outcome) for each in context.responses if each.status != 200}
+    assert low <= len(good) <= high, context.responses
     assert others == {(429, "not-run")}, others
 
 
-def command(context: Any, line: str) -> str:
-    """Run the operators' command line against the first node; return what it printed."""
+def run_command(context: Any, line: str) -> str:
+    """Run a command of the operators' command line against the first node; return its output."""
     done = subprocess.run(
         [sys.executable, "-m", "marjoramtide.cli.main", *shlex.split(line)],
         env={**os.environ, "MARJORAMTIDE_NODE": context.mesh.nodes[0].operators},
@@ -82,16 +82,16 @@
 
 @step('the mesh\'s command "{line}" prints "{text}"')
 def command_prints(context: Any, line: str, text: str) -> None:
-    printed = command(context, line)
+    printed = run_command(context, line)
     assert text in printed, printed
 
 
 @step('the mesh\'s command "{line}" doesn\'t print "{text}"')
 def command_hides(context: Any, line: str, text: str) -> None:
-    printed = command(context, line)
+    printed = run_command(context, line)
     assert text not in printed, printed
 
 
 @when('the mesh\'s command "{line}" is given')
 def command_given(context: Any, line: str) -> None:
-    command(context, line)
+    run_command(context, line)
