--- a/features/environment.py
+++ b/features/environment.py
@@ -1,11 +1,11 @@
-"""Hooks of behave: whatever a scenario started is ended with it."""
+"""Hooks of behave that stop whatever a scenario has started when it ends."""
 
 from contextlib import ExitStack
 from typing import Any
 
 
 def before_scenario(context: Any, scenario: Any) -> None:
-    """Give the scenario a stack; a step that starts something pushes its end on it."""
+    """Create the exit stack on which steps register the clean-up of what they start."""
     context.cleanup = ExitStack()
 
 
--- a/features/platform_harness.py
+++ b/features/platform_harness.py
@@ -1,4 +1,4 @@
-"""Nodes on the platform's interface, with stand-ins around them, inside a scenario's event loop."""
+"""Nodes with the platform interface and stand-ins of their surroundings in one event loop."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 import attrs
 from aiohttp import web
 
-from features.loop_stops import LoopStops
+from features.loop_stalls import LoopStalls
 from marjoramtide.daemon._node import Node
 from marjoramtide.platform import platform_interface
 from marjoramtide.settings import NodeSettings
@@ -22,7 +22,7 @@
 )
 
 HOST_NAME = "shop.example"
-WAIT_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 BOUNDS = [
     "GraceS=6",
     "RetryBudgetRatio=0.2",
@@ -36,7 +36,7 @@
 
 @attrs.define(slots=True, eq=False)
 class FleetNode:
-    """One node with the backend server beside it."""
+    """A node, the backend server beside it, and the client that registers that server."""
 
     settings: NodeSettings
     node: Node
@@ -47,8 +47,8 @@
     def callers(self) -> str:
         return self.settings.callers
 
-    async def ready(self) -> bool:
-        """Tell whether the platform would send callers here."""
+    async def is_ready(self) -> bool:
+        """Return whether the readiness endpoint tells the platform to send callers to this node."""
         async with (
             aiohttp.ClientSession() as session,
             session.get(f"http://{self.settings.readiness}/readiness") as response,
@@ -57,14 +57,14 @@
 
 
 class PlatformFleet:
-    """A store, an operator and seats; ``close`` ends them."""
+    """A store and a number of nodes with their backend servers; ``close`` stops them all."""
 
     def __init__(self) -> None:
         self.host = loopback_host()
         self.store = PlatformStoreServer()
-        # Not 0, which the library takes for no limit: a watch that waits would hold up the end of a
-        # scenario by its half minute.
-        self.runner = web.AppRunner(self.store.app(), access_log=None, shutdown_timeout=0.2)
+        # aiohttp takes a timeout of 0 for no limit, and a pending watch request would then delay the
+        # end of the scenario by up to half a minute.
+        self.store_runner = web.AppRunner(self.store.app(), access_log=None, shutdown_timeout=0.2)
         self.fleet_nodes: list[FleetNode] = []
         self.rng = random.Random(1)
         self.routes: list[dict[str, Any]] = []
@@ -77,19 +77,19 @@
         self.service_fields: dict[str, Any] = {}
         self.tenants: list[dict[str, Any]] | None = None
         self.bounds = BOUNDS
-        self.stops = LoopStops()
+        self.loop_stalls = LoopStalls()
 
     async def start(self) -> None:
-        self.stops.start()
-        await self.runner.setup()
+        self.loop_stalls.start()
+        await self.store_runner.setup()
 
     async def open_store(self) -> str:
-        """Return a new address of the store, so that it can tell one node from the others."""
-        await web.TCPSite(self.runner, self.host, 0).start()
-        return "http://{}:{}".format(*self.runner.addresses[-1][:2])
+        """Open another address of the store, by which the store can identify one node."""
+        await web.TCPSite(self.store_runner, self.host, 0).start()
+        return "http://{}:{}".format(*self.store_runner.addresses[-1][:2])
 
     def configure(self, version: int, routes: list[dict[str, Any]] | None = None) -> None:
-        """Write a configuration as the operator does."""
+        """Write a configuration to the store, as the operator does."""
         services = sorted({fleet_node.settings.service for fleet_node in self.fleet_nodes})
         if routes is not None:
             self.routes = routes
@@ -117,10 +117,10 @@
         instance: str = "i-1",
         data_centre: str = "z",
     ) -> FleetNode:
-        """Start a backend server and the node beside it; nothing is registered yet.
+        """Start a backend server and the node beside it, without registering the server.
 
-        A node that finds its server sound and with an identity takes it before any registration;
-        with an empty ``instance`` it can't.
+        If health checks of the server succeed and state its instance, the node uses it before it is
+        registered. An empty ``instance`` prevents that.
         """
         server = await start_platform_backend(self.host, service_ms=service_ms, slots=slots)
         server.instance = instance
@@ -153,25 +153,25 @@
         return fleet_node
 
     async def restart_node(self, number: int) -> None:
-        """End the node of a seat without a word, and start another at its addresses."""
+        """Stop a node without announcing it, and start a new one at the same addresses."""
         fleet_node = self.fleet_nodes[number]
-        await self.end_node(fleet_node.node)
+        await self.stop_without_leaving(fleet_node.node)
         fleet_node.node = Node(fleet_node.settings, platform_interface(fleet_node.settings))
         await fleet_node.node.start()
 
-    async def end_node(self, node: Node) -> None:
+    async def stop_without_leaving(self, node: Node) -> None:
         await node.membership.stop(leave=False)
         await node.ingress.close()
         await node.close()
 
     async def settle(self) -> None:
-        """Register each backend server, and wait until all nodes know all and take callers."""
+        """Register each backend server, and wait until all nodes know each other and take callers."""
         for fleet_node in self.fleet_nodes:
             await fleet_node.registrant.heartbeat(fleet_node.server.instance)
         await self.wait_for(
             lambda: all(self.knows_all(fleet_node) for fleet_node in self.fleet_nodes)
         )
-        # From here on changes are heard of at once; before, nodes that start look in turn.
+        # While they start, nodes poll the store; once a watch is open, changes reach them at once.
         await self.wait_for(lambda: self.store.calls["watches"] > 0)
 
     def knows_all(self, fleet_node: FleetNode) -> bool:
@@ -179,7 +179,9 @@
         known = sum(len(fleet_node.node.membership.members_of(service)) for service in services)
         return fleet_node.node.takes_callers() and known == len(self.fleet_nodes)
 
-    async def wait_for(self, condition: Callable[[], bool], timeout: float = WAIT_S) -> None:
+    async def wait_for(
+        self, condition: Callable[[], bool], timeout: float = WAIT_TIMEOUT_S
+    ) -> None:
         async with asyncio.timeout(timeout):
             while not condition():
                 await asyncio.sleep(0.02)
@@ -194,7 +196,7 @@
         headers: dict[str, str] | None = None,
         body: bytes | None = None,
     ) -> "CallResult":
-        """Make one request of a client through a seat's node."""
+        """Send one request of a client through a node."""
         sent = {
             "Host": HOST_NAME,
             "X-Attempt-Id": attempt or f"{self.rng.getrandbits(64):016x}",
@@ -212,18 +214,18 @@
             )
 
     async def close(self) -> None:
-        self.stops.close()
+        self.loop_stalls.close()
         for fleet_node in self.fleet_nodes:
-            await self.end_node(fleet_node.node)
+            await self.stop_without_leaving(fleet_node.node)
             await fleet_node.server.close()
         self.store.mode = "reset"
         self.store.state.forget_history()
-        await self.runner.cleanup()
+        await self.store_runner.cleanup()
 
 
 @attrs.frozen(slots=True)
 class CallResult:
-    """What a client got."""
+    """The response to a client, with the id of its attempt."""
 
     attempt: str
     status: int
@@ -234,9 +236,9 @@
 def route(
     prefix: str, split: dict[str, int], *, kind: str = "idempotent", **fields: Any
 ) -> dict[str, Any]:
-    """Return a route as the operator writes it."""
+    """Return a route in the form in which the operator writes it."""
     parts = [{"Service": name, "Weight": weight} for name, weight in split.items()]
-    where: dict[str, Any] = (
+    target: dict[str, Any] = (
         {"Service": parts[0]["Service"]} if len(parts) == 1 else {"WeightedSplit": parts}
     )
     return {
@@ -248,6 +250,6 @@
         "TargetLatencyMs": 300,
         "Priority": 1,
         "MaxAttempts": 2,
-        **where,
+        **target,
         **fields,
     }
--- a/features/run.py
+++ b/features/run.py
@@ -1,8 +1,8 @@
-"""Runs every behave feature, several side by side, and prints one closing line.
+"""Runs every behave feature, several in parallel, and prints a summary line.
 
-Each feature file is a behave process of its own with its own loopback addresses, so that the
-verdict does not depend on which files run beside it. Scenarios named in ``KNOWN-RED.txt`` may
-fail; they are printed. Anything else that did not pass fails the run.
+Each feature file runs in a behave process of its own with its own loopback addresses, so that its
+result does not depend on which files run in parallel. Scenarios named in ``KNOWN-RED.txt`` may
+fail and are printed. Any other scenario that does not pass fails the run.
 """
 
 import argparse
@@ -23,7 +23,7 @@
 
 @attrs.frozen(slots=True)
 class ScenarioResult:
-    """What behave says of one scenario."""
+    """The result that behave reports for one scenario."""
 
     feature: str
     name: str
@@ -35,7 +35,7 @@
 
 
 def known_red() -> dict[str, str]:
-    """Return the scenarios that may fail, with the cause given for each."""
+    """Return the scenarios that may fail, each with its entry's reason."""
     if not KNOWN_RED.exists():
         return {}
     lines = [line.split("|", 1) for line in KNOWN_RED.read_text().splitlines() if line.strip()]
@@ -43,7 +43,7 @@
 
 
 def read_results(feature: str, report: Path) -> list[ScenarioResult]:
-    """Read behave's JSON report; a missing or empty one counts as a failure of the file."""
+    """Read behave's JSON report; if it is missing or empty, the whole file counts as failed."""
     try:
         features = json.loads(report.read_text() or "[]")
     except (OSError, json.JSONDecodeError):
@@ -57,19 +57,21 @@
     return results or [ScenarioResult(feature, "(no report)", "failed")]
 
 
-async def run_feature(path: Path, slot: asyncio.Queue[int], folder: Path) -> list[ScenarioResult]:
-    """Run one feature file and return its scenarios."""
-    number = await slot.get()
+async def run_feature(
+    path: Path, free_slots: asyncio.Queue[int], folder: Path
+) -> list[ScenarioResult]:
+    """Run one feature file and return the results of its scenarios."""
+    slot = await free_slots.get()
     name = str(path.relative_to(ROOT / "features"))
     report = folder / (name.replace("/", "__") + ".json")
     command = [sys.executable, "-m", "behave", "--no-color", "-f", "json", "-o", str(report)]
     command += ["-f", "plain", "--no-skipped", "--no-timings", str(path)]
-    started = time.monotonic()
+    started_at = time.monotonic()
     try:
         process = await asyncio.create_subprocess_exec(
             *command,
             cwd=ROOT,
-            env={**os.environ, "MARJORAMTIDE_TEST_SLOT": str(number)},
+            env={**os.environ, "MARJORAMTIDE_TEST_SLOT": str(slot)},
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
@@ -78,45 +80,46 @@
         except TimeoutError:
             process.terminate()
             output, _ = await process.communicate()
-            output += f"\nended after {FEATURE_TIMEOUT_S} s\n".encode()
+            output += f"\nterminated after {FEATURE_TIMEOUT_S} s\n".encode()
     finally:
-        slot.put_nowait(number)
+        free_slots.put_nowait(slot)
     results = read_results(name, report)
-    bad = [result for result in results if result.status != "passed"]
-    took = time.monotonic() - started
+    not_passed = [result for result in results if result.status != "passed"]
+    elapsed_s = time.monotonic() - started_at
     print(
-        f"{'FAIL' if bad else 'ok  '} {name}: {len(results)} scenarios in {took:.0f} s", flush=True
+        f"{'FAIL' if not_passed else 'ok  '} {name}: {len(results)} scenarios in {elapsed_s:.0f} s",
+        flush=True,
     )
-    if bad:
+    if not_passed:
         print(output.decode(errors="replace"), flush=True)
     return results
 
 
 async def run_all(paths: list[Path], jobs: int) -> list[ScenarioResult]:
     """Run all feature files, ``jobs`` at a time."""
-    slots: asyncio.Queue[int] = asyncio.Queue()
+    free_slots: asyncio.Queue[int] = asyncio.Queue()
     for number in range(jobs):
-        slots.put_nowait(number)
+        free_slots.put_nowait(number)
     with tempfile.TemporaryDirectory() as folder:
-        runs = [run_feature(path, slots, Path(folder)) for path in paths]
+        runs = [run_feature(path, free_slots, Path(folder)) for path in paths]
         return [result for results in await asyncio.gather(*runs) for result in results]
 
 
 def summarise(results: list[ScenarioResult]) -> int:
-    """Print what failed and the closing line; return the exit status."""
+    """Print the failed scenarios and the summary line; return the exit status."""
     allowed = known_red()
     passed = [result for result in results if result.status == "passed"]
     skipped = [result for result in results if result.status == "skipped"]
     failed = [result for result in results if result not in passed and result not in skipped]
-    red = [result for result in failed if result.label in allowed]
-    for result in red:
+    known_failures = [result for result in failed if result.label in allowed]
+    for result in known_failures:
         print(f"KNOWN-RED {result.label}: {allowed[result.label]}")
     for result in failed:
-        if result not in red:
+        if result not in known_failures:
             print(f"FAILED {result.label} ({result.status})")
     tail = f", {len(skipped)} skipped" if skipped else ""
     print(f"{len(passed)} passed, {len(failed)} failed{tail}")
-    return 0 if passed and len(failed) == len(red) else 1
+    return 0 if passed and len(failed) == len(known_failures) else 1
 
 
 def main() -> int:
--- a/features/steps/platform_cold_steps.py
+++ b/features/steps/platform_cold_steps.py
@@ -126,7 +126,7 @@
 
 def was_refused_at_once(unscheduled: UnscheduledTime, each: TimedResult) -> bool:
     """Tell whether a request was refused within its goal, with a time to come back."""
-    took_s = each.ended - each.began - unscheduled.within(each.began, each.ended)
+    took_s = each.ended - each.began - unscheduled.between(each.began, each.ended)
     come_back_s = float(each.result.headers.get("Retry-After", 0))
     return each.result.status == 503 and come_back_s > 0 and took_s < GOAL_S
 
@@ -137,4 +137,4 @@
     Its first node then gives it up after its goal, and another one lets it wait for a late answer
     until its deadline.
     """
-    return unscheduled.within(each.began, each.began + GOAL_S) > RUN_S
+    return unscheduled.between(each.began, each.began + GOAL_S) > RUN_S
--- a/features/steps/platform_life_steps.py
+++ b/features/steps/platform_life_steps.py
@@ -50,7 +50,7 @@
         while loop.time() < ends:
             began = loop.time()
             result = await context.fleet.call(fleet_node(context, 1))
-            if await context.fleet.stops.since(began):
+            if await context.fleet.loop_stalls.stalled_s_since(began):
                 # All nodes stood still with their caller; what that costs is no node's doing.
                 continue
             judged += 1
@@ -64,16 +64,16 @@
 @then("from {seconds:g} s after being told on, the server of node {number:d} runs nothing new")
 def runs_nothing_new(context: Any, seconds: float, number: int) -> None:
     async def ask() -> None:
-        loop, stops = asyncio.get_running_loop(), context.fleet.stops
+        loop, stalls = asyncio.get_running_loop(), context.fleet.loop_stalls
         await asyncio.sleep(context.told_at + seconds - loop.time())
-        if await stops.since(context.told_at + seconds - STEPS_S):
+        if await stalls.stalled_s_since(context.told_at + seconds - STEPS_S):
             # The node's own time for this has just passed, unseen; let it act.
             await asyncio.sleep(STEPS_S)
         before = len(fleet_node(context, number).server.seen)
         while loop.time() < context.told_at + LINGER_S:
             began = loop.time()
             result = await context.fleet.call(fleet_node(context, 1))
-            assert result.status == 200 or await stops.since(began), result
+            assert result.status == 200 or await stalls.stalled_s_since(began), result
         assert len(fleet_node(context, number).server.seen) == before
 
     run(context, ask())
--- a/features/steps/platform_named_limits_steps.py
+++ b/features/steps/platform_named_limits_steps.py
@@ -189,12 +189,12 @@
 def then_answered(context: Any, share: int) -> None:
     run(context, end_play(context))
     # A node that stood still refuses until it has asked what is in force.
-    stops = context.fleet.stops
+    stalls = context.fleet.loop_stalls
     lookups = [
         each
         for each in context.play.lookups.done
-        if not stops.touches(each.began, each.ended, ASKED_AGAIN_S)
+        if not stalls.overlaps(each.began, each.ended, ASKED_AGAIN_S)
     ]
     good = sum(each.reply.status == 200 for each in lookups)
-    assert good * 100 >= share * len(lookups), (good, len(lookups), stops.stops)
-    assert len(lookups) * 2 > len(context.play.lookups.done), stops.stops
+    assert good * 100 >= share * len(lookups), (good, len(lookups), stalls.stalls)
+    assert len(lookups) * 2 > len(context.play.lookups.done), stalls.stalls
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -233,7 +233,7 @@
 
 @then("node {number:d} does not take callers")
 def not_ready(context: Any, number: int) -> None:
-    assert not run(context, fleet_node(context, number).ready())
+    assert not run(context, fleet_node(context, number).is_ready())
 
 
 @then("mapdesk ran {least:d} to {most:d} of them")
--- a/features/steps/platform_quota_steps.py
+++ b/features/steps/platform_quota_steps.py
@@ -105,7 +105,7 @@
     async def end() -> None:
         east, west = context.fleet.fleet_nodes[:2], context.fleet.fleet_nodes[2:]
         for fleet_node in east:
-            await context.fleet.end_node(fleet_node.node)
+            await context.fleet.stop_without_leaving(fleet_node.node)
         gone = {fleet_node.node.name for fleet_node in east}
         await context.fleet.wait_for(
             lambda: all(
--- a/features/unscheduled_time.py
+++ b/features/unscheduled_time.py
@@ -1,4 +1,4 @@
-"""Time for which the machine did not run the process of a scenario, though it was ready."""
+"""Time in which the machine did not schedule a scenario's process although it was runnable."""
 
 import asyncio
 import time
@@ -9,39 +9,39 @@
 
 
 @attrs.frozen(slots=True)
-class Gap:
-    """A turn of the loop that came late; times are of its clock, in seconds."""
+class LateWakeup:
+    """A late wake-up of the event loop; its times are readings of the monotonic clock."""
 
-    began: float
-    ended: float
+    started_at: float
+    ended_at: float
     unscheduled_s: float
 
 
 @attrs.define(slots=True, eq=False)
 class UnscheduledTime:
-    """Knows for how long the machine ran other processes in place of a scenario's.
+    """Measures for how long the machine ran other processes in place of a scenario's.
 
-    What nodes compute counts as theirs: of a turn that comes late only the part is taken in which
-    this thread used no processor time.
+    The computing time of the nodes does not count: of a late wake-up, only the part is recorded in
+    which this thread used no processor time.
     """
 
-    gaps: list[Gap] = attrs.Factory(list)
+    late_wakeups: list[LateWakeup] = attrs.Factory(list)
 
     async def watch(self) -> None:
-        """Take note of late turns until cancelled."""
+        """Record late wake-ups until cancelled."""
         while True:
-            began, used_s = time.monotonic(), time.thread_time()
+            started_at, used_s = time.monotonic(), time.thread_time()
             await asyncio.sleep(TICK_S)
-            ended = time.monotonic()
+            ended_at = time.monotonic()
             ran_s = time.thread_time() - used_s
-            unscheduled_s = ended - began - TICK_S - ran_s
+            unscheduled_s = ended_at - started_at - TICK_S - ran_s
             if unscheduled_s > 0:
-                self.gaps.append(Gap(began, ended, unscheduled_s))
+                self.late_wakeups.append(LateWakeup(started_at, ended_at, unscheduled_s))
 
-    def within(self, began: float, ended: float) -> float:
-        """Return for how many seconds between two times the process was not run."""
+    def between(self, started_at: float, ended_at: float) -> float:
+        """Return for how many seconds between two times the process was not scheduled."""
         return sum(
-            min(gap.unscheduled_s, min(gap.ended, ended) - max(gap.began, began))
-            for gap in self.gaps
-            if gap.ended > began and gap.began < ended
+            min(late.unscheduled_s, min(late.ended_at, ended_at) - max(late.started_at, started_at))
+            for late in self.late_wakeups
+            if late.ended_at > started_at and late.started_at < ended_at
         )
