--- a/features/loop_stalls.py
+++ b/features/loop_stops.py
@@ -27,10 +27,10 @@
     async def watch(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            started_at = loop.time()
+            before = loop.time()
             await asyncio.sleep(TICK_S)
-            if loop.time() - started_at > MIN_STALL_S:
-                self.stalls.append((started_at, loop.time()))
+            if loop.time() - before > MIN_STALL_S:
+                self.stalls.append((before, loop.time()))
 
     async def stalled_s_since(self, started_at: float) -> float:
         """Return how many seconds the loop has been stalled since a time of its clock."""
--- a/features/platform_harness.py
+++ b/features/platform_harness.py
@@ -9,7 +9,7 @@
 import attrs
 from aiohttp import web
 
-from features.loop_stalls import LoopStalls
+from features.loop_stops import LoopStalls
 from marjoramtide.daemon._node import Node
 from marjoramtide.platform import platform_interface
 from marjoramtide.settings import NodeSettings
@@ -62,7 +62,7 @@
     def __init__(self) -> None:
         self.host = loopback_host()
         self.store = PlatformStoreServer()
-        # aiohttp takes a timeout of 0 for no limit, and a pending watch request would then delay the
+        # aiohttp takes a timeout of 0 for no limit: a pending watch request would then delay the
         # end of the scenario by up to half a minute.
         self.store_runner = web.AppRunner(self.store.app(), access_log=None, shutdown_timeout=0.2)
         self.fleet_nodes: list[FleetNode] = []
@@ -165,7 +165,7 @@
         await node.close()
 
     async def settle(self) -> None:
-        """Register each backend server, and wait until all nodes know each other and take callers."""
+        """Register each backend server, and wait until all nodes know all and take callers."""
         for fleet_node in self.fleet_nodes:
             await fleet_node.registrant.heartbeat(fleet_node.server.instance)
         await self.wait_for(
