--- a/features/platform/crashing_requests.feature
+++ b/features/platform/crashing_requests.feature
@@ -49,7 +49,7 @@
     # A booking waits for a slot at one node while the same booking ends servers at two others. It
     # would wait until its deadline, or end a third.
     Given a fleet on the platform with 1 slot of 4000 ms: mapdesk, licencehub
-    And 2 bookings are under way through node 2, one of which waits at node 1
+    And 2 bookings are in progress through node 2, one of which waits at node 1
     When node 1 hears that this booking has ended two servers
     Then one of the bookings is answered 503 within 0.3 s, with 30 s or more to wait
     And the other one is answered 200
--- a/features/platform/life.feature
+++ b/features/platform/life.feature
@@ -16,7 +16,7 @@
     # left of its time. Its caller, and that of the booking before it, are answered all the same,
     # before the platform ends the process: what became of them is unknown.
     Given a fleet on the platform with 1 slot of 4000 ms: mapdesk, licencehub
-    And 2 bookings are under way through node 2, one of which waits at node 1
+    And 2 bookings are in progress through node 2, one of which waits at node 1
     When the store goes away
     And node 2 is told to stop, with 2 s for it
     Then both bookings are answered 504 within 1.95 s of being told
@@ -41,7 +41,7 @@
   Scenario: A server that leaves is not taken for sound after a restart
     Given a fleet on the platform whose servers leave and send no heartbeat: mapdesk
     When a client asks node 1 for "/tiles/7"
-    Then the client gets 503 and when to come back
+    Then the client gets 503 and a retry hint
     And no server is registered at node 1
 
   Scenario: A changed settings file is taken up, and what can't be is named
@@ -83,7 +83,7 @@
     # An engineer has a request's id and the logs, nothing else. The line names the route, the
     # revision, and each try with what was believed of the node that was asked.
     Given a fleet on the platform: mapdesk
-    And the server of node 1 becomes instance "i-2" without a word
+    And the server of node 1 becomes instance "i-2" without registering
     When a client books through node 1
     Then the log tells of that request with the fields
       | field          |
--- a/features/platform/registration.feature
+++ b/features/platform/registration.feature
@@ -4,7 +4,7 @@
 
   Scenario: A server that drains gets no new work from the acknowledgement on
     Given a fleet on the platform: mapdesk, mapdesk
-    When the server of node 1 says that it drains
+    When the server of node 1 reports that it drains
     And a client asks node 1 for "/tiles/7" 20 times
     Then the client gets 200 with the seal and the whole body of its own request
     And the server of node 1 ran none of them
@@ -13,8 +13,8 @@
     # Slots are full and bookings wait in the node when the server says that it drains. They have not
     # run: handed back, another server runs them, and no client hears of it.
     Given a fleet on the platform with 1 slot of 1500 ms: mapdesk, mapdesk
-    And 3 bookings are under way through node 1, where only node 1 has a server
-    When the server of node 1 says that it drains and that of node 2 registers
+    And 3 bookings are in progress through node 1, where only node 1 has a server
+    When the server of node 1 reports that it drains and that of node 2 registers
     Then all 3 bookings are answered 200, each run once
     And the server of node 1 ran 1 of them
 
@@ -38,7 +38,7 @@
     # A heartbeat from before is overtaken by the one that says draining. The server's health is still
     # good; only what was acknowledged keeps new work away.
     Given a fleet on the platform: mapdesk, mapdesk
-    When the server of node 1 says that it drains, while its health is good
+    When the server of node 1 reports that it drains, while its health is good
     And an old heartbeat of the server of node 1 arrives
     And a client asks node 1 for "/tiles/7" 20 times
     Then the server of node 1 ran none of them
@@ -48,9 +48,9 @@
     # that was held up names the dead one; taken for news, each request would be refused as meant
     # for another.
     Given a fleet on the platform: mapdesk
-    When the server of node 1 becomes instance "i-2" without a word
+    When the server of node 1 becomes instance "i-2" without registering
     And the server of node 1 registers as "i-2"
-    And a heartbeat of a start "i-0" arrives at node 1
+    And a heartbeat of instance "i-0" arrives at node 1
     And a client asks node 1 for "/tiles/7"
     Then the client gets 200 with the seal and the whole body of its own request
 
--- a/features/platform/server_starts.feature
+++ b/features/platform/server_starts.feature
@@ -8,7 +8,7 @@
     # its former life, and its callers are refused meanwhile.
     Given a fleet on the platform: mapdesk
     And the server of node 1 was born at 1000 and has sent 20 heartbeats
-    When the server of node 1 says that it drains
+    When the server of node 1 reports that it drains
     And the server of node 1 starts again under its identity, born at 2000
     And a client asks node 1 for "/tiles/7"
     Then the client gets 200 with the seal and the whole body of its own request
--- a/features/steps/platform_life_steps.py
+++ b/features/steps/platform_life_steps.py
@@ -79,7 +79,7 @@
     run(context, ask())
 
 
-@given("2 bookings are under way through node 2, one of which waits at node 1")
+@given("2 bookings are in progress through node 2, one of which waits at node 1")
 def given_waiting_booking(context: Any) -> None:
     first, second = fleet_node(context, 1), fleet_node(context, 2)
 
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -1,4 +1,4 @@
-"""Steps with real nodes on the platform's interface."""
+"""Steps with real nodes that use the platform interface."""
 
 import asyncio
 import time
@@ -17,7 +17,7 @@
 use_step_matcher("parse")
 
 BODY_BYTES = 256
-TRIES_PAUSE_S = 0.05
+RETRY_INTERVAL_S = 0.05
 PATIENT = {"TimeoutMs": 9000, "TargetLatencyMs": 8500}
 
 
@@ -64,12 +64,12 @@
 
 
 async def register_first_time(each: FleetNode) -> None:
-    """Give the server of a seat its identity, and register it."""
+    """Give the server of a node its instance id, and register it."""
     each.server.instance = "i-1"
     await each.registrant.heartbeat("i-1")
 
 
-@given("a node on the platform whose store is away")
+@given("a node on the platform whose store is unavailable")
 def given_no_store(context: Any) -> None:
     fleet = start_fleet(context)
     fleet.store.mode = "refuse"
@@ -106,7 +106,7 @@
 
 
 @given("the server of node {number:d} answers the next request twice")
-def given_twice(context: Any, number: int) -> None:
+def given_duplicate_response(context: Any, number: int) -> None:
     fleet_node(context, number).server.extra_answers = 1
 
 
@@ -116,13 +116,13 @@
         each.server.unsealed = 1
 
 
-@step('the server of node {number:d} becomes instance "{instance}" without a word')
-def becomes(context: Any, number: int, instance: str) -> None:
+@step('the server of node {number:d} becomes instance "{instance}" without registering')
+def becomes_instance(context: Any, number: int, instance: str) -> None:
     fleet_node(context, number).server.instance = instance
 
 
-@given("the place of node {number:d} is taken by a node of another service")
-def place_taken(context: Any, number: int) -> None:
+@given("node {number:d} is replaced by a node of another service")
+def node_replaced(context: Any, number: int) -> None:
     fleet_node(context, number).node.serving.service = "another"
 
 
@@ -138,19 +138,19 @@
 
 
 @when('a client asks node {number:d} for "{path}"')
-def asks(context: Any, number: int, path: str) -> None:
+def client_asks(context: Any, number: int, path: str) -> None:
     context.result = run(context, context.fleet.call(fleet_node(context, number), path))
 
 
 @when('a client asks node {number:d} for "{path}" with headers')
-def asks_with(context: Any, number: int, path: str) -> None:
+def client_asks_with_headers(context: Any, number: int, path: str) -> None:
     headers = {row["name"]: row["value"] for row in context.table}
     work = context.fleet.call(fleet_node(context, number), path, headers=headers)
     context.result = run(context, work)
 
 
 @when('a client asks node {number:d} for "{path}" {count:d} times')
-def asks_often(context: Any, number: int, path: str, count: int) -> None:
+def client_asks_repeatedly(context: Any, number: int, path: str, count: int) -> None:
     context.before = [len(each.server.seen) for each in context.fleet.fleet_nodes]
     context.results = []
     for _ in range(count):
@@ -160,7 +160,7 @@
 
 
 @when("a client books through node {number:d}")
-def books(context: Any, number: int) -> None:
+def client_books(context: Any, number: int) -> None:
     work = context.fleet.call(
         fleet_node(context, number), "/book/7", method="POST", body=b"booking"
     )
@@ -168,7 +168,7 @@
 
 
 @then("the client gets 200 with the seal and the whole body of its own request")
-def gets_whole(context: Any) -> None:
+def client_gets_whole_response(context: Any) -> None:
     result = context.result
     assert result.status == 200, result
     assert result.headers["X-Response-Seal"] == SEAL + result.attempt, result.headers
@@ -177,26 +177,26 @@
 
 
 @then("the client got 200 with the seal and the whole body of its own request each time")
-def got_whole_each_time(context: Any) -> None:
+def client_got_whole_response_each_time(context: Any) -> None:
     assert context.results
     for result in context.results:
         context.result = result
-        gets_whole(context)
+        client_gets_whole_response(context)
 
 
 @then("the client gets no success without a seal")
-def gets_no_unsealed(context: Any) -> None:
+def client_gets_no_unsealed_success(context: Any) -> None:
     result = context.result
     assert result.status >= 500 or "X-Response-Seal" in result.headers, result
 
 
 @then("the client gets {status:d}")
-def gets(context: Any, status: int) -> None:
+def client_gets(context: Any, status: int) -> None:
     assert context.result.status == status, context.result
 
 
-@then("the client gets {status:d} and when to come back")
-def gets_hint(context: Any, status: int) -> None:
+@then("the client gets {status:d} and a retry hint")
+def client_gets_retry_hint(context: Any, status: int) -> None:
     assert context.result.status == status, context.result
     assert float(context.result.headers["Retry-After"]) >= 0
 
@@ -246,8 +246,8 @@
     assert least <= count <= most, count
 
 
-@when("the server of node {number:d} says that it drains")
-def drains(context: Any, number: int) -> None:
+@when("the server of node {number:d} reports that it drains")
+def server_drains(context: Any, number: int) -> None:
     fleet_node(context, number).server.faults.drain = True
     assert (
         run(context, fleet_node(context, number).registrant.heartbeat("i-1", state="draining"))
@@ -255,8 +255,8 @@
     )
 
 
-@when("the server of node {number:d} says that it drains, while its health is good")
-def drains_in_health(context: Any, number: int) -> None:
+@when("the server of node {number:d} reports that it drains, while its health is good")
+def server_drains_while_healthy(context: Any, number: int) -> None:
     assert (
         run(context, fleet_node(context, number).registrant.heartbeat("i-1", state="draining"))
         == 200
@@ -270,7 +270,7 @@
 
 
 @when("the server of node {number:d} leaves")
-def leaves(context: Any, number: int) -> None:
+def server_leaves(context: Any, number: int) -> None:
     assert run(context, fleet_node(context, number).registrant.leave("i-1")) == 200
 
 
@@ -279,31 +279,31 @@
     assert run(context, fleet_node(context, number).registrant.heartbeat("i-1", sequence=1)) == 200
 
 
-@when('a heartbeat of a start "{instance}" arrives at node {number:d}')
-def dead_heartbeat(context: Any, instance: str, number: int) -> None:
+@when('a heartbeat of instance "{instance}" arrives at node {number:d}')
+def earlier_instance_heartbeat(context: Any, instance: str, number: int) -> None:
     assert (
         run(context, fleet_node(context, number).registrant.heartbeat(instance, sequence=99)) == 200
     )
 
 
 @then("the server of node {number:d} ran none of them")
-def ran_none(context: Any, number: int) -> None:
+def server_ran_none(context: Any, number: int) -> None:
     before = context.before[number - 1]
     assert len(fleet_node(context, number).server.seen) == before
 
 
 @then("the server of node {number:d} ran {count:d} of them")
-def ran_count(context: Any, number: int, count: int) -> None:
+def server_ran_count(context: Any, number: int, count: int) -> None:
     assert len(fleet_node(context, number).server.seen) == count
 
 
 def begin_booking(context: Any, entry: FleetNode) -> Coroutine[Any, Any, CallResult]:
-    """Return a booking by a caller with nine seconds of patience."""
+    """Return a coroutine that sends a booking with a deadline of nine seconds."""
     headers = {"X-Deadline-Ms": "9000"}
     return context.fleet.call(entry, "/book/7", method="POST", body=b"booking", headers=headers)
 
 
-@given("{count:d} bookings are under way through node 1, where only node 1 has a server")
+@given("{count:d} bookings are in progress through node 1, where only node 1 has a server")
 def given_bookings(context: Any, count: int) -> None:
     first = fleet_node(context, 1)
 
@@ -319,7 +319,7 @@
     run(context, begin())
 
 
-@when("the server of node 1 says that it drains and that of node 2 registers")
+@when("the server of node 1 reports that it drains and that of node 2 registers")
 def drains_and_registers(context: Any) -> None:
     async def change() -> None:
         second = fleet_node(context, 2)
@@ -357,7 +357,7 @@
 
 
 @then("node {number:d} refuses a heartbeat that is no JSON with {status:d}")
-def no_json(context: Any, number: int, status: int) -> None:
+def heartbeat_not_json(context: Any, number: int, status: int) -> None:
     async def send() -> int:
         url = f"http://{fleet_node(context, number).settings.registration}/instances/i-9"
         async with (
@@ -382,7 +382,7 @@
 @when(
     "the operator writes a configuration without routes' names of services as version {version:d}"
 )
-def writes_nonsense(context: Any, version: int) -> None:
+def writes_invalid_configuration(context: Any, version: int) -> None:
     broken = [{"Host": HOST_NAME, "PathPrefix": "/tiles/"}]
     context.fleet.configure(version, broken)
 
@@ -401,7 +401,7 @@
     async with asyncio.timeout(seconds):
         for each in context.fleet.fleet_nodes:
             while (await context.fleet.call(each, path)).status != status:
-                await asyncio.sleep(TRIES_PAUSE_S)
+                await asyncio.sleep(RETRY_INTERVAL_S)
 
 
 @when("{seconds:d} s pass")
@@ -435,12 +435,12 @@
 def resolved(context: Any, host: str, path: str) -> None:
     _, found = fleet_node(context, 1).node.view.resolved(host, path)
     for row in context.table:
-        told = str(found.values[row["key"]]), found.origins[row["key"]]
-        assert told == (row["value"], row["origin"]), told
+        actual = str(found.values[row["key"]]), found.origins[row["key"]]
+        assert actual == (row["value"], row["origin"]), actual
 
 
 @then("an operator who changes the settings through a node is told where to do so")
-def told_where(context: Any) -> None:
+def told_where_to_change(context: Any) -> None:
     async def change() -> str:
         request = ChangeRequest(change="c", author="a", base=None, edits=None, text="x = 1")
         try:
@@ -457,11 +457,11 @@
     first = fleet_node(context, 1)
     first.server.keeps_idle_s = seconds
 
-    async def unread() -> None:
-        # A look at the health uses the connection that the bookings use.
+    async def never_check() -> None:
+        # Health checks would use the connection of the bookings and keep it from being idle.
         await asyncio.Event().wait()
 
-    first.node.server.measurer.check = unread
+    first.node.server.measurer.check = never_check
     run(context, asyncio.sleep(1.5))
 
 
@@ -470,11 +470,11 @@
     async def book() -> None:
         first = await begin_booking(context, fleet_node(context, 1))
         await asyncio.sleep(seconds)
-        context.two = [first, await begin_booking(context, fleet_node(context, 1))]
+        context.two_bookings = [first, await begin_booking(context, fleet_node(context, 1))]
 
     run(context, book())
 
 
 @then("both bookings are answered 200")
 def both_booked(context: Any) -> None:
-    assert [result.status for result in context.two] == [200, 200], context.two
+    assert [result.status for result in context.two_bookings] == [200, 200], context.two_bookings
