--- a/features/platform/cold_servers.feature
+++ b/features/platform/cold_servers.feature
@@ -1,13 +1,13 @@
 Feature: A cold backend server gets no more than it bears, from all nodes together
 
   Scenario Outline: What reaches a cold server in any second stays within its bound
-    # Callers of two nodes send all they have to a service whose servers have just come back, cold. What
-    # one of them bears is 7.5 requests a second, and 19 in one second end it.
+    # Callers of two nodes send a burst to a service whose servers have just restarted and are cold. A
+    # cold server can run 7.5 requests a second, and 19 in one second overload it until it crashes.
     Given cold servers on the platform beside mapdesk at east, mapdesk at west, which are known to be cold <how>
     When 120 requests come through all nodes within 2 s
     Then no server was sent more than 19 requests in a second while it was cold
     And at least 25 of them were answered 200
-    And each of the others was refused at once with a time to come back
+    And each of the others was refused at once with a retry hint
 
     Examples:
       | how                                          |
--- a/features/platform/evacuation.feature
+++ b/features/platform/evacuation.feature
@@ -1,24 +1,24 @@
 Feature: The backend servers of an evacuated data centre get nothing until it is taken back
 
   Scenario: An evacuation and its end are in force within a second
-    # Every node sends by what it believes, and the operator was told that nothing more is sent there.
+    # Each node routes by its own view, while the operator expects that nothing more is sent there.
     Given nodes on the platform beside mapdesk at east, mapdesk at west, licencehub at west
     When the operator evacuates east
     Then from 1 s on 20 requests through each node are answered 200, and none runs at east
-    When the operator takes back east
+    When the operator ends the evacuation of east
     Then from 1 s on some of 60 requests through each node run at east
 
   Scenario: A node that has not heard refuses truly, and its caller is served elsewhere
-    # One node still sends to an evacuated data centre. The nodes there refuse as not run, and the
-    # request goes on to another data centre, without the tries that its route allows being used up.
+    # One node still forwards to an evacuated data centre. The nodes there refuse the request as not
+    # run, and it is retried in another data centre without using up the attempts of its route.
     Given nodes on the platform beside mapdesk at east, mapdesk at east, mapdesk at east, mapdesk at west, licencehub at north
-    And only the nodes at east hear of what is evacuated
+    And only the nodes at east learn of evacuations
     When the operator evacuates east
     Then from 1 s on 20 requests through each node are answered 200, and none runs at east
-    And node 5 has asked at most 1 node in vain for each of 20 requests
+    And node 5 has made at most 1 retry for each of 20 requests
 
   Scenario: What waits for a server of an evacuated data centre is run by another
-    # The queue of an evacuated server was accepted before the order, and would reach the server after.
+    # Requests that were queued before the evacuation would still reach the evacuated server after it.
     Given nodes on the platform with 1 slot of 800 ms beside mapdesk at east, mapdesk at west
     And 4 bookings of 8 s through node 1 have begun
     When the operator evacuates east
@@ -32,23 +32,23 @@
     Then from 0 s on 20 requests through each node are answered 200, and none runs at east
 
   Scenario: A node that starts alone amid an evacuation knows of it before it serves
-    # After a loss of all nodes nobody is there to ask but the store.
+    # After the loss of all nodes, the store is the only source of the evacuation.
     Given a store on the platform in which east is evacuated
     When a node starts beside mapdesk at east
-    Then 5 requests through node 1 are answered 503 with a time to come back within 0.5 s
+    Then 5 requests through node 1 are answered 503 with a retry hint within 0.5 s
     And none has run at east
 
   Scenario: Nodes that the store turns away hear of an evacuation from others
     Given nodes on the platform beside mapdesk at east, mapdesk at west, mapdesk at west
-    And the store turns away all nodes but node 3
+    And the store is unreachable for all nodes but node 3
     When the operator evacuates east
     Then from 1.5 s on 20 requests through each node are answered 200, and none runs at east
 
   Scenario: A node that no datagram of it reaches hears of an evacuation with the settings
-    # Each node asks another one several times in the time for which its settings hold good.
+    # Each node asks another node several times within the period for which its settings stay valid.
     Given nodes on the platform beside mapdesk at east, mapdesk at west
-    And the store turns away all nodes but node 2
-    And no news of the store goes by datagram
+    And the store is unreachable for all nodes but node 2
+    And no changes of the store are sent by datagram
     When the operator evacuates east
     Then from 3 s on 20 requests through each node are answered 200, and none runs at east
 
@@ -56,7 +56,7 @@
     Given nodes on the platform beside mapdesk at east, mapdesk at west
     When the operator evacuates east and west
     And 1 s passes on the platform
-    Then 5 requests through node 1 are answered 503 with a time to come back within 0.5 s
+    Then 5 requests through node 1 are answered 503 with a retry hint within 0.5 s
 
   Scenario Outline: The name of an entry is the order, whatever else it holds
     Given nodes on the platform beside mapdesk at east, mapdesk at west
@@ -78,26 +78,26 @@
   Scenario: An evacuation that is ended and ordered again between two looks stays in force
     Given nodes on the platform beside mapdesk at east, mapdesk at west
     And the operator has evacuated east
-    When the operator takes back east and evacuates it again
+    When the operator ends the evacuation of east and evacuates it again
     Then from 1 s on 20 requests through each node are answered 200, and none runs at east
 
   Scenario: An evacuation is held to when the store comes back from a copy without it
-    # The operator writes it again, some moment later; until then nothing may be sent there.
+    # The operator writes the evacuation again some time later; until then nothing may be sent there.
     Given nodes on the platform beside mapdesk at east, mapdesk at west
     And a copy of the store is kept
     And the operator has evacuated east
     When the store comes back from the copy
     Then from 1 s on 20 requests through each node are answered 200, and none runs at east
     When the operator evacuates east
-    And the operator takes back east
+    And the operator ends the evacuation of east
     Then from 1 s on some of 60 requests through each node run at east
 
   Scenario: A copy that has an ended evacuation again is obeyed until the operator ends it anew
     Given nodes on the platform beside mapdesk at east, mapdesk at west
     And the operator has evacuated east
     And a copy of the store is kept
-    When the operator takes back east
+    When the operator ends the evacuation of east
     And the store comes back from the copy
     Then from 1 s on 20 requests through each node are answered 200, and none runs at east
-    When the operator takes back east
+    When the operator ends the evacuation of east
     Then from 1 s on some of 60 requests through each node run at east
--- a/features/steps/platform_cold_steps.py
+++ b/features/steps/platform_cold_steps.py
@@ -1,4 +1,4 @@
-"""Steps with real nodes beside backend servers that are cold."""
+"""Steps with real nodes beside backend servers that have just started and are still cold."""
 
 import asyncio
 import itertools
@@ -23,15 +23,15 @@
 
 @attrs.frozen(slots=True)
 class TimedResult:
-    """An answer, and when its caller sent the request and had it, in seconds."""
+    """A response, and readings of the monotonic clock from before the request and after it."""
 
     result: CallResult
-    began: float
-    ended: float
+    sent_at: float
+    received_at: float
 
 
-async def tell_cold(context: Any, each: FleetNode) -> None:
-    """Have a server tell that it is cold, in the way that the scenario names."""
+async def report_cold(context: Any, each: FleetNode) -> None:
+    """Have a server report that it is cold, in the way that the scenario names."""
     loop = asyncio.get_running_loop()
     each.server.cold_until = loop.time() + COLD_S
     each.server.tells_cold = context.how == "by their health"
@@ -47,12 +47,12 @@
     fleet.service_fields = {"ColdStartS": COLD_S, "ColdPerS": COLD_PER_S}
 
     async def begin() -> None:
-        # Without an identity no node takes its server before it has been told to be cold.
+        # Without an instance id, no node uses its server before the server is known to be cold.
         await add_nodes(context, places.split(", "), instance="", service_ms=RUN_S * 1000, slots=7)
         fleet.configure(4, [route("/tiles/", {"mapdesk": 1}, MaxAttempts=2)])
         await fleet.wait_for(lambda: all(each.node.view.revision for each in fleet.fleet_nodes))
         for each in fleet.fleet_nodes:
-            await tell_cold(context, each)
+            await report_cold(context, each)
             each.server.instance = "i-1"
         await fleet.wait_for(lambda: all(fleet.knows_all(each) for each in fleet.fleet_nodes))
 
@@ -73,7 +73,7 @@
     async def turn() -> None:
         for each in context.fleet.fleet_nodes:
             each.server.cold_until = asyncio.get_running_loop().time() + seconds
-        # Until the next look at each server.
+        # Long enough for the next health check of each server.
         await asyncio.sleep(0.2)
 
     run(context, turn())
@@ -83,30 +83,30 @@
 def when_come(context: Any, count: int, seconds: int) -> None:
     async def call(number: int, each: FleetNode) -> TimedResult:
         await asyncio.sleep(number * seconds / count)
-        began = time.monotonic()
+        sent_at = time.monotonic()
         result = await context.fleet.call(each)
-        return TimedResult(result, began, time.monotonic())
+        return TimedResult(result, sent_at, time.monotonic())
 
-    async def play() -> list[TimedResult]:
-        watching = asyncio.create_task(context.unscheduled.watch())
+    async def send_all() -> list[TimedResult]:
+        watch = asyncio.create_task(context.unscheduled.watch())
         turns = zip(range(count), itertools.cycle(context.fleet.fleet_nodes), strict=False)
         try:
             return await asyncio.gather(*(call(number, each) for number, each in turns))
         finally:
-            # The watch notes what has just passed in its next turn.
+            # Lets the watch task record a late wake-up that has just ended.
             await asyncio.sleep(2 * TICK_S)
-            watching.cancel()
+            watch.cancel()
 
     context.unscheduled = UnscheduledTime()
-    context.results = run(context, play())
+    context.results = run(context, send_all())
 
 
 @then("no server was sent more than {most:d} requests in a second while it was cold")
 def then_within(context: Any, most: int) -> None:
     for each in context.fleet.fleet_nodes:
         times = each.server.arrivals
-        busiest = max(sum(0 <= at - begin < 1 for at in times) for begin in times)
-        assert busiest <= most, busiest
+        highest_count = max(sum(0 <= at - start < 1 for at in times) for start in times)
+        assert highest_count <= most, highest_count
 
 
 @then("at least {least:d} of them were answered 200")
@@ -115,26 +115,26 @@
     assert good >= least, (good, len(context.results))
 
 
-@then("each of the others was refused at once with a time to come back")
+@then("each of the others was refused at once with a retry hint")
 def then_refused(context: Any) -> None:
     others = [each for each in context.results if each.result.status != 200]
     late = [each for each in others if not was_refused_at_once(context.unscheduled, each)]
     assert len(late) < len(others), "nothing was refused at once"
-    wrong = [each for each in late if not was_held_up(context.unscheduled, each)]
+    wrong = [each for each in late if not was_unscheduled(context.unscheduled, each)]
     assert not wrong, wrong
 
 
 def was_refused_at_once(unscheduled: UnscheduledTime, each: TimedResult) -> bool:
-    """Tell whether a request was refused within its goal, with a time to come back."""
-    took_s = each.ended - each.began - unscheduled.between(each.began, each.ended)
-    come_back_s = float(each.result.headers.get("Retry-After", 0))
-    return each.result.status == 503 and come_back_s > 0 and took_s < GOAL_S
+    """Return whether a request was refused within its latency goal, with a retry hint."""
+    took_s = each.received_at - each.sent_at - unscheduled.between(each.sent_at, each.received_at)
+    retry_after_s = float(each.result.headers.get("Retry-After", 0))
+    return each.result.status == 503 and retry_after_s > 0 and took_s < GOAL_S
 
 
-def was_held_up(unscheduled: UnscheduledTime, each: TimedResult) -> bool:
-    """Tell whether the machine held a request up for longer than a node keeps for its run.
+def was_unscheduled(unscheduled: UnscheduledTime, each: TimedResult) -> bool:
+    """Return whether the process was unscheduled for longer than a node reserves for the run.
 
-    Its first node then gives it up after its goal, and another one lets it wait for a late answer
-    until its deadline.
+    The first node then gives up the request after its latency goal, and another node has it wait
+    until its deadline for a late response.
     """
-    return unscheduled.between(each.began, each.began + GOAL_S) > RUN_S
+    return unscheduled.between(each.sent_at, each.sent_at + GOAL_S) > RUN_S
--- a/features/steps/platform_crashes_steps.py
+++ b/features/steps/platform_crashes_steps.py
@@ -1,4 +1,4 @@
-"""Steps on requests that end servers on the platform, with real nodes in one event loop."""
+"""Steps on requests that crash servers on the platform, with real nodes in one event loop."""
 
 import asyncio
 from typing import Any
@@ -13,34 +13,35 @@
 
 use_step_matcher("parse")
 
-SLOW = 100.0
-# Until all nodes of a scenario have heard of a change of state, in seconds.
-HEARD_S = 0.3
+SLOW_FACTOR = 100.0
+# Time in which a change of state reaches all nodes of a scenario.
+PROPAGATION_S = 0.3
 
 
 @given(
-    'requests for "{path}" end every server, which registers again as another after {seconds:g} s'
+    'requests for "{path}" crash every server, '
+    "which restarts as another instance after {seconds:g} s"
 )
-def given_mortal(context: Any, path: str, seconds: float) -> None:
-    context.ends = []
-    context.reviving = []
+def given_crashing_servers(context: Any, path: str, seconds: float) -> None:
+    context.crashes = []
+    context.restarts = []
 
-    async def revive(each: FleetNode) -> None:
+    async def restart(each: FleetNode) -> None:
         await asyncio.sleep(seconds)
-        await each.server.come_back(f"i-{len(context.ends) + 1}-{each.settings.name}")
+        await each.server.come_back(f"i-{len(context.crashes) + 1}-{each.settings.name}")
         await each.registrant.heartbeat(each.server.instance, sequence=1)
 
     def crash(each: FleetNode) -> None:
         each.server.end()
-        context.ends.append(each.settings.name)
-        context.reviving.append(asyncio.ensure_future(revive(each)))
+        context.crashes.append(each.settings.name)
+        context.restarts.append(asyncio.ensure_future(restart(each)))
 
     for each in context.fleet.fleet_nodes:
         each.server.faults.deadly = path
         each.server.crash = lambda each=each: crash(each)
 
 
-KINDS: dict[str, dict[str, Any]] = {
+REQUEST_OPTIONS: dict[str, dict[str, Any]] = {
     "an upload of 200000 bytes": {"method": "POST", "body": b"x" * 200_000},
     "a call of a running request": {"headers": {"X-Deadline-Ms": "700"}},
 }
@@ -48,26 +49,26 @@
 
 @when("{what} comes {count:d} times in {seconds:g} s, each time through another node")
 def comes_often(context: Any, what: str, count: int, seconds: float) -> None:
-    how = KINDS[what]
+    options = REQUEST_OPTIONS[what]
 
-    async def ask() -> list[CallResult]:
+    async def send_all() -> list[CallResult]:
         calls = []
         for number in range(count):
             entry = context.fleet.fleet_nodes[number % len(context.fleet.fleet_nodes)]
             attempt = f"{number:016x}.{number:016x}" if "call" in what else f"{number:016x}"
-            work = context.fleet.call(entry, "/tiles/deadly", attempt=attempt, **how)
+            work = context.fleet.call(entry, "/tiles/deadly", attempt=attempt, **options)
             calls.append(asyncio.create_task(work))
             await asyncio.sleep(seconds / count)
         return await asyncio.gather(*calls)
 
-    context.results = run(context, ask())
+    context.results = run(context, send_all())
 
 
-@then('operators of node {number:d} see "{what}" held back for {ends:d} ends or more')
-def operators_see(context: Any, number: int, what: str, ends: int) -> None:
+@then('operators of node {number:d} see "{what}" quarantined for {crashes:d} crashes or more')
+def operators_see(context: Any, number: int, what: str, crashes: int) -> None:
     address = fleet_node(context, number).settings.operators
     (context.held,) = run(context, call_operators("GET", address, "/quarantine"))["held"]
-    assert context.held["what"] == what and context.held["ends"] >= ends, context.held
+    assert context.held["what"] == what and context.held["ends"] >= crashes, context.held
     status = run(context, call_operators("GET", address, "/status"))
     assert status["held_requests"] == 1, status
 
@@ -88,8 +89,8 @@
         return await response.json()
 
 
-@then("no node holds it back any more")
-def none_holds(context: Any) -> None:
+@then("no node quarantines it any more")
+def none_quarantines(context: Any) -> None:
     async def wait() -> None:
         fleet = context.fleet
         await fleet.wait_for(
@@ -101,7 +102,7 @@
 
 @when('clients ask for "{path}" {count:d} times in {seconds:g} s, each time through another node')
 def ask_often(context: Any, path: str, count: int, seconds: float) -> None:
-    async def ask() -> list[CallResult]:
+    async def send_all() -> list[CallResult]:
         calls = []
         for number in range(count):
             entry = context.fleet.fleet_nodes[number % len(context.fleet.fleet_nodes)]
@@ -109,15 +110,15 @@
             await asyncio.sleep(seconds / count)
         return await asyncio.gather(*calls)
 
-    context.results = run(context, ask())
+    context.results = run(context, send_all())
 
 
-@then("at most {most:d} servers ended")
-def at_most_ended(context: Any, most: int) -> None:
-    assert 0 < len(context.ends) <= most, context.ends
+@then("at most {most:d} servers crashed")
+def at_most_crashed(context: Any, most: int) -> None:
+    assert 0 < len(context.crashes) <= most, context.crashes
 
 
-@then("the last {count:d} of them got {status:d}, with {seconds:g} s or more to wait")
+@then("the last {count:d} of them got {status:d}, to retry after {seconds:g} s or more")
 def last_got(context: Any, count: int, status: int, seconds: float) -> None:
     bad = [
         result
@@ -128,17 +129,17 @@
 
 
 async def set_drained(fleet_nodes: list[FleetNode], drained: bool) -> None:
-    """Have some nodes take no work, or again, and let the others hear of it."""
+    """Drain some nodes, or end that, and wait until the other nodes know."""
     for each in fleet_nodes:
         each.node.drain(drained)
-    await asyncio.sleep(HEARD_S)
+    await asyncio.sleep(PROPAGATION_S)
 
 
-@when('the server of node 1 leaves while it runs "{path}", and ends')
-def leaves_and_ends(context: Any, path: str) -> None:
+@when('the server of node 1 leaves while it runs "{path}", and exits')
+def leaves_and_exits(context: Any, path: str) -> None:
     async def leave() -> None:
         first, *others = context.fleet.fleet_nodes[:4]
-        first.server.faults.slow_factor = SLOW
+        first.server.faults.slow_factor = SLOW_FACTOR
         await set_drained(others, True)
         call = asyncio.create_task(context.fleet.call(first, path))
         await context.fleet.wait_for(
@@ -153,36 +154,36 @@
     run(context, leave())
 
 
-@when('two servers in turn lose the answer of "{path}" and live on')
-def lose_answers(context: Any, path: str) -> None:
-    async def lose(each: FleetNode) -> None:
+@when('two servers in turn drop the response to "{path}" and keep running')
+def drop_responses(context: Any, path: str) -> None:
+    async def drop(each: FleetNode) -> None:
         each.server.faults.close_before_answer = 1.0
         assert (await context.fleet.call(each, path)).status == 502
         each.server.faults.close_before_answer = 0.0
         await asyncio.sleep(0.3)
 
-    async def lose_both() -> None:
+    async def drop_both() -> None:
         for each in context.fleet.fleet_nodes[:2]:
             others = [other for other in context.fleet.fleet_nodes[:4] if other is not each]
             await set_drained(others, True)
-            await lose(each)
+            await drop(each)
             await set_drained(others, False)
 
-    run(context, lose_both())
+    run(context, drop_both())
 
 
-@then("nothing is suspected at node {number:d}")
+@then("no request is suspected at node {number:d}")
 def nothing_suspected(context: Any, number: int) -> None:
     assert len(fleet_node(context, number).node.quarantine.policy) == 0
 
 
-@when("node 1 hears that this booking has ended two servers")
-def hears_of_ends(context: Any) -> None:
+@when("node 1 is told that this booking has crashed two servers")
+def told_of_crashes(context: Any) -> None:
     async def tell() -> None:
         node = fleet_node(context, 1).node
         execution, *_ = node.serving.in_progress.values()
-        ends = (ServerCrash(1, 2.0, 0.1), ServerCrash(2, 1.0, 0.1))
-        (fields,) = pack_news([SuspectReport(execution.fingerprint, ends)])
+        crashes = (ServerCrash(1, 2.0, 0.1), ServerCrash(2, 1.0, 0.1))
+        (fields,) = pack_news([SuspectReport(execution.fingerprint, crashes)])
         node.quarantine.take(node.membership.self_member, fields)
 
     run(context, tell())
@@ -190,7 +191,7 @@
 
 @then(
     "one of the bookings is answered {status:d} within {limit:g} s, "
-    "with {seconds:g} s or more to wait"
+    "to retry after {seconds:g} s or more"
 )
 def one_answered(context: Any, status: int, limit: float, seconds: float) -> None:
     async def first() -> CallResult:
--- a/features/steps/platform_evacuation_steps.py
+++ b/features/steps/platform_evacuation_steps.py
@@ -16,25 +16,25 @@
 use_step_matcher("parse")
 
 KIND = "evacuations"
-# Of the store's own rounds to the nodes that watch it, before an operator does anything.
-WATCHED_S = 5.0
+# Nodes open their watch of the evacuations about two seconds after their start.
+WATCH_TIMEOUT_S = 5.0
 
 
-class DeafEvacuations(EvacuationState):
-    """Those of a node that hears nothing."""
+class IgnoringEvacuationState(EvacuationState):
+    """The state of a node that ignores evacuations reported by other nodes."""
 
     def merge(self, heard: EvacuationSnapshot, now: float) -> bool:
         return False
 
 
 async def add_nodes(context: Any, places: Sequence[str], **node_options: Any) -> None:
-    """Start nodes, each told as "SERVICE at DATA_CENTRE"."""
+    """Start nodes, each described as "SERVICE at DATA_CENTRE"."""
     for place in places:
         service, data_centre = place.split(" at ")
         await context.fleet.add_node(service, data_centre=data_centre, **node_options)
 
 
-def start(context: Any, places: str, **node_options: Any) -> None:
+def start_nodes(context: Any, places: str, **node_options: Any) -> None:
     fleet = start_fleet(context)
     run(context, add_nodes(context, places.split(", "), **node_options))
     fleet.configure(
@@ -45,23 +45,23 @@
         ],
     )
     run(context, fleet.settle())
-    run(context, until_watched(context))
+    run(context, wait_until_watched(context))
 
 
-async def until_watched(context: Any) -> None:
-    """Wait until evacuations are watched, as they are two seconds after a start."""
+async def wait_until_watched(context: Any) -> None:
+    """Wait until the store has a watch for evacuations, two seconds after the start."""
     calls = context.fleet.store.calls
-    await context.fleet.wait_for(lambda: calls["watches"] >= 2, WATCHED_S)
+    await context.fleet.wait_for(lambda: calls["watches"] >= 2, WATCH_TIMEOUT_S)
 
 
 @given("nodes on the platform beside {places}")
 def given_nodes(context: Any, places: str) -> None:
-    start(context, places)
+    start_nodes(context, places)
 
 
 @given("nodes on the platform with {slots:d} slot of {milliseconds:d} ms beside {places}")
 def given_slow_nodes(context: Any, slots: int, milliseconds: int, places: str) -> None:
-    start(context, places, slots=slots, service_ms=float(milliseconds))
+    start_nodes(context, places, slots=slots, service_ms=float(milliseconds))
 
 
 @given("a store on the platform in which {name} is evacuated")
@@ -83,16 +83,16 @@
     run(context, begin())
 
 
-@given("only the nodes at {name} hear of what is evacuated")
-def given_deaf(context: Any, name: str) -> None:
-    """Have all others take in nothing of the kind."""
+@given("only the nodes at {name} learn of evacuations")
+def given_ignoring_nodes(context: Any, name: str) -> None:
+    """Have all other nodes ignore evacuations."""
     for each in context.fleet.fleet_nodes:
         if each.settings.data_centre != name:
-            each.node.evacuations.policy = DeafEvacuations()
+            each.node.evacuations.policy = IgnoringEvacuationState()
 
 
-@given("the store turns away all nodes but node {number:d}")
-def given_turned_away(context: Any, number: int) -> None:
+@given("the store is unreachable for all nodes but node {number:d}")
+def given_unreachable_store(context: Any, number: int) -> None:
     for position, each in enumerate(context.fleet.fleet_nodes, 1):
         if position != number:
             store = each.node.store
@@ -100,7 +100,7 @@
             run(context, store.close())
 
 
-@given("no news of the store goes by datagram")
+@given("no changes of the store are sent by datagram")
 def given_no_datagrams(context: Any) -> None:
     for each in context.fleet.fleet_nodes:
         each.node.evacuations.publish = lambda fields, readers: None
@@ -129,8 +129,8 @@
     context.ordered_at = time.monotonic()
 
 
-@step("the operator takes back {name}")
-def takes_back(context: Any, name: str) -> None:
+@step("the operator ends the evacuation of {name}")
+def ends_evacuation(context: Any, name: str) -> None:
     async def remove() -> None:
         context.fleet.store.state.remove(KIND, name)
         await asyncio.sleep(0.1)
@@ -139,14 +139,14 @@
     context.ordered_at = time.monotonic()
 
 
-@when("the operator takes back {name} and evacuates it again")
-def takes_back_and_evacuates(context: Any, name: str) -> None:
-    async def swap() -> None:
+@when("the operator ends the evacuation of {name} and evacuates it again")
+def ends_evacuation_and_evacuates(context: Any, name: str) -> None:
+    async def replace() -> None:
         state = context.fleet.store.state
         state.remove(KIND, name)
         state.put(KIND, name, Specification={})
 
-    run(context, swap())
+    run(context, replace())
     context.ordered_at = time.monotonic()
 
 
@@ -169,8 +169,8 @@
     run(context, asyncio.sleep(seconds))
 
 
-def ran_at(context: Any, name: str) -> int:
-    """Return how many requests the servers of a data centre have run."""
+def run_count(context: Any, name: str) -> int:
+    """Return how many requests the servers of a data centre have run so far."""
     fleet_nodes = [each for each in context.fleet.fleet_nodes if each.settings.data_centre == name]
     return sum(len(each.server.seen) for each in fleet_nodes)
 
@@ -188,9 +188,9 @@
 def none_runs(context: Any, after: float, count: int, status: int, name: str) -> None:
     async def ask() -> tuple[int, list[CallResult]]:
         await asyncio.sleep(max(0.0, context.ordered_at + after - time.monotonic()))
-        before = ran_at(context, name)
+        before = run_count(context, name)
         results = await ask_all(context, 0.0, count)
-        return ran_at(context, name) - before, results
+        return run_count(context, name) - before, results
 
     ran, results = run(context, ask())
     statuses = {result.status for result in results}
@@ -202,32 +202,32 @@
 def some_run(context: Any, after: float, count: int, name: str) -> None:
     async def ask() -> int:
         await asyncio.sleep(max(0.0, context.ordered_at + after - time.monotonic()))
-        before = ran_at(context, name)
+        before = run_count(context, name)
         await ask_all(context, 0.0, count)
-        return ran_at(context, name) - before
+        return run_count(context, name) - before
 
     assert run(context, ask()), f"nothing ran at {name}"
 
 
 @then("none has run at {name}")
 def none_has_run(context: Any, name: str) -> None:
-    assert not ran_at(context, name)
+    assert not run_count(context, name)
 
 
 @then(
     "{count:d} requests through node {number:d} are answered {status:d} "
-    "with a time to come back within {seconds:g} s"
+    "with a retry hint within {seconds:g} s"
 )
 def refused_at_once(context: Any, count: int, number: int, status: int, seconds: float) -> None:
     async def ask() -> list[tuple[CallResult, float]]:
-        told = []
+        timed = []
         for _ in range(count):
-            began = time.monotonic()
+            started_at = time.monotonic()
             result = await context.fleet.call(fleet_node(context, number))
-            told.append((result, time.monotonic() - began))
-        return told
+            timed.append((result, time.monotonic() - started_at))
+        return timed
 
-    # The first ones of a node that has just started may wait for others to be found.
+    # The first requests of a node that has just started may wait until it has found other nodes.
     run(context, asyncio.sleep(0.5))
     for result, took_s in run(context, ask()):
         assert result.status == status and "Retry-After" in result.headers, result
@@ -271,11 +271,11 @@
 
 @then("no more than {count:d} has run at {name}")
 def few_have_run(context: Any, count: int, name: str) -> None:
-    assert ran_at(context, name) <= count, ran_at(context, name)
+    assert run_count(context, name) <= count, run_count(context, name)
 
 
-@then("node {number:d} has asked at most 1 node in vain for each of {count:d} requests")
-def few_in_vain(context: Any, number: int, count: int) -> None:
+@then("node {number:d} has made at most 1 retry for each of {count:d} requests")
+def few_retries(context: Any, number: int, count: int) -> None:
     retries = fleet_node(context, number).node.metrics.all_counts().get("ingress.retries", 0)
     assert 0 < retries <= count, retries
 
