--- a/features/platform/registration.feature
+++ b/features/platform/registration.feature
@@ -1,6 +1,6 @@
 Feature: Backend servers come, drain and leave in any order
-  A server tells the node beside it of itself. What is acknowledged is kept to: a server that has
-  heard that its leaving is known gets nothing new.
+  A server registers at the node beside it. An acknowledgement is binding: once the node has
+  acknowledged that a server leaves, that server gets no new requests.
 
   Scenario: A server that drains gets no new work from the acknowledgement on
     Given a fleet on the platform: mapdesk, mapdesk
@@ -10,8 +10,8 @@
     And the server of node 1 ran none of them
 
   Scenario: What waits for a server that drains is run by another
-    # Slots are full and bookings wait in the node when the server says that it drains. They have not
-    # run: handed back, another server runs them, and no client hears of it.
+    # All slots are in use and bookings are queued in the node when the server starts to drain. They
+    # have not run, so they are handed back and run by another server, without an error to a client.
     Given a fleet on the platform with 1 slot of 1500 ms: mapdesk, mapdesk
     And 3 bookings are in progress through node 1, where only node 1 has a server
     When the server of node 1 reports that it drains and that of node 2 registers
@@ -26,8 +26,8 @@
     And the server of node 1 ran none of them
 
   Scenario: A late heartbeat does not bring back a server that has left
-    # A cut held a heartbeat up. It arrives after the server has said that it leaves; believed, it
-    # would send new work to a server that is going.
+    # A network partition delays a heartbeat until after the server has deregistered. If it were
+    # accepted, new work would go to a server that is shutting down.
     Given a fleet on the platform: mapdesk, mapdesk
     When the server of node 1 leaves
     And an old heartbeat of the server of node 1 arrives
@@ -35,8 +35,8 @@
     Then the server of node 1 ran none of them
 
   Scenario: A late heartbeat does not undo draining
-    # A heartbeat from before is overtaken by the one that says draining. The server's health is still
-    # good; only what was acknowledged keeps new work away.
+    # A heartbeat is overtaken by a later one that reports draining. Health checks still succeed, so
+    # only the acknowledged state keeps new work away.
     Given a fleet on the platform: mapdesk, mapdesk
     When the server of node 1 reports that it drains, while its health is good
     And an old heartbeat of the server of node 1 arrives
@@ -44,9 +44,9 @@
     Then the server of node 1 ran none of them
 
   Scenario: A heartbeat of a dead start does not displace its successor
-    # The sender crashed behind a cut, and a new start registered at the same address. The heartbeat
-    # that was held up names the dead one; taken for news, each request would be refused as meant
-    # for another.
+    # A server crashed during a network partition, and a new instance registered at the same address.
+    # A delayed heartbeat names the old instance; if it were accepted, the new instance would refuse
+    # each request as addressed to another one.
     Given a fleet on the platform: mapdesk
     When the server of node 1 becomes instance "i-2" without registering
     And the server of node 1 registers as "i-2"
--- a/features/steps/platform_life_steps.py
+++ b/features/steps/platform_life_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the start, change and stop of nodes on the platform."""
+"""Steps on the start, reload, logs, metrics and stop of nodes on the platform."""
 
 import asyncio
 from typing import Any
@@ -22,16 +22,16 @@
 
 use_step_matcher("parse")
 
-# How long callers may still come to a node that stops.
-LINGER_S = 2.1
-# For what a node does one after the other when its time has come.
-STEPS_S = 0.1
+# For so long after the stop signal, callers may still come to a node.
+LATE_CALLERS_S = 2.1
+# Time that a node may take for the steps of its stop once they are due.
+STOP_STEPS_S = 0.1
 
 
 @when("node {number:d} is told to stop")
 def told_to_stop(context: Any, number: int) -> None:
     async def stop() -> None:
-        context.told_at = asyncio.get_running_loop().time()
+        context.signalled_at = asyncio.get_running_loop().time()
         context.stopping = asyncio.create_task(fleet_node(context, number).node.stop())
         await asyncio.sleep(0.05)
 
@@ -45,35 +45,37 @@
 )
 def answered_meanwhile(context: Any, seconds: int, status: int) -> None:
     async def ask() -> None:
-        loop, judged = asyncio.get_running_loop(), 0
-        ends = loop.time() + seconds
-        while loop.time() < ends:
-            began = loop.time()
+        loop, checked = asyncio.get_running_loop(), 0
+        ends_at = loop.time() + seconds
+        while loop.time() < ends_at:
+            started_at = loop.time()
             result = await context.fleet.call(fleet_node(context, 1))
-            if await context.fleet.loop_stalls.stalled_s_since(began):
-                # All nodes stood still with their caller; what that costs is no node's doing.
+            if await context.fleet.loop_stalls.stalled_s_since(started_at):
+                # The loop's stall held up the caller and all nodes; the node is not at fault.
                 continue
-            judged += 1
+            checked += 1
             assert result.status == status, result
             assert result.headers.get("Connection") == "close", result.headers
-        assert judged, "the loop stood still all the while"
+        assert checked, "the event loop was stalled all the time"
 
     run(context, ask())
 
 
-@then("from {seconds:g} s after being told on, the server of node {number:d} runs nothing new")
-def runs_nothing_new(context: Any, seconds: float, number: int) -> None:
+@then(
+    "from {seconds:g} s after the stop signal on, the server of node {number:d} starts no request"
+)
+def starts_no_request(context: Any, seconds: float, number: int) -> None:
     async def ask() -> None:
         loop, stalls = asyncio.get_running_loop(), context.fleet.loop_stalls
-        await asyncio.sleep(context.told_at + seconds - loop.time())
-        if await stalls.stalled_s_since(context.told_at + seconds - STEPS_S):
-            # The node's own time for this has just passed, unseen; let it act.
-            await asyncio.sleep(STEPS_S)
+        await asyncio.sleep(context.signalled_at + seconds - loop.time())
+        if await stalls.stalled_s_since(context.signalled_at + seconds - STOP_STEPS_S):
+            # The step became due during the stall; give the node time to take it.
+            await asyncio.sleep(STOP_STEPS_S)
         before = len(fleet_node(context, number).server.seen)
-        while loop.time() < context.told_at + LINGER_S:
-            began = loop.time()
+        while loop.time() < context.signalled_at + LATE_CALLERS_S:
+            started_at = loop.time()
             result = await context.fleet.call(fleet_node(context, 1))
-            assert result.status == 200 or await stalls.stalled_s_since(began), result
+            assert result.status == 200 or await stalls.stalled_s_since(started_at), result
         assert len(fleet_node(context, number).server.seen) == before
 
     run(context, ask())
@@ -95,16 +97,16 @@
     run(context, book())
 
 
-@when("node {number:d} is told to stop, with {seconds:g} s for it")
-def told_to_stop_soon(context: Any, number: int, seconds: float) -> None:
+@when("node {number:d} is told to stop with a grace period of {seconds:g} s")
+def told_to_stop_with_grace_period(context: Any, number: int, seconds: float) -> None:
     fleet_node(context, number).node.stop_grace_s = seconds
     told_to_stop(context, number)
 
 
-@then("both bookings are answered {status:d} within {seconds:g} s of being told")
+@then("both bookings are answered {status:d} within {seconds:g} s of the stop signal")
 def both_answered(context: Any, status: int, seconds: float) -> None:
     async def collect() -> list[Any]:
-        left = context.told_at + seconds - asyncio.get_running_loop().time()
+        left = context.signalled_at + seconds - asyncio.get_running_loop().time()
         async with asyncio.timeout(left):
             return await asyncio.gather(*context.bookings)
 
@@ -112,32 +114,34 @@
     assert [result.status for result in results] == [status] * 2, results
 
 
-@then("node {number:d} has ended within {seconds:g} s of being told")
-def has_ended(context: Any, number: int, seconds: float) -> None:
+@then("node {number:d} has stopped within {seconds:g} s of the stop signal")
+def has_stopped(context: Any, number: int, seconds: float) -> None:
     async def wait() -> None:
-        async with asyncio.timeout(context.told_at + seconds - asyncio.get_running_loop().time()):
+        async with asyncio.timeout(
+            context.signalled_at + seconds - asyncio.get_running_loop().time()
+        ):
             await context.stopping
 
     run(context, wait())
 
 
 @given("a fleet on the platform whose servers send no heartbeat: {services}")
-def given_silent(context: Any, services: str) -> None:
-    start_silent(context, services, leaving=False)
+def given_no_heartbeats(context: Any, services: str) -> None:
+    start_without_heartbeats(context, services, draining=False)
 
 
-@given("a fleet on the platform whose servers leave and send no heartbeat: {services}")
-def given_leaving(context: Any, services: str) -> None:
-    start_silent(context, services, leaving=True)
+@given("a fleet on the platform whose servers drain and send no heartbeat: {services}")
+def given_draining_servers(context: Any, services: str) -> None:
+    start_without_heartbeats(context, services, draining=True)
 
 
-def start_silent(context: Any, services: str, *, leaving: bool) -> None:
+def start_without_heartbeats(context: Any, services: str, *, draining: bool) -> None:
     fleet: PlatformFleet = start_fleet(context)
 
     async def start() -> None:
         await populate_fleet(fleet, services.split(", "))
         for each in fleet.fleet_nodes:
-            each.server.faults.drain = leaving
+            each.server.faults.drain = draining
         await fleet.wait_for(lambda: all(each.node.takes_callers() for each in fleet.fleet_nodes))
         await asyncio.sleep(0.5)
 
@@ -153,8 +157,8 @@
     context.lines = lines
 
 
-@then("node {number:d} goes by the new bounds and logs that the name waits for a restart")
-def goes_by(context: Any, number: int) -> None:
+@then("node {number:d} applies the new bounds and logs that the name needs a restart")
+def applies_bounds(context: Any, number: int) -> None:
     assert fleet_node(context, number).node.stop_grace_s == 4
     line = next(each for each in context.lines if each["event"] == "daemon.reloaded")
     assert line["changed"] == ["bounds"] and line["waiting_for_restart"] == ["name"], line
@@ -175,8 +179,8 @@
     assert not missing, (missing, text)
 
 
-@then("the log tells of that request with the fields")
-def log_tells(context: Any) -> None:
+@then("the log line of such a request has the fields")
+def log_line_has_fields(context: Any) -> None:
     with structlog.testing.capture_logs() as lines:
         work = context.fleet.call(fleet_node(context, 1), "/book/9", method="POST", body=b"booking")
         result = run(context, work)
@@ -190,14 +194,14 @@
 
 
 @given('the route "{prefix}" is to be answered within {milliseconds:d} ms, as version {version:d}')
-def given_goal(context: Any, prefix: str, milliseconds: int, version: int) -> None:
-    tight = route(prefix, {"mapdesk": 1}, TargetLatencyMs=milliseconds)
-    context.fleet.configure(version, [tight])
+def given_latency_goal(context: Any, prefix: str, milliseconds: int, version: int) -> None:
+    tight_route = route(prefix, {"mapdesk": 1}, TargetLatencyMs=milliseconds)
+    context.fleet.configure(version, [tight_route])
     run(context, context.fleet.wait_for(lambda: all_at(context, version)))
 
 
-@then("the log tells of a late answer with the fields")
-def log_tells_late(context: Any) -> None:
+@then("the log line of a late response has the fields")
+def late_log_line_has_fields(context: Any) -> None:
     with structlog.testing.capture_logs() as lines:
         result = run(context, context.fleet.call(fleet_node(context, 1)))
     assert result.status == 200, result
--- a/features/steps/platform_limits_steps.py
+++ b/features/steps/platform_limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the bounds that the operator sets on what callers send."""
+"""Steps on the operator's limits for the connections and requests of callers."""
 
 import asyncio
 from typing import Any
@@ -19,7 +19,7 @@
     "the operator allows heads of {head_bytes:d} bytes, {head_ms:d} ms for a head "
     "and {idle_ms:d} ms of rest as version {version:d}"
 )
-def allows(context: Any, head_bytes: int, head_ms: int, idle_ms: int, version: int) -> None:
+def set_limits(context: Any, head_bytes: int, head_ms: int, idle_ms: int, version: int) -> None:
     context.fleet.limits |= {
         "MaxHeaderBytes": head_bytes,
         "HeaderTimeoutMs": head_ms,
@@ -35,25 +35,25 @@
     assert run(context, work).status == status
 
 
-async def closed_within(at: FleetNode, data: bytes, seconds: float) -> bool:
-    answer = await send_raw(at.callers, data, silence_s=seconds)
-    return answer.closed
+async def closed_within(entry: FleetNode, data: bytes, seconds: float) -> bool:
+    response = await send_raw(entry.callers, data, silence_s=seconds)
+    return response.closed
 
 
 @then("a head that never ends is given up by node {number:d} within {seconds:g} s")
-def head_given_up(context: Any, number: int, seconds: float) -> None:
-    begun = b"GET /tiles/7 HTTP/1.1\r\nHost: "
-    assert run(context, closed_within(fleet_node(context, number), begun, seconds))
+def unfinished_head_closed(context: Any, number: int, seconds: float) -> None:
+    partial_head = b"GET /tiles/7 HTTP/1.1\r\nHost: "
+    assert run(context, closed_within(fleet_node(context, number), partial_head, seconds))
 
 
 @then("a connection that rests is closed by node {number:d} within {seconds:g} s")
-def rest_ended(context: Any, number: int, seconds: float) -> None:
-    whole = REQUEST.format("0a").encode()
-    assert run(context, closed_within(fleet_node(context, number), whole, seconds))
+def idle_connection_closed(context: Any, number: int, seconds: float) -> None:
+    request = REQUEST.format("0a").encode()
+    assert run(context, closed_within(fleet_node(context, number), request, seconds))
 
 
-async def ask(context: Any, attempt: str) -> bytes:
-    reader, writer = context.kept
+async def send_request(context: Any, attempt: str) -> bytes:
+    reader, writer = context.kept_connection
     writer.write(REQUEST.format(attempt).encode())
     async with asyncio.timeout(2):
         return await reader.read(READ_BYTES)
@@ -62,11 +62,11 @@
 @step("a client keeps a connection to node {number:d} open")
 def keeps_open(context: Any, number: int) -> None:
     host, _, port = fleet_node(context, number).callers.rpartition(":")
-    context.kept = run(context, asyncio.open_connection(host, int(port)))
-    assert run(context, ask(context, "0b")).startswith(b"HTTP/1.1 200")
+    context.kept_connection = run(context, asyncio.open_connection(host, int(port)))
+    assert run(context, send_request(context, "0b")).startswith(b"HTTP/1.1 200")
 
 
 @then("that connection answers another request")
 def answers_again(context: Any) -> None:
-    assert run(context, ask(context, "0c")).startswith(b"HTTP/1.1 200")
-    context.kept[1].close()
+    assert run(context, send_request(context, "0c")).startswith(b"HTTP/1.1 200")
+    context.kept_connection[1].close()
--- a/features/steps/platform_machines_steps.py
+++ b/features/steps/platform_machines_steps.py
@@ -1,4 +1,4 @@
-"""Steps on suspended machines, jumping clocks and silent connections."""
+"""Steps on suspended machines, clock jumps and connections whose peer is silent."""
 
 import asyncio
 import socket
@@ -13,11 +13,11 @@
 
 use_step_matcher("parse")
 
-LONGEST_SILENCE_MS = 3000
+MAX_SILENCE_MS = 3000
 
 
 def shift_clocks(context: Any, *, since_boot_s: float = 0.0, of_day_s: float = 0.0) -> None:
-    """Shift what a node's clock reads; the event loop's own clock stays as it is."""
+    """Shift the readings of the nodes' clock; the clock of the event loop is unchanged."""
     shifted = SimpleNamespace(
         CLOCK_BOOTTIME=time.CLOCK_BOOTTIME,
         clock_gettime=lambda which: time.clock_gettime(which) + since_boot_s,
@@ -29,7 +29,7 @@
 
 @when("the machines are suspended for {seconds:g} s")
 def suspended(context: Any, seconds: float) -> None:
-    context.woke_at = time.clock_gettime(time.CLOCK_BOOTTIME) + seconds
+    context.resumed_at = time.clock_gettime(time.CLOCK_BOOTTIME) + seconds
     shift_clocks(context, since_boot_s=seconds)
 
 
@@ -38,7 +38,7 @@
     shift_clocks(context, of_day_s=seconds)
 
 
-@then("the first request through node {number:d} is refused with when to come back")
+@then("the first request through node {number:d} is refused with a retry hint")
 def first_refused(context: Any, number: int) -> None:
     result = run(context, context.fleet.call(fleet_node(context, number)))
     assert result.status == 503, result
@@ -47,14 +47,19 @@
 
 @then(
     "the first request through node {number:d} is answered {status:d}, "
-    "and the node had asked what is in force"
+    "after the node has checked that its settings are current"
 )
-def answered_after_asking(context: Any, number: int, status: int) -> None:
+def answered_after_check(context: Any, number: int, status: int) -> None:
     freshness = fleet_node(context, number).node.view.freshness
-    assert freshness.caught_up_at < context.woke_at, "it asked before the first request"
+    assert (
+        freshness.caught_up_at < context.resumed_at
+    ), "the node checked its settings before the first request"
     result = run(context, context.fleet.call(fleet_node(context, number)))
     assert result.status == status, result
-    assert freshness.caught_up_at >= context.woke_at, (freshness.caught_up_at, context.woke_at)
+    assert freshness.caught_up_at >= context.resumed_at, (
+        freshness.caught_up_at,
+        context.resumed_at,
+    )
 
 
 @then("a request through node {number:d} is answered {status:d} within {seconds:g} s")
@@ -70,8 +75,8 @@
 @then("for {seconds:g} s requests through node {number:d} are answered {status:d}")
 def answered_on(context: Any, seconds: float, number: int, status: int) -> None:
     async def ask() -> None:
-        ends = asyncio.get_running_loop().time() + seconds
-        while asyncio.get_running_loop().time() < ends:
+        ends_at = asyncio.get_running_loop().time() + seconds
+        while asyncio.get_running_loop().time() < ends_at:
             result = await context.fleet.call(fleet_node(context, number))
             assert result.status == status, result
             await asyncio.sleep(0.02)
@@ -85,20 +90,20 @@
     assert len(members) == count, members
 
 
-def notices(transport: asyncio.BaseTransport) -> bool:
+def detects_silence(transport: asyncio.BaseTransport) -> bool:
     connection = transport.get_extra_info("socket")
-    kept = connection.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
+    keepalive = connection.getsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE)
     unacknowledged_ms = connection.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
-    return bool(kept) and 0 < unacknowledged_ms <= LONGEST_SILENCE_MS
+    return bool(keepalive) and 0 < unacknowledged_ms <= MAX_SILENCE_MS
 
 
-@then("node {number:d} notices silence on its connections to the other node")
-def notices_peers(context: Any, number: int) -> None:
+@then("node {number:d} detects silent peers on its connections to the other node")
+def detects_silent_nodes(context: Any, number: int) -> None:
     links = list(fleet_node(context, number).node.peer_client.links.values())
-    assert links and all(notices(link.socket.transport) for link in links), links
+    assert links and all(detects_silence(link.socket.transport) for link in links), links
 
 
-@then("node {number:d} notices silence on its connections to its backend server")
-def notices_backend(context: Any, number: int) -> None:
+@then("node {number:d} detects silent peers on its connections to its backend server")
+def detects_silent_backend(context: Any, number: int) -> None:
     connections = list(fleet_node(context, number).node.transport.connections)
-    assert connections and all(notices(each.transport) for each in connections), connections
+    assert connections and all(detects_silence(each.transport) for each in connections), connections
--- a/features/steps/platform_moved_route_steps.py
+++ b/features/steps/platform_moved_route_steps.py
@@ -1,4 +1,4 @@
-"""Steps with a route that moves while a request is being read."""
+"""Steps on a route that moves to another service while a request body is being read."""
 
 import asyncio
 from typing import Any
@@ -10,20 +10,20 @@
 
 use_step_matcher("parse")
 
-HALF = b"h" * 2000
+HALF_BODY = b"h" * 2000
 
 
 @when('a client has sent half of a body to "{path}" by node {number:d}')
-def when_half(context: Any, path: str, number: int) -> None:
+def send_half_body(context: Any, path: str, number: int) -> None:
     head = (
         f"POST {path} HTTP/1.1\r\nHost: {HOST_NAME}\r\nX-Attempt-Id: 0000000000000001\r\n"
-        f"X-Deadline-Ms: 1500\r\nContent-Length: {2 * len(HALF)}\r\n\r\n"
+        f"X-Deadline-Ms: 1500\r\nContent-Length: {2 * len(HALF_BODY)}\r\n\r\n"
     )
 
     async def send() -> None:
         host, _, port = fleet_node(context, number).callers.rpartition(":")
         context.reader, context.writer = await asyncio.open_connection(host, int(port))
-        context.writer.write(head.encode() + HALF)
+        context.writer.write(head.encode() + HALF_BODY)
         await asyncio.sleep(0.1)
 
     run(context, send())
@@ -42,7 +42,7 @@
 @step("the client sends the rest")
 def client_sends_rest(context: Any) -> None:
     async def send() -> None:
-        context.writer.write(HALF)
+        context.writer.write(HALF_BODY)
         assert (await context.reader.readline()).split()[1] == b"200"
         context.writer.close()
 
