--- a/features/platform/named_limits.feature
+++ b/features/platform/named_limits.feature
@@ -1,7 +1,8 @@
 Feature: A backend server gets no more than the limit that it names, and nothing once it leaves
 
   Scenario Outline: A server that names a limit gets no more, from all nodes together
-    # The server answers with the requests a second that it takes, and goes on to get its even share.
+    # A server states a rate limit in its responses. A load balancer that ignores the limit would go on
+    # sending it an even share of the requests.
     Given <servers> servers on the platform that run lookups for 160 ms
     And <stating>
     When 60 lookups a second come through all nodes
@@ -9,7 +10,7 @@
     And 7 s pass while they come
     Then each of these got no more than its limit allows
     And each of these got at least <least> in the last 4 s
-    And each lookup that was refused has a time to come back
+    And each lookup that was refused has a retry hint
 
     Examples:
       | servers | limited | rate | least | stating                               |
@@ -20,7 +21,7 @@
       | 3       | 1       | 0    | 0     | their health says nothing               |
 
   Scenario: A node that starts anew keeps its server to the limit that others know
-    # The new process has forgotten the limit and what was sent; the callers of other nodes are bound.
+    # The new process knows neither the limit nor the requests already sent, but other nodes do.
     Given 3 servers on the platform that run lookups for 160 ms
     And their health says nothing
     When 60 lookups a second come through all nodes
@@ -34,7 +35,7 @@
     And their health says nothing
     When 60 lookups a second come through all nodes
     And after 1 s 1 of them name 4 requests a second
-    And after 4 s they name none any more
+    And after 4 s they name no limit any more
     And 5 s pass while they come
     Then each of these got at least 40 in the last 4 s
 
@@ -43,19 +44,20 @@
     And their health says what their answers do
     When 60 lookups a second come through all nodes
     And after 1 s 1 of them name 1 requests a second
-    And after 3 s another start of the first server, without a limit, takes its place
+    And after 3 s a new instance of the first server, without a limit, replaces it
     And 5 s pass while they come
     Then each of these got at least 40 in the last 4 s
 
   Scenario Outline: A server that says in its answers that it leaves gets nothing more
-    # Its heartbeats go on to say that it is ready, and so does its health, but for the word.
+    # Its heartbeats still report that it is ready; its health check does too, unless it repeats the
+    # statement.
     Given 4 servers on the platform that run lookups for 160 ms
     And <stating>
     When 60 lookups a second come through all nodes
     And after 1 s the first server says that it leaves, while its heartbeats say that it is ready
     And <then>
     And 5 s pass while they come
-    Then nothing reached it from a node 2 s after that had passed its word on
+    Then no node sent it a request later than 2 s after passing its statement on
     And at least 95 in 100 of the lookups were answered 200
 
     Examples:
--- a/features/steps/platform_named_limits_steps.py
+++ b/features/steps/platform_named_limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps with real nodes beside backend servers that name limits, or say that they leave."""
+"""Steps with real nodes beside backend servers that state rate limits, or that they leave."""
 
 import asyncio
 import time
@@ -13,14 +13,14 @@
 
 use_step_matcher("parse")
 
-HEARTBEAT_S = 0.3
-# In what time a node that stood still has asked what is in force, while all others have as well.
-ASKED_AGAIN_S = 1.0
+HEARTBEAT_INTERVAL_S = 0.3
+# Time after a stall in which a node has checked its settings, while all other nodes do the same.
+SETTINGS_CHECK_S = 1.0
 
 
 @attrs.define(slots=True, eq=False)
-class LimitPlay:
-    """The lookups of a scenario, and which servers have named what."""
+class LimitRun:
+    """The lookups of a scenario, the limited servers and the limits that they stated."""
 
     lookups: Lookups
     named: list[NamedRate] = attrs.Factory(list)
@@ -33,8 +33,8 @@
 
     async def begin() -> None:
         for number in range(count):
-            zone = f"z{number % 2}"
-            await fleet.add_node("mapdesk", service_ms=float(ms), slots=18, data_centre=zone)
+            data_centre = f"z{number % 2}"
+            await fleet.add_node("mapdesk", service_ms=float(ms), slots=18, data_centre=data_centre)
         fleet.configure(4, [route("/tiles/", {"mapdesk": 1}, MaxAttempts=2)])
         await fleet.settle()
 
@@ -44,7 +44,7 @@
         result = await fleet.call(fleet.fleet_nodes[turn], attempt=attempt)
         return Reply(result.status, result.headers)
 
-    context.play = LimitPlay(Lookups(count, send))
+    context.limit_run = LimitRun(Lookups(count, send))
 
 
 @given("their health says what their answers do")
@@ -62,7 +62,7 @@
 @when("{per_s:d} lookups a second come through all nodes")
 def when_come(context: Any, per_s: int) -> None:
     async def begin() -> None:
-        context.coming = asyncio.create_task(context.play.lookups.come(per_s))
+        context.lookup_task = asyncio.create_task(context.limit_run.lookups.come(per_s))
 
     run(context, begin())
 
@@ -76,26 +76,26 @@
 def when_name(context: Any, seconds: int, count: int, rate: str) -> None:
     async def name() -> None:
         await asyncio.sleep(seconds)
-        play = context.play
-        play.limited = context.fleet.fleet_nodes[:count]
-        for each in play.limited:
+        limit_run = context.limit_run
+        limit_run.limited = context.fleet.fleet_nodes[:count]
+        for each in limit_run.limited:
             each.server.rate = rate
-        play.named.append(NamedRate(time.monotonic(), float(rate)))
+        limit_run.named.append(NamedRate(time.monotonic(), float(rate)))
 
     run(context, name())
 
 
-@when("after {seconds:d} s they name none any more")
-def when_none(context: Any, seconds: int) -> None:
-    async def end() -> None:
+@when("after {seconds:d} s they name no limit any more")
+def when_no_limit(context: Any, seconds: int) -> None:
+    async def remove_limit() -> None:
         await asyncio.sleep(seconds)
-        for each in context.play.limited:
+        for each in context.limit_run.limited:
             each.server.rate = None
 
-    run(context, end())
+    run(context, remove_limit())
 
 
-@when("after {seconds:d} s another start of the first server, without a limit, takes its place")
+@when("after {seconds:d} s a new instance of the first server, without a limit, replaces it")
 def when_replaced(context: Any, seconds: int) -> None:
     async def replace() -> None:
         await asyncio.sleep(seconds)
@@ -109,10 +109,10 @@
 
 
 @step("after {seconds:d} s the node beside the first server is started anew")
-def when_anew(context: Any, seconds: int) -> None:
+def when_restarted(context: Any, seconds: int) -> None:
     async def restart() -> None:
         await asyncio.sleep(seconds)
-        lookups = context.play.lookups
+        lookups = context.limit_run.lookups
         lookups.down.add(0)
         lookups.entered_anew(0)
         await context.fleet.restart_node(0)
@@ -128,73 +128,75 @@
     "while its heartbeats say that it is ready"
 )
 def when_leaves(context: Any, seconds: int) -> None:
-    async def beat() -> None:
+    async def send_heartbeats() -> None:
         while True:
-            await asyncio.sleep(HEARTBEAT_S)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             await context.fleet.fleet_nodes[0].registrant.heartbeat("i-1")
 
     async def leave() -> None:
         await asyncio.sleep(seconds)
         context.fleet.fleet_nodes[0].server.leaves = True
-        context.beats = asyncio.create_task(beat())
+        context.heartbeat_task = asyncio.create_task(send_heartbeats())
 
     run(context, leave())
 
 
-async def end_play(context: Any) -> None:
-    context.coming.cancel()
-    if beats := getattr(context, "beats", None):
-        beats.cancel()
-    await context.play.lookups.settle()
+async def finish_lookups(context: Any) -> None:
+    context.lookup_task.cancel()
+    if heartbeats := getattr(context, "heartbeat_task", None):
+        heartbeats.cancel()
+    await context.limit_run.lookups.settle()
 
 
 @then("each of these got no more than its limit allows")
 def then_within(context: Any) -> None:
-    run(context, end_play(context))
-    play = context.play
-    for each in play.limited:
-        told = play.lookups.told(each.server, "Server-Limit")
-        worst = fullest_window(play.named, play.lookups.requests_at(each.server), told)
-        assert worst is None or worst.is_within, worst
+    run(context, finish_lookups(context))
+    limit_run = context.limit_run
+    for each in limit_run.limited:
+        told = limit_run.lookups.told(each.server, "Server-Limit")
+        window = fullest_window(limit_run.named, limit_run.lookups.requests_at(each.server), told)
+        assert window is None or window.is_within, window
 
 
 @then("each of these got at least {least:d} in the last {seconds:d} s")
 def then_got(context: Any, least: int, seconds: int) -> None:
-    run(context, end_play(context))
-    play = context.play
-    ended = max(began for _, began in play.lookups.entered.values())
-    for each in play.limited:
-        count = sum(ended - seconds < arrival.at <= ended for arrival in each.server.received)
+    run(context, finish_lookups(context))
+    limit_run = context.limit_run
+    last_sent_at = max(sent_at for _, sent_at in limit_run.lookups.entered.values())
+    for each in limit_run.limited:
+        count = sum(
+            last_sent_at - seconds < arrival.at <= last_sent_at for arrival in each.server.received
+        )
         assert count >= least, count
 
 
-@then("each lookup that was refused has a time to come back")
+@then("each lookup that was refused has a retry hint")
 def then_hint(context: Any) -> None:
-    refused = [each for each in context.play.lookups.done if each.reply.status == 503]
+    refused = [each for each in context.limit_run.lookups.done if each.reply.status == 503]
     hints = [float(each.reply.headers.get("Retry-After", 0)) for each in refused]
     assert all(hint > 0 for hint in hints), hints
 
 
-@then("nothing reached it from a node {seconds:d} s after that had passed its word on")
-def then_nothing(context: Any, seconds: int) -> None:
-    run(context, end_play(context))
-    lookups, first = context.play.lookups, context.fleet.fleet_nodes[0]
+@then("no node sent it a request later than {seconds:d} s after passing its statement on")
+def then_no_late_requests(context: Any, seconds: int) -> None:
+    run(context, finish_lookups(context))
+    lookups, first = context.limit_run.lookups, context.fleet.fleet_nodes[0]
     told = lookups.told(first.server, "Server-Leaving")
-    assert told, "no node had passed the word on"
+    assert told, "no node has passed the statement on"
     late = lookups.late_at(first.server, told, seconds)
     assert not late, f"{len(late)} requests"
 
 
 @then("at least {share:d} in 100 of the lookups were answered 200")
 def then_answered(context: Any, share: int) -> None:
-    run(context, end_play(context))
-    # A node that stood still refuses until it has asked what is in force.
+    run(context, finish_lookups(context))
+    # After a stall, a node refuses requests until it has checked that its settings are current.
     stalls = context.fleet.loop_stalls
     lookups = [
         each
-        for each in context.play.lookups.done
-        if not stalls.overlaps(each.began, each.ended, ASKED_AGAIN_S)
+        for each in context.limit_run.lookups.done
+        if not stalls.overlaps(each.began, each.ended, SETTINGS_CHECK_S)
     ]
     good = sum(each.reply.status == 200 for each in lookups)
     assert good * 100 >= share * len(lookups), (good, len(lookups), stalls.stalls)
-    assert len(lookups) * 2 > len(context.play.lookups.done), stalls.stalls
+    assert len(lookups) * 2 > len(context.limit_run.lookups.done), stalls.stalls
--- a/features/steps/platform_workspaces_steps.py
+++ b/features/steps/platform_workspaces_steps.py
@@ -1,4 +1,4 @@
-"""Steps with real nodes whose callers have keys."""
+"""Steps with real nodes whose callers authenticate with keys."""
 
 import asyncio
 import io
@@ -20,16 +20,16 @@
 
 KEYS = {"a1": "secret-of-acme-1", "a2": "secret-of-acme-2", "b1": "secret-of-beta-1"}
 UNKNOWN_KEY = "secret-of-nobody"
-REVOKED_AFTER_S = 2.0
-PACE_S = 0.05
-AT_ONCE_S = 0.5
-LARGE_BYTES = 10_000_000
+REVOCATION_S = 2.0
+REQUEST_INTERVAL_S = 0.05
+REFUSAL_LIMIT_S = 0.5
+LARGE_BODY_BYTES = 10_000_000
 RUN_MS = 300.0
 
 
 @attrs.frozen(slots=True)
 class KeyCall:
-    """A request with a key: when it was sent, in seconds after the beginning, and what came."""
+    """A request with a key: its time, in seconds after the start, and its result."""
 
     sent_s: float
     result: CallResult
@@ -39,20 +39,20 @@
     return {"Name": name, "ApiKeys": keys, "RatePerS": 0, "Burst": 0, **fields}
 
 
-def token(key: str) -> dict[str, str]:
+def key_header(key: str) -> dict[str, str]:
     return {"Authorization": f"Token {key}"}
 
 
-def begin_fleet(context: Any) -> Any:
+def start_workspace_fleet(context: Any) -> Any:
     fleet = start_fleet(context)
     fleet.tenants = [tenant("acme", [KEYS["a1"]]), tenant("beta", [KEYS["b1"]])]
-    fleet.bounds = [*BOUNDS, "StrictRevoke=true", f"RevokeMs={REVOKED_AFTER_S * 1000:.0f}"]
+    fleet.bounds = [*BOUNDS, "StrictRevoke=true", f"RevokeMs={REVOCATION_S * 1000:.0f}"]
     return fleet
 
 
 @given("a fleet with workspaces: {services}")
 def given_fleet(context: Any, services: str) -> None:
-    fleet = begin_fleet(context)
+    fleet = start_workspace_fleet(context)
     context.version = 4
 
     async def begin() -> None:
@@ -80,29 +80,29 @@
         each.node.serving.running.process_started_at -= 3600
 
 
-def ran(context: Any) -> list[dict[str, str]]:
+def headers_that_ran(context: Any) -> list[dict[str, str]]:
     return [headers for each in context.fleet.fleet_nodes for headers in each.server.seen]
 
 
 @when('a caller with the key {key} that claims to be "{name}" asks each node')
 def when_claims(context: Any, key: str, name: str) -> None:
     for each in context.fleet.fleet_nodes:
-        headers = token(KEYS[key]) | {"X-Tenant-Name": name}
+        headers = key_header(KEYS[key]) | {"X-Tenant-Name": name}
         result = run(context, context.fleet.call(each, headers=headers))
         assert result.status == 200, result
 
 
 @then('each request ran for "{name}"')
 def then_ran_for(context: Any, name: str) -> None:
-    seen = ran(context)
+    seen = headers_that_ran(context)
     assert len(seen) == len(context.fleet.fleet_nodes), seen
     assert all(headers.get("x-tenant-name") == name for headers in seen), seen
 
 
-@step("no server was shown a key")
-def no_key_shown(context: Any) -> None:
-    told = str(ran(context))
-    assert "secret-of" not in told and "authorization" not in told, told
+@step("no server received a key")
+def no_key_received(context: Any) -> None:
+    received = str(headers_that_ran(context))
+    assert "secret-of" not in received and "authorization" not in received, received
 
 
 @when("a caller begins to send a large body with {key}")
@@ -119,17 +119,17 @@
         f"Host: {HOST_NAME}",
         "X-Attempt-Id: 0000000000000001",
         "X-Deadline-Ms: 1500",
-        f"Content-Length: {LARGE_BYTES}",
+        f"Content-Length: {LARGE_BODY_BYTES}",
         *lines,
     ]
 
     async def send() -> None:
         host, _, port = context.fleet.fleet_nodes[0].callers.rpartition(":")
         reader, writer = await asyncio.open_connection(host, int(port))
-        began = time.monotonic()
+        started_at = time.monotonic()
         writer.write("\r\n".join([*head, "", "a part"]).encode())
         context.status = (await reader.readline()).split()[1].decode()
-        context.took_s = time.monotonic() - began
+        context.took_s = time.monotonic() - started_at
         writer.close()
 
     run(context, send())
@@ -138,28 +138,32 @@
 @then("it gets {status:d} at once")
 def then_at_once(context: Any, status: int) -> None:
     assert context.status == str(status), context.status
-    assert context.took_s < AT_ONCE_S, context.took_s
+    assert context.took_s < REFUSAL_LIMIT_S, context.took_s
 
 
 @when('"{path}" is asked without a key, with an unknown one and with the key {key}')
 def when_open(context: Any, path: str, key: str) -> None:
     fleet_node = context.fleet.fleet_nodes[0]
-    for headers in ({}, token(UNKNOWN_KEY), token(KEYS[key])):
+    for headers in ({}, key_header(UNKNOWN_KEY), key_header(KEYS[key])):
         result = run(context, context.fleet.call(fleet_node, path, headers=headers))
         assert result.status == 200, result
 
 
 @then('each of them ran, for nobody, nobody and "{name}"')
 def then_open(context: Any, name: str) -> None:
-    assert [headers.get("x-tenant-name") for headers in ran(context)] == [None, None, name]
+    assert [headers.get("x-tenant-name") for headers in headers_that_ran(context)] == [
+        None,
+        None,
+        name,
+    ]
 
 
-async def call_of(context: Any, attempt: str, *, after: bool) -> CallResult:
-    """Make the call of a run while it is there, or once it has ended."""
+async def call_on_behalf(context: Any, attempt: str, *, after: bool) -> CallResult:
+    """Make a call on behalf of a request, while that runs or after it has ended."""
     fleet_node = context.fleet.fleet_nodes[0]
     fleet_node.server.service_time = ServiceTime(5.0 if after else RUN_MS, seed=1)
     parent = asyncio.create_task(
-        context.fleet.call(fleet_node, attempt=attempt, headers=token(KEYS["a1"]))
+        context.fleet.call(fleet_node, attempt=attempt, headers=key_header(KEYS["a1"]))
     )
     if after:
         await parent
@@ -174,12 +178,12 @@
 
 @when("a request of acme runs on mapdesk, and its server makes a call")
 def when_call(context: Any) -> None:
-    context.call = run(context, call_of(context, "0000000000000002", after=False))
+    context.call = run(context, call_on_behalf(context, "0000000000000002", after=False))
 
 
 @when("a request of acme has run on mapdesk, and its server makes a call")
 def when_late_call(context: Any) -> None:
-    context.call = run(context, call_of(context, "0000000000000003", after=True))
+    context.call = run(context, call_on_behalf(context, "0000000000000003", after=True))
 
 
 @then("the call ran, with the identity of no workspace")
@@ -191,7 +195,7 @@
 
 
 @when("a call is made for a request that runs nowhere")
-def when_made_up(context: Any) -> None:
+def when_call_without_run(context: Any) -> None:
     call = context.fleet.call(
         context.fleet.fleet_nodes[0], "/called/1", attempt="00000000000000ff.1"
     )
@@ -219,33 +223,35 @@
     admitted: list[Request] = []
     dispatch = fleet_node.node.dispatcher.dispatch
 
-    async def note(request: Request, *rest: Any) -> Any:
+    async def record(request: Request, *rest: Any) -> Any:
         admitted.append(request)
         return await dispatch(request, *rest)
 
-    fleet_node.node.ingress.dispatcher = type("Noting", (), {"dispatch": staticmethod(note)})
+    fleet_node.node.ingress.dispatcher = type(
+        "RecordingDispatcher", (), {"dispatch": staticmethod(record)}
+    )
     for key in ("a1", "b1"):
-        run(context, context.fleet.call(fleet_node, headers=token(KEYS[key])))
+        run(context, context.fleet.call(fleet_node, headers=key_header(KEYS[key])))
     assert [(each.urgent, each.rank) for each in admitted] == [(True, 0), (False, 1)], admitted
 
 
 @when("callers with good keys, unknown ones and none ask each node")
-def when_all_sorts(context: Any) -> None:
-    context.told = io.StringIO()
+def when_various_callers(context: Any) -> None:
+    context.output = io.StringIO()
 
     async def ask() -> None:
         for each in context.fleet.fleet_nodes:
-            for headers in (token(KEYS["a1"]), token(UNKNOWN_KEY), {}):
+            for headers in (key_header(KEYS["a1"]), key_header(UNKNOWN_KEY), {}):
                 result = await context.fleet.call(each, headers=headers)
-                context.told.write(f"{result.headers} {result.body!r}")
-            context.told.write(await shown_by(each))
+                context.output.write(f"{result.headers} {result.body!r}")
+            context.output.write(await operator_pages(each))
 
-    with redirect_stdout(context.told):
+    with redirect_stdout(context.output):
         run(context, ask())
 
 
-async def shown_by(fleet_node: FleetNode) -> str:
-    """Return what operators and metrics tell of a node."""
+async def operator_pages(fleet_node: FleetNode) -> str:
+    """Return what the operators' pages and the metrics of a node show."""
     pages = [
         f"http://{fleet_node.settings.operators}{path}"
         for path in ("/status", "/settings", "/explain?service=mapdesk", "/workspaces")
@@ -260,26 +266,26 @@
 
 @then("no key is in the log, the answers, the metrics, or what operators are shown")
 def then_no_key(context: Any) -> None:
-    told = context.told.getvalue()
-    assert "ingress.refused" in told, "the log was not taken"
-    assert key_fingerprint(key_digest(UNKNOWN_KEY)) in told, "the refused key has no fingerprint"
-    assert "secret-of" not in told, told[told.index("secret-of") - 200 :][:300]
+    output = context.output.getvalue()
+    assert "ingress.refused" in output, "the log was not captured"
+    assert key_fingerprint(key_digest(UNKNOWN_KEY)) in output, "the refused key has no fingerprint"
+    assert "secret-of" not in output, output[output.index("secret-of") - 200 :][:300]
 
 
-@when("a version takes the key a1 away and adds the key a2")
+@when("a version removes the key a1 and adds the key a2")
 def when_replaced(context: Any) -> None:
-    take_away(context, [KEYS["a2"]])
-    run(context, asyncio.sleep(REVOKED_AFTER_S))
+    set_keys_of_acme(context, [KEYS["a2"]])
+    run(context, asyncio.sleep(REVOCATION_S))
 
 
-def store_of(fleet_node: FleetNode) -> str:
+def store_address_of(fleet_node: FleetNode) -> str:
     """Return the address at which a node reaches the store."""
     return fleet_node.settings.store.removeprefix("http://")
 
 
-def take_away(context: Any, left: list[str]) -> None:
+def set_keys_of_acme(context: Any, keys: list[str]) -> None:
     context.version += 1
-    context.fleet.tenants = [tenant("acme", left), tenant("beta", [KEYS["b1"]])]
+    context.fleet.tenants = [tenant("acme", keys), tenant("beta", [KEYS["b1"]])]
     context.fleet.configure(context.version)
 
 
@@ -287,38 +293,38 @@
 def then_replaced(context: Any) -> None:
     for each in context.fleet.fleet_nodes:
         for key, status in (("a1", 401), ("a2", 200)):
-            result = run(context, context.fleet.call(each, headers=token(KEYS[key])))
+            result = run(context, context.fleet.call(each, headers=key_header(KEYS[key])))
             assert result.status == status, (each.settings.name, key, result)
 
 
-@when("a version takes the key a1 away while the store turns node {number:d} away")
-def when_taken_while_away(context: Any, number: int) -> None:
-    context.fleet.store.turned_away = {store_of(context.fleet.fleet_nodes[number - 1])}
-    take_away(context, [])
-    run(context, asyncio.sleep(REVOKED_AFTER_S))
+@when("a version removes the key a1 while the store rejects node {number:d}")
+def when_removed_while_rejected(context: Any, number: int) -> None:
+    context.fleet.store.turned_away = {store_address_of(context.fleet.fleet_nodes[number - 1])}
+    set_keys_of_acme(context, [])
+    run(context, asyncio.sleep(REVOCATION_S))
 
 
 @then("after 2 s node {number:d} answers 401 to a1")
-def then_taken(context: Any, number: int) -> None:
-    call = context.fleet.call(context.fleet.fleet_nodes[number - 1], headers=token(KEYS["a1"]))
+def then_removed(context: Any, number: int) -> None:
+    call = context.fleet.call(context.fleet.fleet_nodes[number - 1], headers=key_header(KEYS["a1"]))
     result = run(context, call)
     assert result.status == 401, result
 
 
-async def come(
+async def send_requests(
     context: Any, fleet_nodes: list[FleetNode], path: str, seconds: float
 ) -> list[KeyCall]:
-    """Have callers come with the key a1 to each seat in turn."""
-    began = time.monotonic()
+    """Send requests with the key a1 to each of the nodes at a constant rate."""
+    started_at = time.monotonic()
 
     async def call(each: FleetNode) -> KeyCall:
-        sent_s = time.monotonic() - began
-        return KeyCall(sent_s, await context.fleet.call(each, path, headers=token(KEYS["a1"])))
+        sent_s = time.monotonic() - started_at
+        return KeyCall(sent_s, await context.fleet.call(each, path, headers=key_header(KEYS["a1"])))
 
     tasks = []
-    while time.monotonic() - began < seconds:
+    while time.monotonic() - started_at < seconds:
         tasks += [asyncio.create_task(call(each)) for each in fleet_nodes]
-        await asyncio.sleep(PACE_S)
+        await asyncio.sleep(REQUEST_INTERVAL_S)
     return await asyncio.gather(*tasks)
 
 
@@ -329,13 +335,13 @@
     async def play() -> None:
         fleet.store.mode = "refuse"
         context.calls, context.open_calls = await asyncio.gather(
-            come(context, fleet.fleet_nodes, "/tiles/7", 3.5),
-            come(context, fleet.fleet_nodes[:1], "/open/7", 3.5),
+            send_requests(context, fleet.fleet_nodes, "/tiles/7", 3.5),
+            send_requests(context, fleet.fleet_nodes[:1], "/open/7", 3.5),
         )
         fleet.store.mode = "up"
         await asyncio.sleep(1.0)
         context.after = [
-            await fleet.call(each, headers=token(KEYS["a1"])) for each in fleet.fleet_nodes
+            await fleet.call(each, headers=key_header(KEYS["a1"])) for each in fleet.fleet_nodes
         ]
 
     run(context, play())
@@ -343,15 +349,15 @@
 
 @then("none of them that was sent later than 2 s after it began ran")
 def then_none_ran(context: Any) -> None:
-    context.late = [each for each in context.calls if each.sent_s > REVOKED_AFTER_S]
+    context.late = [each for each in context.calls if each.sent_s > REVOCATION_S]
     assert context.late, "no call was sent so late"
-    attempts = {headers["x-attempt-id"] for headers in ran(context)}
+    attempts = {headers["x-attempt-id"] for headers in headers_that_ran(context)}
     wrong = [each for each in context.late if each.result.attempt in attempts]
     assert not wrong, wrong
     assert any(each.result.status == 200 for each in context.calls), "nothing was served at all"
 
 
-@step("each of these was refused as not run, with a time to come back")
+@step("each of these was refused as not run, with a retry hint")
 def refused_as_not_run(context: Any) -> None:
     wrong = [
         each
@@ -372,13 +378,13 @@
     assert all(result.status == 200 for result in context.after), context.after
 
 
-@when("the store turns node {number:d} away for 3 s while callers come to it with the key a1")
-def when_turned_away(context: Any, number: int) -> None:
+@when("the store rejects node {number:d} for 3 s while callers come to it with the key a1")
+def when_rejected(context: Any, number: int) -> None:
     fleet_node = context.fleet.fleet_nodes[number - 1]
 
     async def play() -> None:
-        context.fleet.store.turned_away = {store_of(fleet_node)}
-        context.calls = await come(context, [fleet_node], "/tiles/7", 3.0)
+        context.fleet.store.turned_away = {store_address_of(fleet_node)}
+        context.calls = await send_requests(context, [fleet_node], "/tiles/7", 3.0)
         context.fleet.store.turned_away = set()
 
     run(context, play())
