--- a/features/steps/platform_named_limits_steps.py
+++ b/features/steps/platform_named_limits_steps.py
@@ -33,8 +33,8 @@
 
     async def begin() -> None:
         for number in range(count):
-            data_centre = f"z{number % 2}"
-            await fleet.add_node("mapdesk", service_ms=float(ms), slots=18, data_centre=data_centre)
+            location = f"z{number % 2}"
+            await fleet.add_node("mapdesk", service_ms=float(ms), slots=18, data_centre=location)
         fleet.configure(4, [route("/tiles/", {"mapdesk": 1}, MaxAttempts=2)])
         await fleet.settle()
 
--- a/features/steps/platform_quota_steps.py
+++ b/features/steps/platform_quota_steps.py
@@ -43,8 +43,8 @@
     fleet.tenants = tenants(QUOTAS)
 
     async def begin() -> None:
-        for data_centre in DATA_CENTRES:
-            await fleet.add_node("mapdesk", data_centre=data_centre, slots=30)
+        for location in DATA_CENTRES:
+            await fleet.add_node("mapdesk", data_centre=location, slots=30)
         fleet.configure(4, [route("/tiles/", {"mapdesk": 1}, TargetLatencyMs=900)])
         await fleet.settle()
         # A quota pool is full once a node has owned it for a while.
