--- a/features/steps/platform_cold_steps.py
+++ b/features/steps/platform_cold_steps.py
@@ -15,10 +15,10 @@
 
 use_step_matcher("parse")
 
-COLD_S = 6.0
+COLD_START_S = 6.0
 COLD_PER_S = 7.5
-GOAL_S = 0.3
-RUN_S = 0.05
+LATENCY_GOAL_S = 0.3
+SERVICE_TIME_S = 0.05
 
 
 @attrs.frozen(slots=True)
@@ -33,10 +33,10 @@
 async def report_cold(context: Any, each: FleetNode) -> None:
     """Have a server report that it is cold, in the way that the scenario names."""
     loop = asyncio.get_running_loop()
-    each.server.cold_until = loop.time() + COLD_S
+    each.server.cold_until = loop.time() + COLD_START_S
     each.server.tells_cold = context.how == "by their health"
     if context.how == "by their heartbeats alone":
-        each.registrant.cold_left_ms = round(COLD_S * 1000)
+        each.registrant.cold_left_ms = round(COLD_START_S * 1000)
         await each.registrant.heartbeat(each.server.instance)
 
 
@@ -44,11 +44,13 @@
 def given_cold(context: Any, places: str, how: str) -> None:
     context.how = how
     fleet = start_fleet(context)
-    fleet.service_fields = {"ColdStartS": COLD_S, "ColdPerS": COLD_PER_S}
+    fleet.service_fields = {"ColdStartS": COLD_START_S, "ColdPerS": COLD_PER_S}
 
     async def begin() -> None:
         # Without an instance id, no node uses its server before the server is known to be cold.
-        await add_nodes(context, places.split(", "), instance="", service_ms=RUN_S * 1000, slots=7)
+        await add_nodes(
+            context, places.split(", "), instance="", service_ms=SERVICE_TIME_S * 1000, slots=7
+        )
         fleet.configure(4, [route("/tiles/", {"mapdesk": 1}, MaxAttempts=2)])
         await fleet.wait_for(lambda: all(each.node.view.revision for each in fleet.fleet_nodes))
         for each in fleet.fleet_nodes:
@@ -66,7 +68,7 @@
 
 @step("they turn cold")
 def turn_cold(context: Any) -> None:
-    set_cold(context, COLD_S)
+    set_cold(context, COLD_START_S)
 
 
 def set_cold(context: Any, seconds: float) -> None:
@@ -128,7 +130,7 @@
     """Return whether a request was refused within its latency goal, with a retry hint."""
     took_s = each.received_at - each.sent_at - unscheduled.between(each.sent_at, each.received_at)
     retry_after_s = float(each.result.headers.get("Retry-After", 0))
-    return each.result.status == 503 and retry_after_s > 0 and took_s < GOAL_S
+    return each.result.status == 503 and retry_after_s > 0 and took_s < LATENCY_GOAL_S
 
 
 def was_unscheduled(unscheduled: UnscheduledTime, each: TimedResult) -> bool:
@@ -137,4 +139,4 @@
     The first node then gives up the request after its latency goal, and another node has it wait
     until its deadline for a late response.
     """
-    return unscheduled.between(each.sent_at, each.sent_at + GOAL_S) > RUN_S
+    return unscheduled.between(each.sent_at, each.sent_at + LATENCY_GOAL_S) > SERVICE_TIME_S
--- a/features/steps/platform_evacuation_steps.py
+++ b/features/steps/platform_evacuation_steps.py
@@ -10,12 +10,12 @@
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from features.platform_harness import CallResult, route
-from features.steps.platform_node_steps import PATIENT, fleet_node, run, start_fleet
+from features.steps.platform_node_steps import LONG_TIMEOUTS, fleet_node, run, start_fleet
 from marjoramtide.policy import EvacuationSnapshot, EvacuationState
 
 use_step_matcher("parse")
 
-KIND = "evacuations"
+EVACUATION_KIND = "evacuations"
 # Nodes open their watch of the evacuations about two seconds after their start.
 WATCH_TIMEOUT_S = 5.0
 
@@ -41,7 +41,7 @@
         4,
         [
             route("/tiles/", {"mapdesk": 1}, MaxAttempts=2),
-            route("/book/", {"mapdesk": 1}, kind="non_idempotent", **PATIENT),
+            route("/book/", {"mapdesk": 1}, kind="non_idempotent", **LONG_TIMEOUTS),
         ],
     )
     run(context, fleet.settle())
@@ -67,7 +67,7 @@
 @given("a store on the platform in which {name} is evacuated")
 def given_evacuated_store(context: Any, name: str) -> None:
     fleet = start_fleet(context)
-    fleet.store.state.put(KIND, name, Specification={})
+    fleet.store.state.put(EVACUATION_KIND, name, Specification={})
 
 
 @when("a node starts beside {place}")
@@ -117,7 +117,7 @@
 
 def write(context: Any, name: str, value: Any) -> None:
     async def put() -> None:
-        context.fleet.store.state.put(KIND, name, Specification=value)
+        context.fleet.store.state.put(EVACUATION_KIND, name, Specification=value)
         await asyncio.sleep(0.1)
 
     run(context, put())
@@ -132,7 +132,7 @@
 @step("the operator ends the evacuation of {name}")
 def ends_evacuation(context: Any, name: str) -> None:
     async def remove() -> None:
-        context.fleet.store.state.remove(KIND, name)
+        context.fleet.store.state.remove(EVACUATION_KIND, name)
         await asyncio.sleep(0.1)
 
     run(context, remove())
@@ -143,8 +143,8 @@
 def ends_evacuation_and_evacuates(context: Any, name: str) -> None:
     async def replace() -> None:
         state = context.fleet.store.state
-        state.remove(KIND, name)
-        state.put(KIND, name, Specification={})
+        state.remove(EVACUATION_KIND, name)
+        state.put(EVACUATION_KIND, name, Specification={})
 
     run(context, replace())
     context.ordered_at = time.monotonic()
--- a/features/steps/platform_node_steps.py
+++ b/features/steps/platform_node_steps.py
@@ -18,7 +18,7 @@
 
 BODY_BYTES = 256
 RETRY_INTERVAL_S = 0.05
-PATIENT = {"TimeoutMs": 9000, "TargetLatencyMs": 8500}
+LONG_TIMEOUTS = {"TimeoutMs": 9000, "TargetLatencyMs": 8500}
 
 
 def run(context: Any, work: Any) -> Any:
@@ -44,7 +44,7 @@
         4,
         [
             route("/tiles/", {"mapdesk": 1}),
-            route("/book/", {"mapdesk": 1}, kind="non_idempotent", **PATIENT),
+            route("/book/", {"mapdesk": 1}, kind="non_idempotent", **LONG_TIMEOUTS),
         ],
     )
 
--- a/features/steps/platform_workspaces_steps.py
+++ b/features/steps/platform_workspaces_steps.py
@@ -22,9 +22,9 @@
 UNKNOWN_KEY = "secret-of-nobody"
 REVOCATION_S = 2.0
 REQUEST_INTERVAL_S = 0.05
-REFUSAL_LIMIT_S = 0.5
+MAX_REFUSAL_S = 0.5
 LARGE_BODY_BYTES = 10_000_000
-RUN_MS = 300.0
+SERVICE_TIME_MS = 300.0
 
 
 @attrs.frozen(slots=True)
@@ -138,7 +138,7 @@
 @then("it gets {status:d} at once")
 def then_at_once(context: Any, status: int) -> None:
     assert context.status == str(status), context.status
-    assert context.took_s < REFUSAL_LIMIT_S, context.took_s
+    assert context.took_s < MAX_REFUSAL_S, context.took_s
 
 
 @when('"{path}" is asked without a key, with an unknown one and with the key {key}')
@@ -161,7 +161,7 @@
 async def call_on_behalf(context: Any, attempt: str, *, after: bool) -> CallResult:
     """Make a call on behalf of a request, while that runs or after it has ended."""
     fleet_node = context.fleet.fleet_nodes[0]
-    fleet_node.server.service_time = ServiceTime(5.0 if after else RUN_MS, seed=1)
+    fleet_node.server.service_time = ServiceTime(5.0 if after else SERVICE_TIME_MS, seed=1)
     parent = asyncio.create_task(
         context.fleet.call(fleet_node, attempt=attempt, headers=key_header(KEYS["a1"]))
     )
