--- a/features/loop_stops.py
+++ b/features/loop_stops.py
@@ -1,24 +1,24 @@
-"""Stops of the event loop in which a scenario's nodes and callers run together."""
+"""Stalls of the event loop that runs the nodes and the callers of a scenario."""
 
 import asyncio
 
 import attrs
 
 TICK_S = 0.02
-# A loop that does not come round for so long stands still, in seconds: longer than the longest step
-# of a node, shorter than the stop that a node takes for a freeze.
-STOP_S = 0.25
+# Longer than the longest step of a node, and shorter than the delay after which a node assumes that
+# its process was frozen.
+MIN_STALL_S = 0.25
 
 
 @attrs.define(slots=True, eq=False)
-class LoopStops:
-    """Knows when the loop stood still, so that what it did then is not put down to a node.
+class LoopStalls:
+    """Records stalls of the event loop, so that their effects are not taken for faults of a node.
 
-    On an overloaded machine the process is not run for tenths of a second. All nodes and their
-    callers stand still together, and a request of that moment is refused, or late.
+    An overloaded machine may not schedule the process for tenths of a second. All nodes and callers
+    then stall together, and requests in flight are refused or late.
     """
 
-    stops: list[tuple[float, float]] = attrs.Factory(list)
+    stalls: list[tuple[float, float]] = attrs.Factory(list)
     task: "asyncio.Task[None] | None" = None
 
     def start(self) -> None:
@@ -29,18 +29,18 @@
         while True:
             before = loop.time()
             await asyncio.sleep(TICK_S)
-            if loop.time() - before > STOP_S:
-                self.stops.append((before, loop.time()))
+            if loop.time() - before > MIN_STALL_S:
+                self.stalls.append((before, loop.time()))
 
-    async def since(self, began: float) -> float:
-        """Return for how many seconds the loop has stood still since a time of its clock."""
-        # The stop that has just ended is noted by the watch's next turn.
+    async def stalled_s_since(self, started_at: float) -> float:
+        """Return how many seconds the loop has been stalled since a time of its clock."""
+        # Lets the watch task record a stall that has just ended.
         await asyncio.sleep(0)
-        return sum(end - max(began, start) for start, end in self.stops if end > began)
+        return sum(end - max(started_at, start) for start, end in self.stalls if end > started_at)
 
-    def touches(self, began: float, ended: float, after_s: float) -> bool:
-        """Tell whether the loop stood still between two times, or within ``after_s`` before."""
-        return any(start < ended and end + after_s > began for start, end in self.stops)
+    def overlaps(self, started_at: float, ended_at: float, margin_s: float) -> bool:
+        """Return whether a stall ended less than ``margin_s`` before a period, or overlaps it."""
+        return any(start < ended_at and end + margin_s > started_at for start, end in self.stalls)
 
     def close(self) -> None:
         if self.task is not None:
--- a/features/platform_harness.py
+++ b/features/platform_harness.py
@@ -1,4 +1,4 @@
-"""Nodes on the platform's interface, with stand-ins around them, inside a scenario's event loop."""
+"""Nodes with the platform interface and stand-ins of their surroundings in one event loop."""
 
 import asyncio
 import random
@@ -9,7 +9,7 @@
 import attrs
 from aiohttp import web
 
-from features.loop_stops import LoopStops
+from features.loop_stops import LoopStalls
 from marjoramtide.daemon._node import Node
 from marjoramtide.platform import platform_interface
 from marjoramtide.settings import NodeSettings
@@ -22,7 +22,7 @@
 )
 
 HOST_NAME = "shop.example"
-WAIT_S = 10.0
+WAIT_TIMEOUT_S = 10.0
 BOUNDS = [
     "GraceS=6",
     "RetryBudgetRatio=0.2",
@@ -35,8 +35,8 @@
 
 
 @attrs.define(slots=True, eq=False)
-class Seat:
-    """One node with the backend server beside it."""
+class FleetNode:
+    """A node, the backend server beside it, and the client that registers that server."""
 
     settings: NodeSettings
     node: Node
@@ -47,8 +47,8 @@
     def callers(self) -> str:
         return self.settings.callers
 
-    async def ready(self) -> bool:
-        """Tell whether the platform would send callers here."""
+    async def is_ready(self) -> bool:
+        """Return whether the readiness endpoint tells the platform to send callers to this node."""
         async with (
             aiohttp.ClientSession() as session,
             session.get(f"http://{self.settings.readiness}/readiness") as response,
@@ -57,15 +57,15 @@
 
 
 class PlatformFleet:
-    """A store, an operator and seats; ``close`` ends them."""
+    """A store and a number of nodes with their backend servers; ``close`` stops them all."""
 
     def __init__(self) -> None:
         self.host = loopback_host()
         self.store = PlatformStoreServer()
-        # Not 0, which the library takes for no limit: a watch that waits would hold up the end of a
-        # scenario by its half minute.
-        self.runner = web.AppRunner(self.store.app(), access_log=None, shutdown_timeout=0.2)
-        self.seats: list[Seat] = []
+        # aiohttp takes a timeout of 0 for no limit: a pending watch request would then delay the
+        # end of the scenario by up to half a minute.
+        self.store_runner = web.AppRunner(self.store.app(), access_log=None, shutdown_timeout=0.2)
+        self.fleet_nodes: list[FleetNode] = []
         self.rng = random.Random(1)
         self.routes: list[dict[str, Any]] = []
         self.limits = {
@@ -77,20 +77,20 @@
         self.service_fields: dict[str, Any] = {}
         self.tenants: list[dict[str, Any]] | None = None
         self.bounds = BOUNDS
-        self.stops = LoopStops()
+        self.loop_stalls = LoopStalls()
 
     async def start(self) -> None:
-        self.stops.start()
-        await self.runner.setup()
+        self.loop_stalls.start()
+        await self.store_runner.setup()
 
     async def open_store(self) -> str:
-        """Return a new address of the store, so that it can tell one node from the others."""
-        await web.TCPSite(self.runner, self.host, 0).start()
-        return "http://{}:{}".format(*self.runner.addresses[-1][:2])
+        """Open another address of the store, by which the store can identify one node."""
+        await web.TCPSite(self.store_runner, self.host, 0).start()
+        return "http://{}:{}".format(*self.store_runner.addresses[-1][:2])
 
     def configure(self, version: int, routes: list[dict[str, Any]] | None = None) -> None:
-        """Write a configuration as the operator does."""
-        services = sorted({seat.settings.service for seat in self.seats})
+        """Write a configuration to the store, as the operator does."""
+        services = sorted({fleet_node.settings.service for fleet_node in self.fleet_nodes})
         if routes is not None:
             self.routes = routes
         self.store.state.put(
@@ -108,7 +108,7 @@
             | ({} if self.tenants is None else {"Tenants": self.tenants}),
         )
 
-    async def add_seat(
+    async def add_node(
         self,
         service: str,
         *,
@@ -116,18 +116,18 @@
         slots: int = 10,
         instance: str = "i-1",
         data_centre: str = "z",
-    ) -> Seat:
-        """Start a backend server and the node beside it; nothing is registered yet.
+    ) -> FleetNode:
+        """Start a backend server and the node beside it, without registering the server.
 
-        A node that finds its server sound and with an identity takes it before any registration;
-        with an empty ``instance`` it can't.
+        If health checks of the server succeed and state its instance, the node uses it before it is
+        registered. An empty ``instance`` prevents that.
         """
         server = await start_platform_backend(self.host, service_ms=service_ms, slots=slots)
         server.instance = instance
         addresses = [f"{self.host}:{free_port(self.host)}" for _ in range(7)]
         callers, peers, gossip, operators, readiness, registration, metrics = addresses
         settings = NodeSettings(
-            name=f"node-{len(self.seats) + 1}",
+            name=f"node-{len(self.fleet_nodes) + 1}",
             service=service,
             region="r",
             data_centre=data_centre,
@@ -147,44 +147,48 @@
         )
         node = Node(settings, platform_interface(settings))
         registrant = RegistrationClient(registration, service, server.name, slots)
-        seat = Seat(settings, node, server, registrant)
-        self.seats.append(seat)
+        fleet_node = FleetNode(settings, node, server, registrant)
+        self.fleet_nodes.append(fleet_node)
         await node.start()
-        return seat
+        return fleet_node
 
     async def restart_node(self, number: int) -> None:
-        """End the node of a seat without a word, and start another at its addresses."""
-        seat = self.seats[number]
-        await self.end_node(seat.node)
-        seat.node = Node(seat.settings, platform_interface(seat.settings))
-        await seat.node.start()
+        """Stop a node without announcing it, and start a new one at the same addresses."""
+        fleet_node = self.fleet_nodes[number]
+        await self.stop_without_leaving(fleet_node.node)
+        fleet_node.node = Node(fleet_node.settings, platform_interface(fleet_node.settings))
+        await fleet_node.node.start()
 
-    async def end_node(self, node: Node) -> None:
+    async def stop_without_leaving(self, node: Node) -> None:
         await node.membership.stop(leave=False)
         await node.ingress.close()
         await node.close()
 
     async def settle(self) -> None:
         """Register each backend server, and wait until all nodes know all and take callers."""
-        for seat in self.seats:
-            await seat.registrant.heartbeat(seat.server.instance)
-        await self.wait_for(lambda: all(self.knows_all(seat) for seat in self.seats))
-        # From here on changes are heard of at once; before, nodes that start look in turn.
+        for fleet_node in self.fleet_nodes:
+            await fleet_node.registrant.heartbeat(fleet_node.server.instance)
+        await self.wait_for(
+            lambda: all(self.knows_all(fleet_node) for fleet_node in self.fleet_nodes)
+        )
+        # While they start, nodes poll the store; once a watch is open, changes reach them at once.
         await self.wait_for(lambda: self.store.calls["watches"] > 0)
 
-    def knows_all(self, seat: Seat) -> bool:
-        services = {each.settings.service for each in self.seats}
-        known = sum(len(seat.node.membership.members_of(service)) for service in services)
-        return seat.node.accepts_callers() and known == len(self.seats)
+    def knows_all(self, fleet_node: FleetNode) -> bool:
+        services = {each.settings.service for each in self.fleet_nodes}
+        known = sum(len(fleet_node.node.membership.members_of(service)) for service in services)
+        return fleet_node.node.accepts_callers() and known == len(self.fleet_nodes)
 
-    async def wait_for(self, condition: Callable[[], bool], timeout: float = WAIT_S) -> None:
+    async def wait_for(
+        self, condition: Callable[[], bool], timeout: float = WAIT_TIMEOUT_S
+    ) -> None:
         async with asyncio.timeout(timeout):
             while not condition():
                 await asyncio.sleep(0.02)
 
     async def call(
         self,
-        seat: Seat,
+        fleet_node: FleetNode,
         path: str = "/tiles/7",
         *,
         method: str = "GET",
@@ -192,7 +196,7 @@
         headers: dict[str, str] | None = None,
         body: bytes | None = None,
     ) -> "CallResult":
-        """Make one request of a client through a seat's node."""
+        """Send one request of a client through a node."""
         sent = {
             "Host": HOST_NAME,
             "X-Attempt-Id": attempt or f"{self.rng.getrandbits(64):016x}",
@@ -201,7 +205,7 @@
         async with (
             aiohttp.ClientSession() as session,
             session.request(
-                method, f"http://{seat.callers}{path}", headers=sent, data=body
+                method, f"http://{fleet_node.callers}{path}", headers=sent, data=body
             ) as response,
         ):
             content = await response.read()
@@ -210,18 +214,18 @@
             )
 
     async def close(self) -> None:
-        self.stops.close()
-        for seat in self.seats:
-            await self.end_node(seat.node)
-            await seat.server.close()
+        self.loop_stalls.close()
+        for fleet_node in self.fleet_nodes:
+            await self.stop_without_leaving(fleet_node.node)
+            await fleet_node.server.close()
         self.store.mode = "reset"
         self.store.state.compact_history()
-        await self.runner.cleanup()
+        await self.store_runner.cleanup()
 
 
 @attrs.frozen(slots=True)
 class CallResult:
-    """What a client got."""
+    """The response to a client, with the id of its attempt."""
 
     attempt: str
     status: int
@@ -232,9 +236,9 @@
 def route(
     prefix: str, split: dict[str, int], *, kind: str = "idempotent", **fields: Any
 ) -> dict[str, Any]:
-    """Return a route as the operator writes it."""
+    """Return a route in the form in which the operator writes it."""
     parts = [{"Service": name, "Weight": weight} for name, weight in split.items()]
-    where: dict[str, Any] = (
+    target: dict[str, Any] = (
         {"Service": parts[0]["Service"]} if len(parts) == 1 else {"WeightedSplit": parts}
     )
     return {
@@ -246,6 +250,6 @@
         "TargetLatencyMs": 300,
         "Priority": 1,
         "MaxAttempts": 2,
-        **where,
+        **target,
         **fields,
     }
