--- a/bench/evacuation/_evacuation_network.py
+++ b/bench/evacuation/_evacuation_network.py
@@ -41,7 +41,7 @@
         """Return the service of a node that knows of no evacuation yet."""
         directory = ModelDirectory(self.members[number], lambda node: None)
         for member in self.members:
-            directory.take(member)
+            directory.apply_update(member)
 
         def publish(fields: list[Any], readers: Iterable[Member]) -> None:
             for reader in readers:
--- a/bench/model/_experiment.py
+++ b/bench/model/_experiment.py
@@ -15,7 +15,7 @@
 
 from bench.model._deployment import Deployment
 from bench.model._draw import draw_deployment
-from bench.model._play import play
+from bench.model._play import simulate_deployment
 from bench.model._structuring import structuring_notes
 from bench.model._tally import Tally
 
@@ -44,7 +44,11 @@
 
     def run(self) -> Run:
         """Play it."""
-        return Run(self.deployment.name, self.seed, play(self.deployment, self.seed, self.changes))
+        return Run(
+            self.deployment.name,
+            self.seed,
+            simulate_deployment(self.deployment, self.seed, self.changes),
+        )
 
 
 def run_job(job: Job) -> Run:
--- a/bench/model/_model_directory.py
+++ b/bench/model/_model_directory.py
@@ -39,7 +39,7 @@
 
     def set_state(self, state: MemberState) -> None:
         self.own = attrs.evolve(self.own, state=state, incarnation=self.own.incarnation + 1)
-        self.take(self.own)
+        self.apply_update(self.own)
 
     def set_settings(self, revision: int, digest: str) -> None:
         return None
@@ -50,7 +50,7 @@
     def on_change(self, listener: Callable[[Member], None]) -> None:
         self.changed.append(listener)
 
-    def take(self, member: Member) -> None:
+    def apply_update(self, member: Member) -> None:
         """Take news of a member in, unless newer ones overtook them on the way."""
         held = self.known.get(member.node)
         if held is not None and member.incarnation < held.incarnation:
--- a/bench/model/_play.py
+++ b/bench/model/_play.py
@@ -14,7 +14,9 @@
 from bench.model._world import World
 
 
-def play(deployment: Deployment, seed: int, changes: Mapping[str, Any] | None) -> Tally:
+def simulate_deployment(
+    deployment: Deployment, seed: int, changes: Mapping[str, Any] | None
+) -> Tally:
     """Play a day with these settings changed, or under the oracle; raises ``bad-settings``."""
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     text = "" if changes is None else settings_text(deployment, changes)
--- a/bench/model/_world.py
+++ b/bench/model/_world.py
@@ -139,7 +139,7 @@
         return self.rng.uniform(*GOSSIP_S)
 
     def later(self, reader: ModelNode, member: Member, delay_s: float) -> None:
-        self.loop.call_later(delay_s, reader.directory.take, member)
+        self.loop.call_later(delay_s, reader.directory.apply_update, member)
 
     def spread(self, node: ModelNode, changed: Member) -> None:
         """Let the others hear what a node says of itself."""
@@ -159,7 +159,7 @@
         for node in self.nodes():
             held = node.directory.find(name)
             if held is not None and held.state is not state:
-                node.directory.take(attrs.evolve(held, state=state))
+                node.directory.apply_update(attrs.evolve(held, state=state))
 
     def publish(self, node: ModelNode, report: LoadReport) -> None:
         """Bring news of a server's pace to those that follow it."""
--- a/bench/quarantine/_news_network.py
+++ b/bench/quarantine/_news_network.py
@@ -41,7 +41,7 @@
         """Return the quarantine of a node that knows nothing yet."""
         directory = ModelDirectory(self.members[number], lambda node: None)
         for member in self.members:
-            directory.take(member)
+            directory.apply_update(member)
 
         def publish(fields: list[Any], readers: Iterable[Member]) -> None:
             for reader in readers:
--- a/bench/quota/_quota_network.py
+++ b/bench/quota/_quota_network.py
@@ -73,7 +73,7 @@
     def make_directory(self, number: int, known: Iterable[Member]) -> ModelDirectory:
         directory = ModelDirectory(self.members[number], lambda node: None)
         for member in known:
-            directory.take(member)
+            directory.apply_update(member)
         return directory
 
     def make_node(self, number: int) -> QuotaService:
@@ -134,7 +134,7 @@
     def notice(self, other: int, number: int, member: Member) -> None:
         apart = self.sides.get(other, 0) != self.sides.get(number, 0)
         if number in self.down or apart:
-            self.directories[other].take(member)
+            self.directories[other].apply_update(member)
 
     def start_again(self, number: int) -> None:
         """Start a node anew, which has forgotten everything but finds the others."""
@@ -164,11 +164,13 @@
             for there in range(len(self.members)):
                 if here != there:
                     met_s = self.rng.uniform(*MET_S)
-                    self.loop.call_later(met_s, self.directories[here].take, self.members[there])
+                    self.loop.call_later(
+                        met_s, self.directories[here].apply_update, self.members[there]
+                    )
 
     def meet(self, other: int, member: Member, gone: Member) -> None:
-        self.directories[other].take(member)
-        self.directories[other].take(gone)
+        self.directories[other].apply_update(member)
+        self.directories[other].apply_update(gone)
 
     def freeze(self, number: int, seconds: float) -> None:
         self.frozen[number] = []
--- a/bench/witness.py
+++ b/bench/witness.py
@@ -47,7 +47,7 @@
     assert server.server is not None
     address = "{}:{}".format(*next(iter(server.server.sockets)).getsockname())
     directory = ModelDirectory(make_member("teller", NOWHERE), lambda node: None)
-    directory.take(make_member("witness", address))
+    directory.apply_update(make_member("witness", address))
     client = PeerClient(KEY, clock)
     teller = RunTeller(directory, client, lambda _: False, clock, random.Random(1), Metrics())
     telling = asyncio.create_task(teller.run())
--- a/features/peer_nodes.py
+++ b/features/peer_nodes.py
@@ -81,7 +81,7 @@
     members = [peer_node.member for peer_node in context.peer_nodes]
     for peer_node in context.peer_nodes:
         for member in members:
-            peer_node.directory.take(member)
+            peer_node.directory.apply_update(member)
 
 
 async def until(condition: Any) -> None:
--- a/features/steps/model_steps.py
+++ b/features/steps/model_steps.py
@@ -14,7 +14,7 @@
 from bench.model._fault_plan import FaultPlan
 from bench.model._kind_plan import KindPlan
 from bench.model._neighbours import Neighbours
-from bench.model._play import play
+from bench.model._play import simulate_deployment
 from bench.model._service_plan import ServicePlan
 
 NEIGHBOURS = Neighbours(share=0.3, factor=4.0, stretch_s=0.2)
@@ -62,17 +62,17 @@
 
 @when("it is played twice under seed 1")
 def step_twice(context: Any) -> None:
-    context.plays = [play(context.deployment, 1, {}) for _ in range(2)]
+    context.plays = [simulate_deployment(context.deployment, 1, {}) for _ in range(2)]
 
 
 @when("it is played under the policy in force and under the oracle")
 def step_oracle(context: Any) -> None:
-    context.plays = [play(context.deployment, 1, changes) for changes in ({}, None)]
+    context.plays = [simulate_deployment(context.deployment, 1, changes) for changes in ({}, None)]
 
 
 @when("it is played under the policy in force")
 def step_once(context: Any) -> None:
-    context.play = play(context.deployment, 1, {})
+    context.figures = simulate_deployment(context.deployment, 1, {})
 
 
 @then("both plays have the same figures")
@@ -85,7 +85,7 @@
 def step_verdict(context: Any) -> None:
     pairs = [
         tuple(
-            Run("shops", seed, play(context.deployment, seed, changes))
+            Run("shops", seed, simulate_deployment(context.deployment, seed, changes))
             for changes in ({"selector": "random"}, {})
         )
         for seed in (1, 2, 3)
@@ -101,9 +101,11 @@
 
 @then("requests of that moment have failed and those of the last seconds are served")
 def step_lost(context: Any) -> None:
-    assert any("Connection" in reason for reason in context.play.reasons), context.play.reasons
+    assert any(
+        "Connection" in reason for reason in context.figures.reasons
+    ), context.figures.reasons
     # Without another run of the nodes, three seconds in ten would have been served.
-    assert context.play.served > 0.6, context.play
+    assert context.figures.served > 0.6, context.figures
 
 
 @given("a deployment file with {mistake}")
--- a/features/steps/overload_steps.py
+++ b/features/steps/overload_steps.py
@@ -6,7 +6,7 @@
 
 from bench.model._deployment import Deployment
 from bench.model._kind_plan import KindPlan
-from bench.model._play import play
+from bench.model._play import simulate_deployment
 from bench.model._service_plan import ServicePlan
 
 SLOTS = 8
@@ -37,7 +37,7 @@
         spread=context.spread,
     )
     day = Deployment("desk", 1, (context.service,), (kind,), rate, SECONDS)
-    context.figures = play(day, SEED, {})
+    context.figures = simulate_deployment(day, SEED, {})
 
 
 @then("at least {share:d} in 100 of the lookups are answered within the goal")
--- a/features/steps/pace_steps.py
+++ b/features/steps/pace_steps.py
@@ -9,7 +9,7 @@
 from bench.model._deployment import Deployment
 from bench.model._kind_plan import KindPlan
 from bench.model._neighbours import Neighbours
-from bench.model._play import play
+from bench.model._play import simulate_deployment
 from bench.model._service_plan import ServicePlan
 from features.steps.serving_steps import SilentTransport
 from marjoramtide.clock import FreezeDetector, ManualClock
@@ -40,7 +40,7 @@
 
 @then("at least {share:g} in 100 are answered within the goal on average of {days:d} days")
 def then_in_goal(context: Any, share: float, days: int) -> None:
-    shares = [play(context.day, seed, {}).in_goal for seed in range(1, days + 1)]
+    shares = [simulate_deployment(context.day, seed, {}).in_goal for seed in range(1, days + 1)]
     assert statistics.fmean(shares) * 100 >= share, shares
 
 
--- a/features/steps/ranks_steps.py
+++ b/features/steps/ranks_steps.py
@@ -7,7 +7,7 @@
 from bench.model._call_plan import CallPlan
 from bench.model._deployment import Deployment
 from bench.model._kind_plan import KindPlan
-from bench.model._play import play
+from bench.model._play import simulate_deployment
 from bench.model._service_plan import ServicePlan
 
 SLOTS = 8
@@ -39,7 +39,7 @@
     )
     rate = reads_per_s + lookups_per_s
     day = Deployment("hub", 1, context.services, kinds, rate, SECONDS)
-    context.figures = play(day, SEED, {})
+    context.figures = simulate_deployment(day, SEED, {})
 
 
 @then("at least {share:d} in 100 of the urgent lookups are answered within the goal")
