--- a/bench/model/__init__.py
+++ b/bench/model/__init__.py
@@ -1,6 +1,7 @@
-"""Decisions of many nodes in virtual time: what nodes run, in a world that is played.
+"""Discrete-event simulation of a fleet that runs the decision code of the product.
 
-The dispatchers, admissions, limits, budgets, measurers and bulletins are those of the product.
-Played are callers, links, backend servers, their neighbours, and who knows whom. Nothing is
-started, and a second of traffic takes as long as its decisions do.
+Dispatchers, admission, limits, budgets, health checks and bulletins are those of the product.
+Callers, network links, backend servers, their noisy neighbours and the membership are simulated.
+No process is started, and time is virtual: simulating a second of traffic takes only as long as
+its decisions take to compute.
 """
--- a/bench/model/_ablation.py
+++ b/bench/model/_ablation.py
@@ -1,10 +1,10 @@
-"""What each mechanism is worth: plays without it, paired with plays of the whole product."""
+"""Ablation: simulations without a mechanism, paired with those of the complete product."""
 
 from collections.abc import Sequence
 
 import attrs
 
-from bench.model._comparison import Difference, difference, paired
+from bench.model._comparison import Difference, difference, pair_runs
 from bench.model._experiment import Job, Run, run_jobs
 from bench.model._mechanism import Mechanism
 
@@ -13,25 +13,25 @@
 
 @attrs.frozen(slots=True)
 class Ablation:
-    """What the plays without a mechanism differ by."""
+    """The differences of the figures when a mechanism is disabled."""
 
     mechanism: str
     differences: tuple[Difference, ...]
 
     def __str__(self) -> str:
-        """Return a row of the table of the pages; what differs stands in bold."""
-        cells = [cell(each) for each in self.differences]
+        """Return a Markdown table row; significant differences are bold."""
+        cells = [format_cell(each) for each in self.differences]
         return f"| {self.mechanism} | {' | '.join(cells)} |"
 
 
-def cell(found: Difference) -> str:
-    text = f"{found.mean:+.4f} [{found.low:+.4f}, {found.high:+.4f}]"
-    return text if found.low <= 0 <= found.high else f"**{text}**"
+def format_cell(paired: Difference) -> str:
+    text = f"{paired.mean:+.4f} [{paired.low:+.4f}, {paired.high:+.4f}]"
+    return text if paired.low <= 0 <= paired.high else f"**{text}**"
 
 
 def ablate(
-    mechanism: Mechanism, jobs: Sequence[Job], whole: Sequence[Run], processes: int
+    mechanism: Mechanism, jobs: Sequence[Job], baseline_runs: Sequence[Run], processes: int
 ) -> Ablation:
-    """Play without a mechanism; each process leaves it out as it begins."""
-    pairs = paired(whole, list(run_jobs(jobs, processes, mechanism.leave_out)))
+    """Simulate without a mechanism; each worker process disables it on start."""
+    pairs = pair_runs(baseline_runs, list(run_jobs(jobs, processes, mechanism.disable)))
     return Ablation(mechanism.name, tuple(difference(name, pairs) for name in COLUMNS))
--- a/bench/model/_call_plan.py
+++ b/bench/model/_call_plan.py
@@ -1,4 +1,4 @@
-"""Calls that a running request makes."""
+"""Nested requests that a running request sends."""
 
 import attrs
 
@@ -7,10 +7,10 @@
 
 @attrs.frozen(slots=True)
 class CallPlan:
-    """``times`` calls of ``kind``, made by a ``share`` of the requests.
+    """``times`` nested requests of ``kind``, sent by a ``share`` of the requests.
 
-    They follow the request's own work, all ``together`` or one after the other, and the request
-    holds its slot until they are answered. A request whose call fails has failed.
+    They are sent after the request's own work, concurrently if ``together`` and otherwise in
+    sequence. The request holds its slot until they are answered, and fails if one of them fails.
     """
 
     kind: str
--- a/bench/model/_caller.py
+++ b/bench/model/_caller.py
@@ -1,4 +1,4 @@
-"""A caller: one request, and its repetitions."""
+"""A caller that sends one request and retries it."""
 
 import asyncio
 import random
@@ -9,57 +9,57 @@
 from bench.model._arrivals import Arrival
 from bench.model._kind_plan import KindPlan
 from bench.model._model_node import ModelNode
-from bench.model._tally import RequestEnd
+from bench.model._tally import RequestOutcome
 from marjoramtide.exchange import NotRunError, Request, RequestFailedError, Response
 
-# The longest that a caller waits as it was told, as a share of the time it has left.
-HONOURED_SHARE = 1 / 3
-# How long a caller whose node is gone, or that was told nothing, waits before it comes back, in
-# seconds; abusive ones wait as long whatever they were told.
-AT_ONCE_S = 0.02
+# Upper bound of the wait for a retry-after hint, as a share of the time left to the deadline.
+MAX_RETRY_AFTER_SHARE = 1 / 3
+# Delay before a retry without a retry-after hint, for example after a refused connection. Abusive
+# callers use it for all retries.
+IMMEDIATE_RETRY_S = 0.02
 ABUSIVE_RETRIES = 3
 
 
 @attrs.define(slots=True)
 class Caller:
-    """Sends one request to a node of its data centre, and again where that is safe.
+    """Sends one request to a node of its data centre, and retries it if that is safe.
 
-    ``find`` returns a node that takes callers, ``None`` where there is none.
+    ``find_node`` returns a node that accepts callers, or ``None``.
     """
 
     arrival: Arrival
     kind: KindPlan
-    way_s: float
-    find: Callable[[], ModelNode | None]
+    latency_s: float
+    find_node: Callable[[], ModelNode | None]
     rng: random.Random
 
-    async def call(self) -> RequestEnd:
-        """Return what became of the request."""
+    async def call(self) -> RequestOutcome:
+        """Return the outcome of the request after its last attempt."""
         loop = asyncio.get_running_loop()
-        began = loop.time()
-        deadline = began + self.kind.deadline_ms / 1000
-        tries = 1 + (ABUSIVE_RETRIES if self.arrival.abusive else self.kind.retries)
+        started_at = loop.time()
+        deadline = started_at + self.kind.deadline_ms / 1000
+        attempts = 1 + (ABUSIVE_RETRIES if self.arrival.abusive else self.kind.retries)
         failure: Exception | None = None
-        for number in range(tries):
+        for number in range(attempts):
             if loop.time() >= deadline:
                 break
             try:
-                answer = await self.ask(number, deadline)
+                response = await self.send_attempt(number, deadline)
             except (RequestFailedError, ConnectionError) as error:
                 failure = error
             else:
-                if not answer.is_server_error:
-                    return self.end(began, loop.time())
+                if not response.is_server_error:
+                    return self.outcome(started_at, loop.time())
                 failure = RuntimeError("server-error")
-            if not self.may_repeat(failure):
+            if not self.may_retry(failure):
                 break
-            await asyncio.sleep(self.wait_s(failure, deadline - loop.time()))
-        return self.end(began, loop.time(), failure)
+            await asyncio.sleep(self.retry_delay_s(failure, deadline - loop.time()))
+        return self.outcome(started_at, loop.time(), failure)
 
-    async def ask(self, number: int, deadline: float) -> Response:
-        """Make one try."""
-        node = self.find()
-        await asyncio.sleep(self.way_s)
+    async def send_attempt(self, number: int, deadline: float) -> Response:
+        """Send one attempt."""
+        node = self.find_node()
+        await asyncio.sleep(self.latency_s)
         if node is None or not node.is_up:
             raise ConnectionRefusedError
         now = asyncio.get_running_loop().time()
@@ -71,7 +71,7 @@
             headers=(),
             urgent=settings.priority == "urgent",
             idempotent=self.kind.idempotent,
-            deadline=deadline - self.way_s,
+            deadline=deadline - self.latency_s,
             depth=1,
             request_id=f"{self.arrival.request_id}.{number}",
             rank=settings.rank,
@@ -84,23 +84,27 @@
                 raise
             raise ConnectionResetError from None
         finally:
-            await asyncio.sleep(self.way_s)
+            await asyncio.sleep(self.latency_s)
 
-    def may_repeat(self, failure: Exception) -> bool:
-        """Tell whether the request may be sent again: nothing ran, or that does no harm."""
-        unsent = isinstance(failure, NotRunError | ConnectionRefusedError)
-        return self.kind.idempotent or unsent
+    def may_retry(self, failure: Exception) -> bool:
+        """Tell whether a retry is safe: the request did not run, or it is idempotent."""
+        is_not_run = isinstance(failure, NotRunError | ConnectionRefusedError)
+        return self.kind.idempotent or is_not_run
 
-    def wait_s(self, failure: Exception, left_s: float) -> float:
-        """Return how long the caller waits before it comes back."""
-        told_ms = getattr(failure, "retry_after_ms", None)
-        if self.arrival.abusive or told_ms is None or not isinstance(failure, NotRunError):
-            return AT_ONCE_S
-        return max(0.0, min(told_ms / 1000, left_s * HONOURED_SHARE))
+    def retry_delay_s(self, failure: Exception, remaining_s: float) -> float:
+        """Return the delay before the next attempt."""
+        retry_after_ms = getattr(failure, "retry_after_ms", None)
+        if self.arrival.abusive or retry_after_ms is None or not isinstance(failure, NotRunError):
+            return IMMEDIATE_RETRY_S
+        return max(0.0, min(retry_after_ms / 1000, remaining_s * MAX_RETRY_AFTER_SHARE))
 
-    def end(self, began: float, now: float, failure: Exception | None = None) -> RequestEnd:
+    def outcome(
+        self, started_at: float, now: float, failure: Exception | None = None
+    ) -> RequestOutcome:
         reason = ""
         if failure is not None:
             reason = str(getattr(failure, "code", "")) or str(failure) or type(failure).__name__
         not_run = isinstance(failure, NotRunError | ConnectionRefusedError)
-        return RequestEnd(self.kind.name, self.arrival.at_s, (now - began) * 1000, reason, not_run)
+        return RequestOutcome(
+            self.kind.name, self.arrival.at_s, (now - started_at) * 1000, reason, not_run
+        )
--- a/bench/model/_comparison.py
+++ b/bench/model/_comparison.py
@@ -1,4 +1,4 @@
-"""Two sets of plays, paired by deployment and seed."""
+"""Comparison of two sets of simulations, paired by deployment and seed."""
 
 from collections.abc import Sequence
 
@@ -7,15 +7,15 @@
 
 from bench.model._experiment import Run
 
-# The interval holds the true mean in so many of a hundred experiments.
-COVERAGE = 95
+# Confidence level of the intervals.
+CONFIDENCE_PERCENT = 95
 RESAMPLES = 4000
 FIGURES = ("in_goal", "worst", "served", "refused", "failed")
 
 
 @attrs.frozen(slots=True)
 class Difference:
-    """The mean of the paired differences of one figure, and its interval."""
+    """The mean paired difference of one figure, with its confidence interval."""
 
     figure: str
     before: float
@@ -32,27 +32,28 @@
         )
 
 
-def paired(before: Sequence[Run], after: Sequence[Run]) -> list[tuple[Run, Run]]:
-    """Return the plays of the same deployment and seed in both."""
+def pair_runs(before: Sequence[Run], after: Sequence[Run]) -> list[tuple[Run, Run]]:
+    """Return the runs of the same deployment and seed in both sets."""
     others = {(run.deployment, run.seed): run for run in after}
     keys = ((run, others.get((run.deployment, run.seed))) for run in before)
     return [(run, other) for run, other in keys if other is not None]
 
 
 def difference(figure: str, pairs: Sequence[tuple[Run, Run]]) -> Difference:
-    """Return the paired difference; seeds of one deployment count as one, drawn together.
+    """Return the paired difference of a figure.
 
-    The interval is a bootstrap over deployments: plays of one deployment are alike, and counted
-    each for itself they would make the interval too narrow.
+    The interval is a bootstrap over deployments, with the mean of all seeds of a deployment as one
+    sample. Runs of one deployment are correlated; as separate samples they would make the interval
+    too narrow.
     """
     groups: dict[str, list[float]] = {}
     for run, other in pairs:
         change = getattr(other.figures, figure) - getattr(run.figures, figure)
         groups.setdefault(run.deployment, []).append(change)
     means = np.array([np.mean(changes) for changes in groups.values()])
-    drawn = np.random.default_rng(1).choice(means, (RESAMPLES, len(means)))
-    edge = (100 - COVERAGE) / 2
-    low, high = np.percentile(drawn.mean(axis=1), [edge, 100 - edge])
+    samples = np.random.default_rng(1).choice(means, (RESAMPLES, len(means)))
+    tail = (100 - CONFIDENCE_PERCENT) / 2
+    low, high = np.percentile(samples.mean(axis=1), [tail, 100 - tail])
     return Difference(
         figure,
         float(np.mean([getattr(run.figures, figure) for run, _ in pairs])),
@@ -63,20 +64,20 @@
     )
 
 
-def losses(pairs: Sequence[tuple[Run, Run]], most: int) -> list[tuple[str, float]]:
-    """Return the deployments whose share in goal fell most, with the change."""
+def largest_losses(pairs: Sequence[tuple[Run, Run]], limit: int) -> list[tuple[str, float]]:
+    """Return the deployments whose ``in_goal`` fell most, with the change."""
     groups: dict[str, list[float]] = {}
     for run, other in pairs:
         change = other.figures.in_goal - run.figures.in_goal
         groups.setdefault(run.deployment, []).append(change)
     changes = [(name, float(np.mean(each))) for name, each in groups.items()]
-    return sorted(changes, key=lambda each: each[1])[:most]
+    return sorted(changes, key=lambda each: each[1])[:limit]
 
 
-def way_to_oracle(
+def oracle_gap_closed(
     runs: Sequence[Run], baselines: Sequence[Sequence[Run]], oracle: Sequence[Run]
 ) -> dict[str, float]:
-    """Return for each deployment the share of the way from its best baseline to the oracle."""
+    """Return for each deployment the closed share of the gap from best baseline to oracle."""
     best = {
         name: max(mean_in_goal(each)[name] for each in baselines) for name in mean_in_goal(oracle)
     }
@@ -85,16 +86,16 @@
     return {
         name: (own[name] - best[name]) / (bound[name] - best[name])
         for name in own
-        if name in bound and bound[name] - best[name] > LEAST_WAY
+        if name in bound and bound[name] - best[name] > MIN_ORACLE_GAP
     }
 
 
-# Where the oracle is no better than this above the best baseline, there is no way to speak of.
-LEAST_WAY = 0.01
+# Deployments whose oracle is no better than this above the best baseline are left out.
+MIN_ORACLE_GAP = 0.01
 
 
 def mean_in_goal(runs: Sequence[Run]) -> dict[str, float]:
-    """Return the mean share in goal of each deployment."""
+    """Return the mean ``in_goal`` of each deployment over its seeds."""
     groups: dict[str, list[float]] = {}
     for run in runs:
         groups.setdefault(run.deployment, []).append(run.figures.in_goal)
--- a/bench/model/_deployment.py
+++ b/bench/model/_deployment.py
@@ -1,4 +1,4 @@
-"""A deployment that is played."""
+"""Description of a deployment to simulate."""
 
 import attrs
 
@@ -10,11 +10,12 @@
 
 @attrs.frozen(slots=True)
 class Deployment:
-    """Services, requests and faults; ``rate_per_s`` requests come in all data centres together.
+    """Services, request kinds and faults; ``rate_per_s`` is the rate of all data centres together.
 
-    ``hop_ms`` is the way between two data centres and ``caller_ms`` that between a caller and its
-    node, one way. The rate follows a wave of ``swing`` around the mean. ``second_try_ratio`` and
-    ``second_tries_per_s`` bound what all nodes together may send beyond first tries.
+    ``hop_ms`` is the one-way latency between two data centres and ``caller_ms`` that between a
+    caller and its node. The rate varies as a sine of relative amplitude ``swing`` around the mean.
+    ``second_try_ratio`` and ``second_tries_per_s`` bound the attempts of all nodes together beyond
+    the first attempt of each request.
     """
 
     name: str
@@ -32,9 +33,9 @@
 
     @property
     def nodes(self) -> int:
-        """Return how many servers there are, each with its node."""
+        """Return the number of nodes, one for each server."""
         return sum(sum(service.servers) for service in self.services)
 
     def kind(self, name: str) -> KindPlan:
-        """Return the kind of this name."""
+        """Return the request kind with this name."""
         return next(kind for kind in self.kinds if kind.name == name)
--- a/bench/model/_deployment_file.py
+++ b/bench/model/_deployment_file.py
@@ -6,13 +6,13 @@
 import cattrs
 
 from bench.model._deployment import Deployment
-from bench.model._structuring import structuring_notes
+from bench.model._structuring import validation_messages
 
 
 def load_deployment(path: Path) -> Deployment:
-    """Read a deployment; raises ``ValueError`` that names the file, the key and what is allowed.
+    """Read a deployment; raises ``ValueError`` with the file, the key and the allowed values.
 
-    Keys are the attributes of ``Deployment`` and of what it holds. For example, a fleet of two::
+    Keys are the attributes of ``Deployment`` and of its parts. For example::
 
         name = "two"
         data_centres = 1
@@ -32,15 +32,15 @@
         raw = tomllib.loads(path.read_text(encoding="utf-8"))
         deployment = cattrs.Converter(forbid_extra_keys=True).structure(raw, Deployment)
     except (tomllib.TOMLDecodeError, cattrs.BaseValidationError) as error:
-        raise ValueError(f"{path}: {structuring_notes(error)}") from error
-    problems = list(unknown_names(deployment))
-    if problems:
-        raise ValueError(f"{path}: {'; '.join(problems)}")
+        raise ValueError(f"{path}: {validation_messages(error)}") from error
+    errors = list(reference_errors(deployment))
+    if errors:
+        raise ValueError(f"{path}: {'; '.join(errors)}")
     return deployment
 
 
-def unknown_names(deployment: Deployment):  # type: ignore[no-untyped-def]
-    """Yield where a kind or a fault names a service or a kind that there is none of."""
+def reference_errors(deployment: Deployment):  # type: ignore[no-untyped-def]
+    """Yield references to services or kinds that don't exist, and services of the wrong size."""
     services = {service.name for service in deployment.services}
     kinds = {kind.name for kind in deployment.kinds}
     for kind in deployment.kinds:
--- a/bench/model/_draw.py
+++ b/bench/model/_draw.py
@@ -1,4 +1,4 @@
-"""Deployments drawn at random, so that decisions are not measured on one kind of fleet."""
+"""Random deployments, so that policies are not measured on one kind of fleet only."""
 
 import math
 import random
@@ -7,12 +7,12 @@
 
 from bench.model._call_plan import CallPlan
 from bench.model._deployment import Deployment
-from bench.model._fault_plan import DRAWN, FaultPlan
+from bench.model._fault_plan import DRAWN_FAULTS, FaultPlan
 from bench.model._kind_plan import KindPlan
 from bench.model._neighbours import Neighbours
 from bench.model._service_plan import ServicePlan
 
-# The ranges that deployments are drawn from: far beyond the fleets that the users run.
+# Ranges that deployments are drawn from. They reach far beyond the fleets that users run.
 NODES = (2, 80)
 SERVERS_IN_A_DATA_CENTRE = (1, 12)
 WORK_MS = (5.0, 2000.0)
@@ -27,25 +27,25 @@
 COLD_FACTOR = (1.2, 4.0)
 SLOTS = (4, 40)
 LOAD = (0.2, 0.85)
-# A play takes as long as its requests: rates are cut to this, in requests a second, by taking fewer
-# servers, and days are as long as brings this many, within bounds in seconds.
-MOST_RATE = 250.0
+# The time to simulate a deployment grows with its requests. Fleets are shrunk until their rate is
+# at most ``MAX_RATE_PER_S``, and the duration gives ``REQUESTS`` requests, within ``SECONDS``.
+MAX_RATE_PER_S = 250.0
 REQUESTS = 1500
 SECONDS = (10.0, 40.0)
-MOST_FAULTS = 3
+MAX_FAULTS = 3
 
 
 def draw_deployment(number: int) -> Deployment:
-    """Return the deployment of this number; the same number gives the same one."""
+    """Return deployment ``number``; the same number always gives the same deployment."""
     rng = random.Random(f"deployment {number}")
     data_centres = rng.randint(1, 4)
     neighbours = draw_neighbours(rng)
     services = [draw_service(rng, n, data_centres, neighbours) for n in range(rng.randint(1, 3))]
     kinds = [
-        kind for place in range(len(services)) for kind in draw_kinds(rng, place, len(services))
+        kind for index in range(len(services)) for kind in draw_kinds(rng, index, len(services))
     ]
     load = rng.uniform(*LOAD)
-    services, rate = fitted(services, kinds, load)
+    services, rate = fit_to_rate(services, kinds, load)
     seconds = min(SECONDS[1], max(SECONDS[0], REQUESTS / rate))
     return Deployment(
         name=f"drawn-{number}",
@@ -62,13 +62,13 @@
     )
 
 
-def log_uniform(rng: random.Random, least: float, most: float) -> float:
-    """Draw a number whose logarithm is uniform."""
-    return math.exp(rng.uniform(math.log(least), math.log(most)))
+def log_uniform(rng: random.Random, lowest: float, highest: float) -> float:
+    """Draw a number whose logarithm is uniformly distributed."""
+    return math.exp(rng.uniform(math.log(lowest), math.log(highest)))
 
 
 def draw_neighbours(rng: random.Random) -> Neighbours:
-    """Draw neighbours; one deployment in five has none."""
+    """Draw noisy neighbours; one deployment in five has none."""
     if rng.random() < 0.2:
         return Neighbours()
     return Neighbours(
@@ -82,9 +82,9 @@
 def draw_service(
     rng: random.Random, number: int, data_centres: int, neighbours: Neighbours
 ) -> ServicePlan:
-    """Draw the servers of a service, as many in each data centre give or take one."""
-    most = min(SERVERS_IN_A_DATA_CENTRE[1], NODES[1] // (3 * data_centres))
-    each = rng.randint(SERVERS_IN_A_DATA_CENTRE[0], max(1, most))
+    """Draw the servers of a service, the same number in each data centre or one more."""
+    highest = min(SERVERS_IN_A_DATA_CENTRE[1], NODES[1] // (3 * data_centres))
+    each = rng.randint(SERVERS_IN_A_DATA_CENTRE[0], max(1, highest))
     has_knee, is_cold = rng.random() < 0.7, rng.random() < 0.7
     slots = round(log_uniform(rng, *SLOTS))
     return ServicePlan(
@@ -102,21 +102,21 @@
     )
 
 
-def draw_kinds(rng: random.Random, place: int, services: int) -> list[KindPlan]:
-    """Draw the kinds of one service, and now and then one that others call."""
+def draw_kinds(rng: random.Random, index: int, services: int) -> list[KindPlan]:
+    """Draw the request kinds of one service, and one kind that only nested requests use."""
     kinds = []
-    middle_ms = log_uniform(rng, *WORK_MS)
+    typical_ms = log_uniform(rng, *WORK_MS)
     for number in range(rng.randint(1, 2)):
-        work_ms = min(WORK_MS[1], middle_ms * rng.uniform(0.4, 2.5))
+        work_ms = min(WORK_MS[1], typical_ms * rng.uniform(0.4, 2.5))
         goal_ms = work_ms * rng.uniform(*GOALS) + 20
-        split = {f"service-{place}": 10}
+        split = {f"service-{index}": 10}
         if services > 1 and rng.random() < 0.2:
-            split[f"service-{(place + 1) % services}"] = rng.randint(1, 5)
+            split[f"service-{(index + 1) % services}"] = rng.randint(1, 5)
         calls = ()
-        if place + 1 < services and rng.random() < 0.5:
+        if index + 1 < services and rng.random() < 0.5:
             calls = (
                 CallPlan(
-                    f"called-{place + 1}",
+                    f"called-{index + 1}",
                     rng.randint(1, 2),
                     rng.uniform(0.3, 1.0),
                     rng.random() < 0.5,
@@ -125,7 +125,7 @@
         rank = rng.randint(0, 3)
         kinds.append(
             KindPlan(
-                name=f"kind-{place}-{number}",
+                name=f"kind-{index}-{number}",
                 split=split,
                 work_ms=work_ms,
                 goal_ms=goal_ms,
@@ -134,56 +134,56 @@
                 spread=rng.uniform(0.1, 0.6),
                 idempotent=rng.random() < 0.6,
                 rank=rank,
-                # Whoever ranks requests says what is worth most to callers.
+                # The rank of a request tells what it is worth to callers.
                 worth=max(1.0, 3.0 - rank),
                 calls=calls,
             )
         )
-    work_ms = middle_ms * rng.uniform(0.1, 0.3) + 2
-    called = KindPlan(
-        name=f"called-{place}",
-        split={f"service-{place}": 1},
+    work_ms = typical_ms * rng.uniform(0.1, 0.3) + 2
+    nested_kind = KindPlan(
+        name=f"called-{index}",
+        split={f"service-{index}": 1},
         work_ms=work_ms,
         goal_ms=3 * work_ms + 20,
         deadline_ms=12 * work_ms + 100,
         rank=rng.randint(0, 3),
     )
-    return [*kinds, called]
+    return [*kinds, nested_kind]
 
 
-def fitted(
+def fit_to_rate(
     services: list[ServicePlan], kinds: list[KindPlan], load: float
 ) -> tuple[list[ServicePlan], float]:
-    """Return services and a rate at which the fullest one is loaded by ``load``.
+    """Return services and a request rate that loads the busiest one to ``load``.
 
-    The load is that on the slots below the knee, in the time in which neighbours leave them alone.
-    Services are made smaller until the rate can be played.
+    The load is relative to the slots below the knee, in the time without slowdown by neighbours.
+    Services are shrunk until the rate is at most ``MAX_RATE_PER_S``.
     """
     while True:
         rate = load * min(capacity(service) / demand(service, kinds) for service in services)
-        if rate <= MOST_RATE:
+        if rate <= MAX_RATE_PER_S:
             return services, rate
-        smaller = [shrunk(service) for service in services]
+        smaller = [shrink(service) for service in services]
         if smaller == services:
-            return services, MOST_RATE
+            return services, MAX_RATE_PER_S
         services = smaller
 
 
-def shrunk(service: ServicePlan) -> ServicePlan:
-    """Return a service with fewer slots, or fewer servers."""
+def shrink(service: ServicePlan) -> ServicePlan:
+    """Return a service with half the slots, or half the servers once slots are at the minimum."""
     if service.slots > SLOTS[0]:
         return attrs.evolve(service, slots=max(SLOTS[0], service.slots // 2))
     return attrs.evolve(service, servers=tuple(max(1, count // 2) for count in service.servers))
 
 
 def capacity(service: ServicePlan) -> float:
-    """Return the seconds of work that a service can do in one."""
+    """Return the seconds of work that a service can do per second."""
     usable = service.knee * service.slots * (1 - service.neighbours.share)
     return sum(service.servers) * max(1.0, usable)
 
 
 def demand(service: ServicePlan, kinds: list[KindPlan]) -> float:
-    """Return the seconds of work that one request a second brings a service, calls included."""
+    """Return the seconds of work for a service per request, nested requests included."""
     rates = {kind.name: kind.rate for kind in kinds}
     total = sum(rates.values())
     for kind in kinds:
@@ -201,10 +201,13 @@
 
 
 def draw_faults(rng: random.Random, seconds: float) -> list[FaultPlan]:
-    """Draw what happens on the day: nothing on one in four."""
+    """Draw the faults of a deployment; one deployment in four has none."""
     if rng.random() < 0.25:
         return []
-    return [draw_fault(rng, rng.choice(DRAWN), seconds) for _ in range(rng.randint(1, MOST_FAULTS))]
+    return [
+        draw_fault(rng, rng.choice(DRAWN_FAULTS), seconds)
+        for _ in range(rng.randint(1, MAX_FAULTS))
+    ]
 
 
 def draw_fault(rng: random.Random, kind: str, seconds: float) -> FaultPlan:
--- a/bench/model/_experiment.py
+++ b/bench/model/_experiment.py
@@ -1,4 +1,4 @@
-"""Many deployments and seeds, played side by side by several processes."""
+"""Simulations of many deployments and seeds, in parallel processes."""
 
 import itertools
 import json
@@ -16,34 +16,34 @@
 from bench.model._deployment import Deployment
 from bench.model._draw import draw_deployment
 from bench.model._play import simulate_deployment
-from bench.model._structuring import structuring_notes
-from bench.model._tally import Tally
+from bench.model._structuring import validation_messages
+from bench.model._tally import SimulationResult
 
 ROOT = Path(__file__).resolve().parents[2]
-# Deployments 1 to 60 are the fixed set; others are drawn afresh.
-FIXED = 60
+# Deployments 1 to 60 are the fixed set for comparisons over time; others are fresh ones.
+FIXED_SET_SIZE = 60
 ORACLE = "oracle"
 
 
 @attrs.frozen(slots=True)
 class Run:
-    """One play: which deployment, under which seed, and its figures."""
+    """The figures of one deployment simulated with one seed."""
 
     deployment: str
     seed: int
-    figures: Tally
+    figures: SimulationResult
 
 
 @attrs.frozen(slots=True)
 class Job:
-    """What one process is to play; no ``changes`` stands for the oracle."""
+    """A simulation to run; ``changes`` of ``None`` stand for the oracle."""
 
     deployment: Deployment
     seed: int
     changes: Mapping[str, Any] | None
 
     def run(self) -> Run:
-        """Play it."""
+        """Run the simulation."""
         return Run(
             self.deployment.name,
             self.seed,
@@ -58,9 +58,9 @@
 def run_jobs(
     jobs: Sequence[Job], processes: int, begin: Callable[[], None] | None = None
 ) -> Iterator[Run]:
-    """Yield the results in the order of the jobs, with progress on standard error.
+    """Yield the results in the order of the jobs; progress goes to standard error.
 
-    Each process calls ``begin`` before its first job.
+    Each worker process calls ``begin`` before its first job.
     """
     with ProcessPoolExecutor(processes, initializer=begin) as pool:
         for number, run in enumerate(pool.map(run_job, jobs), 1):
@@ -77,27 +77,27 @@
     return [Job(deployment, seed, changes) for deployment, seed in pairs]
 
 
-def drawn(first: int, count: int) -> list[Deployment]:
-    """Return the deployments from number ``first`` on."""
+def draw_deployments(first: int, count: int) -> list[Deployment]:
+    """Return ``count`` deployments from number ``first`` on."""
     return [draw_deployment(number) for number in range(first, first + count)]
 
 
 def write_runs(path: Path, runs: Sequence[Run]) -> None:
-    """Write results to a file that ``read_runs`` reads."""
+    """Write results as JSON for ``read_runs``."""
     path.parent.mkdir(parents=True, exist_ok=True)
     path.write_text(json.dumps([attrs.asdict(run) for run in runs], indent=1))
 
 
 def read_runs(path: Path) -> list[Run]:
-    """Read results; raises ``ValueError`` that names the file and what is wrong in it."""
+    """Read results; raises ``ValueError`` with the file and its errors."""
     try:
         return cattrs.structure(json.loads(path.read_text()), list[Run])
     except (json.JSONDecodeError, cattrs.BaseValidationError) as error:
-        raise ValueError(f"{path}: {structuring_notes(error)}") from error
+        raise ValueError(f"{path}: {validation_messages(error)}") from error
 
 
-def play_checkout(checkout: Path, arguments: Sequence[str]) -> None:
-    """Play with the product of another checkout under this tool; raises ``CalledProcessError``."""
+def simulate_checkout(checkout: Path, arguments: Sequence[str]) -> None:
+    """Simulate with the product of another checkout; raises ``CalledProcessError``."""
     environment = os.environ | {"PYTHONPATH": f"{checkout / 'src'}{os.pathsep}{ROOT}"}
     command = [sys.executable, "-m", "bench.model", *arguments]
     subprocess.run(command, cwd=ROOT, env=environment, check=True)
--- a/bench/model/_fault_plan.py
+++ b/bench/model/_fault_plan.py
@@ -1,26 +1,39 @@
-"""Something that goes wrong, or changes, at a time of a played day."""
+"""A fault or change of a simulated deployment."""
 
 import attrs
 
 from bench.model._neighbours import between
 
-# Those that are drawn; adding one would change every drawn deployment.
-DRAWN = ("burst", "shift", "abuse", "slow", "grey", "crash", "leave", "join", "restart", "lossy")
-FAULTS = (*DRAWN, "limit")
+# Kinds of randomly drawn faults. Adding one would change every drawn deployment.
+DRAWN_FAULTS = (
+    "burst",
+    "shift",
+    "abuse",
+    "slow",
+    "grey",
+    "crash",
+    "leave",
+    "join",
+    "restart",
+    "lossy",
+)
+FAULTS = (*DRAWN_FAULTS, "limit")
 
 
 @attrs.frozen(slots=True)
 class FaultPlan:
-    """An entry of the day; which servers or nodes it strikes is drawn by the day's seed.
+    """A fault from ``at_s`` on; the simulation's seed decides which servers or nodes it affects.
 
     ``burst``: ``factor`` times the traffic. ``shift``: a ``share`` of the callers of the first
-    data centre go to the last one. ``abuse``: a ``share`` of the callers come back ``factor``
-    times more, at once. ``slow``: a ``share`` of the servers take ``factor`` times as long.
-    ``grey``: they fail ``factor`` of what they are given. ``crash``: they are gone for ``for_s``
-    and come back cold. ``leave``: they drain and leave for good. ``join``: as many new ones come.
-    ``restart``: a ``share`` of the nodes end at one moment and begin anew after ``for_s``; with
-    ``factor`` above 1 their servers too. ``lossy``: a ``share`` of the news between nodes is lost.
-    ``limit``: a ``share`` of the servers name ``factor`` requests a second as their limit.
+    data centre use the last one instead. ``abuse``: a ``share`` of the callers retry several times
+    without delay. ``slow``: a ``share`` of the servers take ``factor`` times as long. ``grey``: a
+    ``share`` of the servers fail a share ``factor`` of their requests. ``crash``: a ``share`` of
+    the servers are down for ``for_s`` and restart cold. ``leave``: a ``share`` of the servers drain
+    and leave for good. ``join``: new servers are added, as many as the ``share`` gives.
+    ``restart``: a ``share`` of the nodes crash at the same time and restart after ``for_s``; with
+    a ``factor`` above 1 their servers do too. ``lossy``: a ``share`` of the load reports between
+    nodes is lost. ``limit``: a ``share`` of the servers announce a rate limit of ``factor``
+    requests per second.
     """
 
     kind: str = attrs.field(validator=attrs.validators.in_(FAULTS))
--- a/bench/model/_kind_plan.py
+++ b/bench/model/_kind_plan.py
@@ -1,4 +1,4 @@
-"""Requests of one kind."""
+"""A kind of requests."""
 
 import attrs
 
@@ -8,12 +8,13 @@
 
 @attrs.frozen(slots=True)
 class KindPlan:
-    """What callers ask for, how much work it is, and what an answer is worth to them.
+    """Requests that need similar work, and the value of a response to their callers.
 
-    ``split`` shares requests out among services by weight. ``work_ms`` is the mean of undisturbed
-    work and ``spread`` its deviation as a share of that. An answer within ``goal_ms`` of the first
-    try is worth ``worth``, a later one ``late_worth``. ``rate`` is the kind's part of all
-    requests; kinds with none are only called by others.
+    ``split`` distributes requests among services by weight. ``work_ms`` is the mean execution time
+    without slowdown, and ``spread`` its standard deviation as a share of the mean. A response
+    within ``goal_ms`` of the first attempt counts as ``worth``, a later one as ``late_worth``.
+    ``rate`` is the kind's weight among all requests; kinds of rate 0 are used only by nested
+    requests.
     """
 
     name: str
--- a/bench/model/_mechanism.py
+++ b/bench/model/_mechanism.py
@@ -1,4 +1,4 @@
-"""A mechanism of the product that can be left out, to see what it is worth."""
+"""A mechanism of the product that can be disabled to measure its effect."""
 
 from importlib import import_module
 from pathlib import Path
@@ -8,11 +8,10 @@
 
 @attrs.frozen(slots=True)
 class Mechanism:
-    """A mechanism, and what takes its place where it is left out.
+    """A mechanism, and the replacement that disables it.
 
-    ``target`` is a name in ``module``, and ``value`` the expression that is given to it. The
-    product itself has no switch for each of them: what is not meant to be switched off by an
-    operator is no setting.
+    ``target`` is a name in ``module``, and ``value`` the expression that is assigned to it. The
+    product has no switches for mechanisms, since operators aren't meant to switch them off.
     """
 
     name: str
@@ -20,10 +19,10 @@
     target: str
     value: str
 
-    def leave_out(self) -> None:
-        """Leave it out in this process; raises ``AttributeError`` where there is no such target.
+    def disable(self) -> None:
+        """Disable it in this process; raises ``AttributeError`` if the target doesn't exist.
 
-        Without that a mechanism whose code was renamed would pass for worth nothing.
+        Without that check a mechanism whose code was renamed would appear to have no effect.
         """
         owner = import_module(self.module)
         *path, last = self.target.split(".")
@@ -32,8 +31,8 @@
         getattr(owner, last)
         setattr(owner, last, eval(self.value))
 
-    def leave_out_of(self, checkout: Path) -> Path:
-        """Leave it out of a scratch copy's sources; return the file that was changed."""
+    def disable_in_checkout(self, checkout: Path) -> Path:
+        """Disable it in the sources of a scratch copy; return the changed file."""
         path = checkout / "src" / (self.module.replace(".", "/") + ".py")
         path.write_text(f"{path.read_text()}\n\n{self.target} = {self.value}\n")
         return path
--- a/bench/model/_mechanisms.py
+++ b/bench/model/_mechanisms.py
@@ -1,43 +1,49 @@
-"""The mechanisms that are measured by leaving them out one at a time."""
+"""The mechanisms whose effect is measured by disabling them one at a time."""
 
 from bench.model._mechanism import Mechanism
 
 POLICY = "marjoramtide.policy"
 PACE = f"{POLICY}.pace._pace"
-PLACING = f"{POLICY}.placing"
-FORECAST = f"{PLACING}._forecast_selector"
-PREDICTED = f"{PLACING}._predicted_selector"
+PLACEMENT = f"{POLICY}.placing"
+FORECAST = f"{PLACEMENT}._forecast_selector"
+PREDICTED = f"{PLACEMENT}._predicted_selector"
 ADMISSION = f"{POLICY}.admission._edf_admission"
 ESTIMATES = f"{POLICY}.admission._run_estimates"
 TIMES = f"{POLICY}.admission._execution_times"
 INGRESS = "marjoramtide.ingress"
 
-NOTHING = "lambda *args, **kwargs: None"
-NEVER = "lambda *args, **kwargs: False"
-NONE_OF_THEM = "lambda *args, **kwargs: []"
-ZERO = "lambda *args, **kwargs: 0.0"
-ONE = "lambda *args, **kwargs: 1.0"
+RETURN_NONE = "lambda *args, **kwargs: None"
+RETURN_FALSE = "lambda *args, **kwargs: False"
+RETURN_EMPTY_LIST = "lambda *args, **kwargs: []"
+RETURN_ZERO = "lambda *args, **kwargs: 0.0"
+RETURN_ONE = "lambda *args, **kwargs: 1.0"
 
 MECHANISMS = (
-    Mechanism("wait for the server's pace", PACE, "Pace.should_wait", NEVER),
-    Mechanism("follow the grid of changes", f"{POLICY}.pace._interference", "fit_grid", NOTHING),
+    Mechanism("wait for the server's pace", PACE, "Pace.should_wait", RETURN_FALSE),
+    Mechanism(
+        "follow the grid of changes", f"{POLICY}.pace._interference", "fit_grid", RETURN_NONE
+    ),
     Mechanism(
         "length of slow stretches",
         f"{POLICY}.pace._stretches",
         "DurationHistory.remaining_s",
-        ZERO,
+        RETURN_ZERO,
+    ),
+    Mechanism(
+        "turn first tries away while slow", ESTIMATES, "RunEstimates.misses_goal", RETURN_FALSE
     ),
-    Mechanism("turn first tries away while slow", ESTIMATES, "RunEstimates.misses_goal", NEVER),
     Mechanism(
         "ask again where none is quicker",
         f"{INGRESS}._dispatcher",
         "Dispatcher.choose_slowed_node",
-        NOTHING,
+        RETURN_NONE,
     ),
-    Mechanism("tell others of each change of pace", FORECAST, "ForecastSelector.reported", NOTHING),
-    Mechanism("silence of a server", TIMES, "ExecutionTimes.silence_ms", ZERO),
-    Mechanism("hand back in a stall", TIMES, "ExecutionTimes.stalls_at", NOTHING),
-    Mechanism("silence of a node", f"{PLACING}._node_view", "NodeView.stalled_ms", ZERO),
+    Mechanism(
+        "tell others of each change of pace", FORECAST, "ForecastSelector.reported", RETURN_NONE
+    ),
+    Mechanism("silence of a server", TIMES, "ExecutionTimes.silence_ms", RETURN_ZERO),
+    Mechanism("hand back in a stall", TIMES, "ExecutionTimes.stalls_at", RETURN_NONE),
+    Mechanism("silence of a node", f"{PLACEMENT}._node_view", "NodeView.stalled_ms", RETURN_ZERO),
     Mechanism(
         "goal before deadline",
         ESTIMATES,
@@ -49,7 +55,7 @@
         "calls first in their rank",
         "marjoramtide.exchange._request",
         "Request.is_call",
-        f"property({NEVER})",
+        f"property({RETURN_FALSE})",
     ),
     Mechanism(
         "calls ranked as their parents",
@@ -67,13 +73,13 @@
         "share of what goes first in a wait",
         f"{POLICY}.admission._priority_shares",
         "PriorityShares.share_ahead",
-        ZERO,
+        RETURN_ZERO,
     ),
     Mechanism(
         "routine work pushed back is dropped",
         ADMISSION,
         "EdfAdmission._drop_displaced",
-        NONE_OF_THEM,
+        RETURN_EMPTY_LIST,
     ),
     Mechanism(
         "first limit below the slots",
@@ -91,10 +97,13 @@
         "what a server has said that it takes",
         f"{POLICY}.admission._requested_rate_limiter",
         "RequestedRateLimiter.set_rate",
-        NOTHING,
+        RETURN_NONE,
     ),
     Mechanism(
-        "turn first tries away by a named limit", ADMISSION, "EdfAdmission._excessive_wait_ms", ZERO
+        "turn first tries away by a named limit",
+        ADMISSION,
+        "EdfAdmission._excessive_wait_ms",
+        RETURN_ZERO,
     ),
     Mechanism(
         "slots told of by a named limit",
@@ -105,8 +114,10 @@
     Mechanism("own bonus", FORECAST, "LOCAL_LOAD_BONUS", "0.0"),
     Mechanism("jitter of loads", FORECAST, "LOAD_JITTER", "0.0"),
     Mechanism("slowed nodes last", FORECAST, "SLOWED_FACTOR", "1e9"),
-    Mechanism("stragglers", FORECAST, "ForecastSelector._straggler_factor", ONE),
-    Mechanism("usual pace of unknown nodes", FORECAST, "ForecastSelector._service_slowdown", ONE),
+    Mechanism("stragglers", FORECAST, "ForecastSelector._straggler_factor", RETURN_ONE),
+    Mechanism(
+        "usual pace of unknown nodes", FORECAST, "ForecastSelector._service_slowdown", RETURN_ONE
+    ),
     Mechanism(
         "no second ask of full nodes",
         FORECAST,
@@ -117,11 +128,11 @@
         "own data centre first", PREDICTED, "PredictedSelector._tier", "lambda self, member: 0"
     ),
     Mechanism(
-        "outlier ejection", f"{PLACING}._outlier_ejection", "OutlierEjection.record", NOTHING
+        "outlier ejection", f"{PLACEMENT}._outlier_ejection", "OutlierEjection.record", RETURN_NONE
     ),
-    Mechanism("explorer", f"{PLACING}._explorer", "Explorer.pick", NOTHING),
+    Mechanism("explorer", f"{PLACEMENT}._explorer", "Explorer.pick", RETURN_NONE),
     Mechanism("sound nodes first", FORECAST, "ForecastSelector._is_healthy", "lambda *args: True"),
-    Mechanism("hedges", f"{INGRESS}._service_state", "ServiceState.may_hedge", NEVER),
+    Mechanism("hedges", f"{INGRESS}._service_state", "ServiceState.may_hedge", RETURN_FALSE),
     Mechanism("first moments", f"{INGRESS}._start_up", "STARTUP_GRACE_S", "0.0"),
     Mechanism(
         "places dealt to refused callers",
--- a/bench/model/_model_directory.py
+++ b/bench/model/_model_directory.py
@@ -1,4 +1,4 @@
-"""Who knows whom in a played fleet."""
+"""The simulated membership directory of a node."""
 
 from collections.abc import Callable
 
@@ -8,14 +8,14 @@
 
 
 class ModelDirectory(Directory):
-    """The members that one node knows; the world tells it of changes after a delay."""
+    """The members that one node knows; the simulation delivers changes to it after a delay."""
 
-    def __init__(self, own: Member, failed: Callable[[str], None]) -> None:
+    def __init__(self, own: Member, on_failure: Callable[[str], None]) -> None:
         self.own = own
-        self.failed = failed
+        self.on_failure = on_failure
         self.known: dict[str, Member] = {own.node: own}
         self.by_service: dict[str, list[Member]] = {}
-        self.changed: list[Callable[[Member], None]] = []
+        self.listeners: list[Callable[[Member], None]] = []
 
     @property
     def self_member(self) -> Member:
@@ -45,20 +45,20 @@
         return None
 
     def report_failure(self, node: str) -> None:
-        self.failed(node)
+        self.on_failure(node)
 
     def on_change(self, listener: Callable[[Member], None]) -> None:
-        self.changed.append(listener)
+        self.listeners.append(listener)
 
     def apply_update(self, member: Member) -> None:
-        """Take news of a member in, unless newer ones overtook them on the way."""
-        held = self.known.get(member.node)
-        if held is not None and member.incarnation < held.incarnation:
+        """Store a member's new state, unless a newer incarnation is known already."""
+        current = self.known.get(member.node)
+        if current is not None and member.incarnation < current.incarnation:
             return
         if member.state is MemberState.DEAD:
             self.known.pop(member.node, None)
         else:
             self.known[member.node] = member
         self.by_service.clear()
-        for listener in self.changed:
+        for listener in self.listeners:
             listener(member)
--- a/bench/model/_model_node.py
+++ b/bench/model/_model_node.py
@@ -1,4 +1,4 @@
-"""One node of a played fleet: the product's parts that decide, and nothing else."""
+"""A simulated node: the product's decision code without servers and connections."""
 
 import asyncio
 import random
@@ -36,7 +36,7 @@
 class ModelNode:
     """Dispatches callers' requests and serves those for its own server.
 
-    ``publish`` is called with each change of the server's pace.
+    ``publish_report`` is called with each change of the server's slowdown.
     """
 
     def __init__(
@@ -44,16 +44,16 @@
         member: Member,
         server: ModelServer,
         work: ModelWork,
-        text: str,
+        tree_text: str,
         peers: ModelPeers,
-        failed: Callable[[str], None],
-        publish: Callable[["ModelNode", LoadReport], None],
+        on_failure: Callable[[str], None],
+        publish_report: Callable[["ModelNode", LoadReport], None],
         rng: random.Random,
     ) -> None:
         self.clock = LoopClock(asyncio.get_running_loop())
         self.server = server
-        self.directory = ModelDirectory(member, failed)
-        self.view = make_view(text, Place(member.region, member.data_centre), self.clock)
+        self.directory = ModelDirectory(member, on_failure)
+        self.view = make_view(tree_text, Place(member.region, member.data_centre), self.clock)
         self.metrics = Metrics()
         tracer = Tracer(member.node, self.clock, rng)
         self.statements = StatementTracker(member.node)
@@ -61,20 +61,20 @@
         self.serving = ServingService(
             member.service, self.transport, None, self.view, self.clock, self.metrics, tracer
         )
-        self.measurer = HealthChecker(
+        self.health_checker = HealthChecker(
             self.transport,
             self.clock,
             self.metrics,
-            self.backend_changed,
+            self.handle_backend_state,
             ModelProtocol(),
             self.note_health,
         )
-        self.measurer.preferred_check_at = self.serving.preferred_check_at
-        self.serving.health_checker = self.measurer
-        self.serving.load_listener = lambda report: publish(self, report)
-        start_up = StartupGrace(self.clock)
-        start_up.begin()
-        self.directory.on_change(lambda member: start_up.notify())
+        self.health_checker.preferred_check_at = self.serving.preferred_check_at
+        self.serving.health_checker = self.health_checker
+        self.serving.load_listener = lambda report: publish_report(self, report)
+        startup_grace = StartupGrace(self.clock)
+        startup_grace.begin()
+        self.directory.on_change(lambda member: startup_grace.notify())
         self.dispatcher = Dispatcher(
             self.directory,
             self.view,
@@ -84,65 +84,65 @@
             rng,
             self.metrics,
             tracer,
-            start_up,
+            startup_grace,
         )
         self.calls = NestedCalls(self.serving.running)
         settings = self.view.route(member.service, "/")
         self.serving.open(settings)
-        self.measurer.configure(settings)
-        self.served: set[asyncio.Task[Response]] = set()
+        self.health_checker.configure(settings)
+        self.served_tasks: set[asyncio.Task[Response]] = set()
         self.is_up = True
         self.is_leaving = False
-        self.looking = asyncio.ensure_future(self.measurer.run())
+        self.health_task = asyncio.ensure_future(self.health_checker.run())
 
     @property
     def name(self) -> str:
         return self.directory.own.node
 
     @property
-    def takes_callers(self) -> bool:
+    def accepts_callers(self) -> bool:
         return self.is_up and not self.is_leaving
 
     def note_load(self, load: ServerLoad) -> None:
         self.serving.note_load(load)
 
-    def note_statement(self, said: ServerStatement, sent_at: float) -> None:
-        before = self.statements.statement
-        self.statements.record_response(said, sent_at, self.clock.monotonic())
-        if self.statements.statement != before:
+    def note_statement(self, statement: ServerStatement, sent_at: float) -> None:
+        previous = self.statements.statement
+        self.statements.record_response(statement, sent_at, self.clock.monotonic())
+        if self.statements.statement != previous:
             self.serving.note_statement(self.statements.statement, self.statements.since)
 
-    def note_health(self, reading: HealthCheckResult, asked_at: float) -> None:
-        if reading.load is not None:
-            self.serving.note_load(reading.load)
+    def note_health(self, result: HealthCheckResult, checked_at: float) -> None:
+        if result.load is not None:
+            self.serving.note_load(result.load)
 
-    def backend_changed(self, state: BackendState) -> None:
+    def handle_backend_state(self, state: BackendState) -> None:
         ready = state is BackendState.READY and not self.is_leaving
         self.serving.set_accepting(ready)
         self.directory.set_state(MemberState.READY if ready else MemberState.DRAINING)
 
     def leave(self) -> None:
-        """Take no new work for the own server, as once it has said that it leaves."""
+        """Take no new requests for the own server, as after its announcement that it is leaving."""
         self.is_leaving = True
         self.serving.set_accepting(False)
         self.serving.reject_queued()
         self.directory.set_state(MemberState.DRAINING)
 
     async def dispatch(self, request: Request, settings: RouteSettings) -> Response:
-        """Serve a request that entered here."""
+        """Dispatch a request that a caller sent to this node."""
         request = self.calls.inherit_from_parent(request) or request
         task = asyncio.ensure_future(self.dispatcher.dispatch(request, inline_body(), settings))
-        self.served.add(task)
-        task.add_done_callback(self.served.discard)
+        self.served_tasks.add(task)
+        task.add_done_callback(self.served_tasks.discard)
         try:
             return await task
         except RequestFailedError as error:
             self.calls.record_failure(request, error)
             raise
 
-    def end(self) -> None:
-        """End at once, with all that it serves."""
+    def crash(self) -> None:
+        """Stop at once and break off all requests in flight."""
         self.is_up = False
-        self.looking.cancel()
-        for task in list(self.served):
+        self.health_task.cancel()
+        for task in list(self.served_tasks):
             task.cancel()
--- a/bench/model/_model_peers.py
+++ b/bench/model/_model_peers.py
@@ -1,4 +1,4 @@
-"""The ways between the nodes of a played fleet."""
+"""Simulated links between nodes."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,25 +14,27 @@
 
 
 class ModelPeers:
-    """Has another node serve a request; ``find`` returns who answers at an address, if anyone."""
+    """Sends requests to other nodes; ``find_node`` returns the node at an address, if any."""
 
     def __init__(
-        self, find: Callable[[str], "ModelNode | None"], way_s: Callable[[str], float]
+        self, find_node: Callable[[str], "ModelNode | None"], latency_s: Callable[[str], float]
     ) -> None:
-        self.find = find
-        self.way_s = way_s
+        self.find_node = find_node
+        self.latency_s = latency_s
 
     async def request(self, address: str, request: Request, body: RequestBody) -> Response:
-        """Return the answer; raises ``NotRunError`` or ``UnknownOutcomeError``."""
-        way_s = self.way_s(address)
-        await asyncio.sleep(way_s)
-        node = self.find(address)
+        """Return the response; raises ``NotRunError`` or ``UnknownOutcomeError``."""
+        latency_s = self.latency_s(address)
+        await asyncio.sleep(latency_s)
+        node = self.find_node(address)
         if node is None:
-            await asyncio.sleep(way_s)
-            raise NotRunError(ErrorCode.CONNECT_FAILED, "nobody listens", step=STEP, peer=address)
+            await asyncio.sleep(latency_s)
+            raise NotRunError(
+                ErrorCode.CONNECT_FAILED, "connection refused", step=STEP, peer=address
+            )
         task = asyncio.ensure_future(node.serving.handle(request, body))
-        node.served.add(task)
-        task.add_done_callback(node.served.discard)
+        node.served_tasks.add(task)
+        task.add_done_callback(node.served_tasks.discard)
         try:
             return await task
         except asyncio.CancelledError:
@@ -40,7 +42,7 @@
             if node.is_up:
                 raise
             raise UnknownOutcomeError(
-                ErrorCode.PEER_LOST, "the connection broke", step=STEP, peer=address
+                ErrorCode.PEER_LOST, "connection lost", step=STEP, peer=address
             ) from None
         finally:
-            await asyncio.sleep(way_s)
+            await asyncio.sleep(latency_s)
--- a/bench/model/_model_server.py
+++ b/bench/model/_model_server.py
@@ -1,4 +1,4 @@
-"""One backend server of a played deployment."""
+"""A simulated backend server."""
 
 import asyncio
 import random
@@ -12,31 +12,31 @@
 from marjoramtide.exchange import ServerStatement
 from marjoramtide.serving import ServerLoad
 
-# What a refusal by the server, or an error that it gives at once, takes, in seconds.
-QUICK_S = 0.001
-# What a server that has named a limit bears: so many times it over a span in seconds, and a number
-# besides. What begins beyond that takes so many times longer.
-BORNE_EXCESS, BORNE_SPAN_S, BORNE_SLACK = 1.5, 4.0, 5.0
-OVERRUN_FACTOR = 4.0
+# Duration of a request that a ``grey`` fault makes fail at once.
+FAST_FAILURE_S = 0.001
+# A server with a rate limit tolerates ``TOLERATED_EXCESS`` times the limit over the window, plus
+# ``TOLERATED_SLACK`` requests. Requests beyond that take ``OVERLOAD_FACTOR`` times longer.
+TOLERATED_EXCESS, TOLERANCE_WINDOW_S, TOLERATED_SLACK = 1.5, 4.0, 5.0
+OVERLOAD_FACTOR = 4.0
 
 Calls = Callable[[], Awaitable[bool]]
-"""Makes the calls of a request; tells whether all of them succeeded."""
+"""Sends the nested requests of a request; returns whether all of them succeeded."""
 
 
-class ServerGoneError(Exception):
-    """The server ended while it ran a request, or isn't there."""
+class ServerCrashedError(Exception):
+    """The server crashed while it ran a request, or is down."""
 
 
 class ServerFullError(Exception):
-    """The server runs and queues as many requests as it can."""
+    """All slots and queue places of the server are taken."""
 
 
 @attrs.define(slots=True, eq=False)
 class ModelServer:
-    """Runs requests at the pace that it has when each begins.
+    """Runs requests; the pace of the server at the start of a request decides how long it takes.
 
-    ``trouble`` is by how much a fault slows it down, ``grey`` the share that a fault makes it fail,
-    ``limit`` the requests a second that it names, ``None`` for none.
+    ``fault_factor`` is the slowdown by a fault, ``failure_share`` the share of requests that a
+    fault makes fail, ``rate_limit`` the announced rate limit per second or ``None``.
     """
 
     plan: ServicePlan
@@ -45,10 +45,10 @@
     clock: Callable[[], float]
     started_at: float
     speed: float = 1.0
-    trouble: float = 1.0
-    grey: float = 0.0
-    limit: float | None = None
-    begun: deque[float] = attrs.Factory(deque)
+    fault_factor: float = 1.0
+    failure_share: float = 0.0
+    rate_limit: float | None = None
+    recent_starts: deque[float] = attrs.Factory(deque)
     is_up: bool = True
     running: set["asyncio.Task[bool]"] = attrs.Factory(set)
     waiting: deque["asyncio.Future[None]"] = attrs.Factory(deque)
@@ -56,44 +56,49 @@
     runs: int = 0
 
     def slowdown(self, now: float) -> float:
-        """Return what the server tells of its neighbours; a cold one counts that in."""
-        return self.pace.at(now) * self.cold(now)
+        """Return the slowdown that the server reports: neighbours and cold start together."""
+        return self.pace.at(now) * self.cold_factor(now)
 
-    def cold(self, now: float) -> float:
+    def cold_factor(self, now: float) -> float:
         is_cold = now - self.started_at < self.plan.cold_s
         return self.plan.cold_factor if is_cold else 1.0
 
     def load(self) -> ServerLoad:
-        """Return what the server says of itself."""
+        """Return the load that the server reports."""
         slowdown = self.slowdown(self.clock())
         return ServerLoad(self.in_use, len(self.waiting), self.plan.slots, slowdown)
 
-    def run_s(self, work_ms: float, now: float) -> float:
-        """Return how long work that begins now takes, in seconds."""
+    def run_time_s(self, work_ms: float, now: float) -> float:
+        """Return the duration of work that starts now."""
         knee = self.plan.knee_factor if self.in_use > self.plan.knee * self.plan.slots else 1.0
-        overrun = OVERRUN_FACTOR if self.is_overrun(now) else 1.0
-        return work_ms / 1000 * self.slowdown(now) * knee * overrun * self.speed * self.trouble
+        overload = OVERLOAD_FACTOR if self.is_overloaded(now) else 1.0
+        return (
+            work_ms / 1000 * self.slowdown(now) * knee * overload * self.speed * self.fault_factor
+        )
 
     def statement(self) -> ServerStatement:
-        """Return what it says that it takes."""
-        return ServerStatement(rate_per_s=self.limit)
-
-    def is_overrun(self, now: float) -> bool:
-        """Tell whether more has begun of late than the limit bears."""
-        while self.begun and self.begun[0] <= now - BORNE_SPAN_S:
-            self.begun.popleft()
-        if self.limit is None:
+        """Return the server's statement of its rate limit."""
+        return ServerStatement(rate_per_s=self.rate_limit)
+
+    def is_overloaded(self, now: float) -> bool:
+        """Tell whether more requests started in the window than the rate limit tolerates."""
+        while self.recent_starts and self.recent_starts[0] <= now - TOLERANCE_WINDOW_S:
+            self.recent_starts.popleft()
+        if self.rate_limit is None:
             return False
-        return len(self.begun) > BORNE_EXCESS * self.limit * BORNE_SPAN_S + BORNE_SLACK
+        return (
+            len(self.recent_starts)
+            > TOLERATED_EXCESS * self.rate_limit * TOLERANCE_WINDOW_S + TOLERATED_SLACK
+        )
 
     async def run(self, work_ms: float, calls: Calls) -> bool:
-        """Run one request with its calls; tell whether it succeeded.
+        """Run one request with its nested requests; return whether it succeeded.
 
-        Raises ``ServerFullError`` where it was not begun, ``ServerGoneError`` where the server
-        ended before it did.
+        Raises ``ServerFullError`` if it was not started, and ``ServerCrashedError`` if the server
+        is down or crashes before the request completes.
         """
         if not self.is_up:
-            raise ServerGoneError
+            raise ServerCrashedError
         await self._take_slot()
         task = asyncio.ensure_future(self._work(work_ms, calls))
         self.running.add(task)
@@ -103,18 +108,18 @@
             if self.is_up or not task.cancelled():
                 task.cancel()
                 raise
-            raise ServerGoneError from None
+            raise ServerCrashedError from None
         finally:
             self.running.discard(task)
             self._free_slot()
 
     async def _work(self, work_ms: float, calls: Calls) -> bool:
         self.runs += 1
-        self.begun.append(self.clock())
-        if self.rng.random() < self.grey:
-            await asyncio.sleep(QUICK_S)
+        self.recent_starts.append(self.clock())
+        if self.rng.random() < self.failure_share:
+            await asyncio.sleep(FAST_FAILURE_S)
             return False
-        await asyncio.sleep(self.run_s(work_ms, self.clock()))
+        await asyncio.sleep(self.run_time_s(work_ms, self.clock()))
         return await calls() and self.rng.random() >= self.plan.error_share
 
     async def _take_slot(self) -> None:
@@ -142,17 +147,17 @@
                 return
         self.in_use -= 1
 
-    def end(self) -> None:
-        """Break off all that runs."""
+    def crash(self) -> None:
+        """Stop at once and break off all running and queued requests."""
         self.is_up = False
         for task in list(self.running):
             task.cancel()
         for waiter in self.waiting:
             if not waiter.done():
-                waiter.set_exception(ServerGoneError())
+                waiter.set_exception(ServerCrashedError())
         self.waiting.clear()
 
-    def begin(self) -> None:
-        """Come back, cold."""
+    def restart(self) -> None:
+        """Start again after a crash, cold."""
         self.is_up = True
         self.started_at = self.clock()
--- a/bench/model/_model_settings.py
+++ b/bench/model/_model_settings.py
@@ -1,4 +1,4 @@
-"""The settings that a played deployment stands for."""
+"""The settings tree of a simulated deployment."""
 
 import json
 import tomllib
@@ -13,14 +13,14 @@
 BASE_TREE = Path(__file__).resolve().parents[2] / "deploy" / "base-tree.toml"
 HOST = "callers"
 CONNECTIONS = 250
-# As the users' operators set it on all routes.
+# The value that operators set on all routes in production.
 MAX_ATTEMPTS = 2
-# The platform's highest rank; requests of it are urgent.
+# The highest rank; its requests are urgent.
 FIRST_RANK = 0
 
 
 def settings_text(deployment: Deployment, changes: Mapping[str, Any]) -> str:
-    """Return the tree of a deployment: what the platform's nodes go by, and ``changes`` of it."""
+    """Return the settings tree: the base tree of production, the deployment, then ``changes``."""
     services: dict[str, Any] = {
         service.name: {"hosts": [], "slots": service.slots, "connections": CONNECTIONS}
         for service in deployment.services
@@ -48,7 +48,7 @@
 
 
 def make_view(text: str, place: Place, clock: Clock) -> TreeSettingsView:
-    """Return the settings in force at one node; raises ``bad-settings``."""
+    """Return the settings view of one node; raises ``bad-settings``."""
     view = TreeSettingsView(place, Freshness(clock, FreezeDetector(clock)))
     envelope = Envelope(1, HOST, "first", HOST, 0.0, "", [], text)
     view.install(envelope, parse_tree(text, [place]))
--- a/bench/model/_model_transport.py
+++ b/bench/model/_model_transport.py
@@ -1,9 +1,9 @@
-"""The way from a node to its own backend server, without a network."""
+"""The simulated connection from a node to its own backend server."""
 
 import asyncio
 from collections.abc import Callable
 
-from bench.model._model_server import ModelServer, ServerFullError, ServerGoneError
+from bench.model._model_server import ModelServer, ServerCrashedError, ServerFullError
 from bench.model._model_work import ModelWork
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import (
@@ -26,18 +26,18 @@
     ServerLoad,
 )
 
-# One way between a node and the server beside it, in seconds.
-BESIDE_S = 0.00005
-# What a look at the health endpoint takes there, in seconds.
-LOOK_S = 0.001
+# One-way latency between a node and the server beside it.
+LOCAL_LATENCY_S = 0.00005
+# Duration of a health check.
+HEALTH_CHECK_S = 0.001
 STEP = "model.send"
 
 
 class ModelTransport(BackendTransport):
-    """Hands requests to a played server.
+    """Sends requests to a simulated server.
 
-    ``note_load`` and ``note_statement`` are told what the server says with each, the latter also
-    when the request was sent.
+    ``note_load`` is called with the load that comes with each response, and ``note_statement``
+    with the server's statement and the time at which the request was sent.
     """
 
     def __init__(
@@ -61,26 +61,26 @@
     ) -> Response:
         on_dispatch()
         sent_at = asyncio.get_running_loop().time()
-        await asyncio.sleep(BESIDE_S)
+        await asyncio.sleep(LOCAL_LATENCY_S)
         try:
             succeeded = await self.work.run(self.server, request)
         except ServerFullError as error:
             self.note_load(self.server.load())
             raise NotRunError(
-                ErrorCode.OVERLOADED, "the server refused it", step=STEP, reached_backend=True
+                ErrorCode.OVERLOADED, "server queue is full", step=STEP, reached_backend=True
             ) from error
-        except ServerGoneError as error:
+        except ServerCrashedError as error:
             raise UnknownOutcomeError(
-                ErrorCode.BACKEND_FAILED, "the connection ended", step=STEP
+                ErrorCode.BACKEND_FAILED, "connection lost", step=STEP
             ) from error
         self.note_load(self.server.load())
         self.note_statement(self.server.statement(), sent_at)
         return Response(200 if succeeded else 500, ())
 
     async def read(self, path: str, timeout_s: float) -> EndpointResponse:
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(HEALTH_CHECK_S)
         if not self.server.is_up:
-            raise NotRunError(ErrorCode.CONNECT_FAILED, "nobody listens", step=STEP)
+            raise NotRunError(ErrorCode.CONNECT_FAILED, "connection refused", step=STEP)
         load = self.server.load()
         text = f"{load.running},{load.waiting},{load.slots},{load.slowdown}"
         return EndpointResponse(200, (), text.encode())
@@ -93,20 +93,20 @@
 
 
 class ModelProtocol(BackendProtocol):
-    """Reads what a played server says of itself."""
+    """Decodes the health response of a simulated server."""
 
     internal_response_headers = frozenset()
 
     def request_headers(self, request: Request, remaining_ms: float, instance: str):  # type: ignore[no-untyped-def]
         return ()
 
-    def belongs(self, request_id: str, reply: BackendResponse) -> bool:
+    def belongs(self, request_id: str, response: BackendResponse) -> bool:
         return True
 
-    def read_response(self, reply: BackendResponse) -> ResponseMetadata:
+    def read_response(self, response: BackendResponse) -> ResponseMetadata:
         return ResponseMetadata(ResponseVerdict.ANSWERED)
 
-    def read_health(self, answer: EndpointResponse) -> HealthCheckResult:
-        running, waiting, slots, slowdown = answer.body.split(b",")
+    def read_health(self, response: EndpointResponse) -> HealthCheckResult:
+        running, waiting, slots, slowdown = response.body.split(b",")
         load = ServerLoad(int(running), int(waiting), int(slots), float(slowdown))
         return HealthCheckResult(BackendState.READY, load=load)
--- a/bench/model/_model_work.py
+++ b/bench/model/_model_work.py
@@ -1,4 +1,4 @@
-"""What each request is in work, and the calls that it makes while it runs."""
+"""The work of each request and its nested requests."""
 
 import asyncio
 import random
@@ -14,11 +14,11 @@
 from marjoramtide.exchange import Request
 
 Call = Callable[[], Awaitable[bool]]
-"""Makes one call; tells whether it succeeded."""
+"""Sends one nested request; returns whether it succeeded."""
 
 
-def kind_of(request_id: str) -> str:
-    """Return the kind that stands in an id: ``kind/number`` with what tells tries apart."""
+def request_kind(request_id: str) -> str:
+    """Return the kind part of a request id, which is ``kind/number`` and a suffix per attempt."""
     return request_id.partition("/")[0]
 
 
@@ -26,7 +26,7 @@
 class ModelWork:
     """Draws a request's work from its id, so that it is the same under each policy.
 
-    ``call`` makes a call from the node beside a server and tells whether it succeeded.
+    ``call`` sends a nested request from the node beside a server and returns whether it succeeded.
     """
 
     deployment: Deployment
@@ -38,52 +38,52 @@
         self.kinds = {kind.name: kind for kind in self.deployment.kinds}
 
     def rng(self, request_id: str) -> random.Random:
-        """Return the source of all that is drawn for a request."""
+        """Return the random generator of a request."""
         return random.Random(f"{self.seed} {request_id}")
 
     async def run(self, server: ModelServer, request: Request) -> bool:
-        """Run a request at a server; tell whether it succeeded."""
-        kind = self.kinds[kind_of(request.request_id)]
+        """Run a request at a server; return whether it succeeded."""
+        kind = self.kinds[request_kind(request.request_id)]
         rng = self.rng(request.request_id)
-        work_ms = work_of(kind, rng)
-        made = [plan for plan in kind.calls if rng.random() < plan.share]
-        calls = partial(self.make_calls, server, request.request_id, request.deadline, made)
+        work_ms = draw_work_ms(kind, rng)
+        plans = [plan for plan in kind.calls if rng.random() < plan.share]
+        calls = partial(self.make_calls, server, request.request_id, request.deadline, plans)
         return await server.run(work_ms, calls)
 
     async def make_calls(
-        self, server: ModelServer, name: str, deadline: float, plans: Sequence[CallPlan]
+        self, server: ModelServer, request_id: str, deadline: float, plans: Sequence[CallPlan]
     ) -> bool:
-        """Make the calls of a request; tell whether all of them succeeded."""
+        """Send the nested requests of a request; return whether all of them succeeded."""
         for plan in plans:
-            made = [
-                partial(self.call, server, call_id(name, plan, number), deadline)
+            calls = [
+                partial(self.call, server, nested_request_id(request_id, plan, number), deadline)
                 for number in range(plan.times)
             ]
-            if not await (all_together(made) if plan.together else all_in_turn(made)):
+            if not await (run_concurrently(calls) if plan.together else run_in_sequence(calls)):
                 return False
         return True
 
 
-def call_id(name: str, plan: CallPlan, number: int) -> str:
-    """Return the id of a call that the request ``name`` makes."""
-    return f"{plan.kind}/{name}.{plan.kind}.{number}"
+def nested_request_id(request_id: str, plan: CallPlan, number: int) -> str:
+    """Return the id of a nested request that the request ``request_id`` sends."""
+    return f"{plan.kind}/{request_id}.{plan.kind}.{number}"
 
 
-async def all_together(calls: Sequence[Call]) -> bool:
-    """Make calls at the same time; tell whether all of them succeeded."""
+async def run_concurrently(calls: Sequence[Call]) -> bool:
+    """Send nested requests concurrently; return whether all of them succeeded."""
     return all(await asyncio.gather(*(call() for call in calls)))
 
 
-async def all_in_turn(calls: Sequence[Call]) -> bool:
-    """Make calls one after the other, up to the first that fails."""
+async def run_in_sequence(calls: Sequence[Call]) -> bool:
+    """Send nested requests one after the other, up to the first failure."""
     for call in calls:
         if not await call():
             return False
     return True
 
 
-def work_of(kind: KindPlan, rng: random.Random) -> float:
-    """Draw the undisturbed work of one request, in milliseconds, around the kind's mean."""
+def draw_work_ms(kind: KindPlan, rng: random.Random) -> float:
+    """Draw the execution time of one request without slowdown, gamma-distributed."""
     if not kind.spread:
         return kind.work_ms
     shape = 1 / kind.spread**2
--- a/bench/model/_service_plan.py
+++ b/bench/model/_service_plan.py
@@ -7,11 +7,12 @@
 
 @attrs.frozen(slots=True)
 class ServicePlan:
-    """How many servers there are in each data centre, and how one behaves.
+    """The number of servers in each data centre, and the behaviour of one server.
 
-    Work takes ``knee_factor`` times longer while more than ``knee`` of the slots are in use, and
-    ``cold_factor`` times in the first ``cold_s`` seconds of a server. ``speeds`` is how far, as a
-    share, servers differ. ``error_share`` of the requests fail at the end of their work.
+    Work takes ``knee_factor`` times longer while more than a share ``knee`` of the slots is in use,
+    and ``cold_factor`` times longer in the first ``cold_s`` seconds of a server. The speeds of
+    servers differ by up to a share ``speeds`` in either direction. A share ``error_share`` of the
+    requests fails at the end of its work.
     """
 
     name: str
--- a/bench/model/_structuring.py
+++ b/bench/model/_structuring.py
@@ -1,17 +1,17 @@
-"""What is wrong in data that could not be structured, in words."""
+"""Readable messages for data that cattrs could not structure."""
 
 import cattrs
 from cattrs.v import format_exception
 
 
-def structuring_notes(error: Exception) -> str:
-    """Return each problem with its place; for a value out of range also what is allowed."""
+def validation_messages(error: Exception) -> str:
+    """Return each error with its path; for a value out of range also the allowed range."""
     if not isinstance(error, cattrs.BaseValidationError):
         return str(error)
-    return "; ".join(cattrs.transform_error(error, format_exception=note_of))
+    return "; ".join(cattrs.transform_error(error, format_exception=format_problem))
 
 
-def note_of(error: BaseException, wanted: type | None) -> str:
+def format_problem(error: BaseException, expected_type: type | None) -> str:
     if isinstance(error, ValueError) and error.args:
         return str(error.args[0])
-    return format_exception(error, wanted)
+    return format_exception(error, expected_type)
--- a/bench/model/_tally.py
+++ b/bench/model/_tally.py
@@ -1,18 +1,18 @@
-"""What callers got."""
+"""Outcomes of callers' requests and their aggregation."""
 
 import attrs
 
 from bench.model._deployment import Deployment
 
-# Of this length, in seconds, are the stretches of which the worst is looked for.
+# Length of the windows among which ``worst`` finds the worst ones.
 WINDOW_S = 2.0
 
 
 @attrs.frozen(slots=True)
-class RequestEnd:
-    """What became of one request of a caller, its repetitions included.
+class RequestOutcome:
+    """The outcome of one caller's request after all its attempts.
 
-    ``took_ms`` counts from the first try; ``reason`` is empty where there was an answer.
+    ``took_ms`` counts from the first attempt; ``reason`` is empty for a successful response.
     """
 
     kind: str
@@ -23,8 +23,13 @@
 
 
 @attrs.define(slots=True)
-class Tally:
-    """The figures of one play: shares of what was owed, the worst seconds, and reasons."""
+class SimulationResult:
+    """The figures of one simulation.
+
+    ``in_goal`` and ``kinds`` are earned worth as a share of the worth of all requests, ``worst`` is
+    that share in the two worst windows. ``p99_ms`` is the 99th percentile of the response time as a
+    multiple of the goal. ``reasons`` counts failures by kind and reason.
+    """
 
     in_goal: float
     worst: float
@@ -40,8 +45,8 @@
     requests: int = 0
 
 
-def tally(deployment: Deployment, ends: list[RequestEnd]) -> Tally:
-    """Add up what callers got."""
+def summarise(deployment: Deployment, outcomes: list[RequestOutcome]) -> SimulationResult:
+    """Aggregate the outcomes of all requests."""
     plans = {kind.name: kind for kind in deployment.kinds}
     owed: dict[str, float] = {}
     earned: dict[str, float] = {}
@@ -49,26 +54,28 @@
     reasons: dict[str, int] = {}
     served = refused = failed = 0
     times = []
-    for end in ends:
-        plan = plans[end.kind]
+    for outcome in outcomes:
+        plan = plans[outcome.kind]
         worth = 0.0
-        if end.reason:
-            reasons[f"{end.kind} {end.reason}"] = reasons.get(f"{end.kind} {end.reason}", 0) + 1
-            refused += end.not_run
-            failed += not end.not_run
+        if outcome.reason:
+            reasons[f"{outcome.kind} {outcome.reason}"] = (
+                reasons.get(f"{outcome.kind} {outcome.reason}", 0) + 1
+            )
+            refused += outcome.not_run
+            failed += not outcome.not_run
         else:
             served += 1
-            times.append(end.took_ms / plan.goal_ms)
-            worth = plan.worth if end.took_ms <= plan.goal_ms else plan.late_worth
-        owed[end.kind] = owed.get(end.kind, 0.0) + plan.worth
-        earned[end.kind] = earned.get(end.kind, 0.0) + worth
-        window = windows.setdefault(int(end.began_s / WINDOW_S), [0.0, 0.0])
+            times.append(outcome.took_ms / plan.goal_ms)
+            worth = plan.worth if outcome.took_ms <= plan.goal_ms else plan.late_worth
+        owed[outcome.kind] = owed.get(outcome.kind, 0.0) + plan.worth
+        earned[outcome.kind] = earned.get(outcome.kind, 0.0) + worth
+        window = windows.setdefault(int(outcome.began_s / WINDOW_S), [0.0, 0.0])
         window[0] += worth
         window[1] += plan.worth
-    count = max(1, len(ends))
+    count = max(1, len(outcomes))
     times.sort()
-    shares = sorted(got / due for got, due in windows.values() if due)
-    return Tally(
+    shares = sorted(gained / possible for gained, possible in windows.values() if possible)
+    return SimulationResult(
         in_goal=sum(earned.values()) / max(1e-9, sum(owed.values())),
         worst=sum(shares[:2]) / max(1, len(shares[:2])),
         served=served / count,
@@ -77,5 +84,5 @@
         p99_ms=times[int(0.99 * len(times))] if times else 0.0,
         kinds={kind: earned[kind] / owed[kind] for kind in sorted(owed)},
         reasons=dict(sorted(reasons.items(), key=lambda each: -each[1])),
-        requests=len(ends),
+        requests=len(outcomes),
     )
--- a/bench/model/_virtual_loop.py
+++ b/bench/model/_virtual_loop.py
@@ -1,40 +1,40 @@
-"""An event loop whose time jumps to the next timer."""
+"""An event loop with virtual time, which jumps to the next timer."""
 
 import asyncio
 import selectors
 
 from marjoramtide.clock import Clock
 
-BEGIN_S = 1000.0
+START_TIME_S = 1000.0
 
 
-class JumpingSelector(selectors.SelectSelector):
-    """Moves time on in place of waiting: nothing outside the process is waited for."""
+class VirtualTimeSelector(selectors.SelectSelector):
+    """Advances virtual time instead of waiting; there is no I/O to wait for."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.now = BEGIN_S
+        self.now = START_TIME_S
 
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         if timeout is None:
-            raise RuntimeError("every task waits for something that no timer will bring")
+            raise RuntimeError("deadlock: all tasks wait, and no timer is pending")
         self.now += max(0.0, timeout)
         return []
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Runs tasks and timers in their order, without waiting for the clock of the machine."""
+    """Runs tasks and timers in order of their time, without waiting for the real clock."""
 
     def __init__(self) -> None:
-        self.jumping = JumpingSelector()
-        super().__init__(self.jumping)
+        self.virtual_selector = VirtualTimeSelector()
+        super().__init__(self.virtual_selector)
 
     def time(self) -> float:
-        return self.jumping.now
+        return self.virtual_selector.now
 
 
 class LoopClock(Clock):
-    """The time of an event loop, as the product reads it."""
+    """The time of an event loop as a clock of the product."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
--- a/bench/model/_world.py
+++ b/bench/model/_world.py
@@ -1,85 +1,86 @@
-"""A played deployment: its servers and nodes, and what happens to them."""
+"""The simulated fleet: its servers and nodes, its traffic and its faults."""
 
 import asyncio
 import random
 
 import attrs
 
-from bench.model._arrivals import Arrival, arrivals
+from bench.model._arrivals import Arrival, draw_arrivals
 from bench.model._caller import Caller
 from bench.model._deployment import Deployment
 from bench.model._fault_plan import FaultPlan
 from bench.model._model_node import ModelNode
 from bench.model._model_peers import ModelPeers
 from bench.model._model_server import ModelServer
-from bench.model._model_work import ModelWork, kind_of
+from bench.model._model_work import ModelWork, request_kind
 from bench.model._neighbours import PaceTimeline
 from bench.model._oracle import Oracle
 from bench.model._oracle_caller import OracleCaller
 from bench.model._service_plan import ServicePlan
-from bench.model._tally import RequestEnd
+from bench.model._tally import RequestOutcome
 from marjoramtide.exchange import LoadReport, Request, RequestFailedError
 from marjoramtide.membership import Member, MemberState
 from marjoramtide.policy import bulletin_recipients
 
 REGION = "region"
-# How long news of a member takes to each other node, in seconds: gossip in a fleet of some dozens.
-GOSSIP_S = (0.02, 0.3)
-# Until a node that is gone is suspected and then held dead, in seconds.
-SUSPECTED_S = 0.3
-DEAD_S = 1.5
-# How long a node takes from its start to its first request, in seconds, and until others know it.
-NODE_START_S = 0.7
-# Time before the traffic in which nodes come to know one another, in seconds, and after it.
-LEAD_S = 5.0
-TAIL_S = 12.0
-IN_ZONE_S = 0.0001
+# Range of the delay until gossip carries a member's change to another node, in a fleet of some
+# dozens of nodes.
+GOSSIP_DELAY_S = (0.02, 0.3)
+# Delay from a node's crash until the others mark it suspect, and until they mark it dead.
+SUSPECT_DELAY_S = 0.3
+DEAD_DELAY_S = 1.5
+# Time from the start of a node process until it takes requests and joins the membership.
+NODE_STARTUP_S = 0.7
+# Time before the traffic in which nodes learn of one another, and time after it.
+WARM_UP_S = 5.0
+COOL_DOWN_S = 12.0
+SAME_DATA_CENTRE_LATENCY_S = 0.0001
 
 
 @attrs.define(slots=True, eq=False)
-class Seat:
-    """A server and the node beside it, which may end and begin anew."""
+class Host:
+    """A backend server and the node beside it, which may crash and be replaced by a new one."""
 
     number: int
     plan: ServicePlan
     data_centre: int
     server: ModelServer
     node: ModelNode | None = None
-    is_gone: bool = False
+    has_left: bool = False
 
     @property
     def address(self) -> str:
         return f"10.0.{self.number // 250}.{self.number % 250 + 1}:7000"
 
 
-class World:
-    """Plays one day of a deployment; ``text`` is the settings tree that all nodes go by."""
+class FleetSimulation:
+    """Simulates one deployment; ``tree_text`` is the settings tree of all nodes."""
 
-    def __init__(self, deployment: Deployment, seed: int, text: str) -> None:
-        """An empty ``text`` has an oracle place all requests in place of nodes."""
+    def __init__(self, deployment: Deployment, seed: int, tree_text: str) -> None:
+        """With an empty ``tree_text`` an oracle places all requests instead of nodes."""
         self.deployment = deployment
         self.seed = seed
-        self.text = text
+        self.tree_text = tree_text
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random(f"world {deployment.name} {seed}")
-        self.work = ModelWork(deployment, seed, self.call)
-        self.seats: list[Seat] = []
-        self.ends: list[RequestEnd] = []
-        self.lost_news = 0.0
+        self.work = ModelWork(deployment, seed, self.make_nested_call)
+        self.hosts: list[Host] = []
+        self.outcomes: list[RequestOutcome] = []
+        self.report_loss_share = 0.0
         self.runs = 0
-        self.began = self.loop.time() + LEAD_S
-        self.counts: dict[str, int] = {}
+        self.traffic_starts_at = self.loop.time() + WARM_UP_S
+        self.failure_counts: dict[str, int] = {}
         self.oracle_caller = OracleCaller(
-            Oracle(self.taking, self.loop.time), self.work, deployment.caller_ms / 1000
+            Oracle(self.available_servers, self.loop.time), self.work, deployment.caller_ms / 1000
         )
         for plan in deployment.services:
             for data_centre, count in enumerate(plan.servers):
                 for _ in range(count):
-                    self.add_seat(plan, data_centre, warm=True)
+                    self.add_host(plan, data_centre, warm=True)
 
-    def add_seat(self, plan: ServicePlan, data_centre: int, warm: bool = False) -> Seat:
-        """Put a server into a data centre."""
-        number = len(self.seats)
+    def add_host(self, plan: ServicePlan, data_centre: int, warm: bool = False) -> Host:
+        """Add a server to a data centre; ``warm`` skips its cold start."""
+        number = len(self.hosts)
         rng = random.Random(f"seat {self.deployment.name} {self.seed} {number}")
         server = ModelServer(
             plan=plan,
@@ -89,103 +90,112 @@
             started_at=float("-inf") if warm else self.loop.time(),
             speed=1 + plan.speeds * rng.uniform(-1, 1),
         )
-        seat = Seat(number, plan, data_centre, server)
-        self.seats.append(seat)
-        return seat
+        host = Host(number, plan, data_centre, server)
+        self.hosts.append(host)
+        return host
 
-    def start_node(self, seat: Seat) -> None:
-        """Begin a run of the node at a seat."""
+    def start_node(self, host: Host) -> None:
+        """Start a node on a host; each start gets a new node name."""
         member = Member(
-            node=f"node-{seat.number}~{self.rng.getrandbits(32):08x}",
-            service=seat.plan.name,
+            node=f"node-{host.number}~{self.rng.getrandbits(32):08x}",
+            service=host.plan.name,
             region=REGION,
-            data_centre=f"dc-{seat.data_centre}",
-            peer_address=seat.address,
-            gossip_address=seat.address,
-            operators_address=seat.address,
+            data_centre=f"dc-{host.data_centre}",
+            peer_address=host.address,
+            gossip_address=host.address,
+            operators_address=host.address,
         )
-        peers = ModelPeers(self.node_at, lambda address: self.way_s(seat, address))
-        rng = random.Random(f"node {self.seed} {seat.number}")
-        node = seat.node = ModelNode(
-            member, seat.server, self.work, self.text, peers, self.suspect, self.publish, rng
+        peers = ModelPeers(self.find_node, lambda address: self.latency_s(host, address))
+        rng = random.Random(f"node {self.seed} {host.number}")
+        node = host.node = ModelNode(
+            member,
+            host.server,
+            self.work,
+            self.tree_text,
+            peers,
+            self.handle_failure_report,
+            self.publish_load_report,
+            rng,
         )
-        node.directory.on_change(lambda changed: self.spread(node, changed))
-        for other in self.nodes():
+        node.directory.on_change(lambda changed: self.broadcast_member(node, changed))
+        for other in self.running_nodes():
             if other is not node:
-                self.later(other, node.directory.own, self.gossip_s())
-                self.later(node, other.directory.own, self.gossip_s())
+                self.deliver_later(other, node.directory.own, self.gossip_delay_s())
+                self.deliver_later(node, other.directory.own, self.gossip_delay_s())
 
-    def taking(self, service: str) -> list[ModelServer]:
-        """Return the servers of a service that don't leave."""
+    def available_servers(self, service: str) -> list[ModelServer]:
+        """Return the servers of a service that are not leaving."""
         return [
-            seat.server for seat in self.seats if seat.plan.name == service and not seat.is_gone
+            host.server for host in self.hosts if host.plan.name == service and not host.has_left
         ]
 
-    def nodes(self) -> list[ModelNode]:
-        """Return the nodes that run."""
-        return [seat.node for seat in self.seats if seat.node is not None and seat.node.is_up]
+    def running_nodes(self) -> list[ModelNode]:
+        """Return the nodes that have not crashed."""
+        return [host.node for host in self.hosts if host.node is not None and host.node.is_up]
 
-    def node_at(self, address: str) -> ModelNode | None:
-        seat = next((seat for seat in self.seats if seat.address == address), None)
-        return seat.node if seat is not None and seat.node and seat.node.is_up else None
+    def find_node(self, address: str) -> ModelNode | None:
+        host = next((host for host in self.hosts if host.address == address), None)
+        return host.node if host is not None and host.node and host.node.is_up else None
 
-    def way_s(self, seat: Seat, address: str) -> float:
-        """Return the way from one seat to another, one way in seconds."""
-        other = next(each for each in self.seats if each.address == address)
-        same = other.data_centre == seat.data_centre
-        return IN_ZONE_S if same else self.deployment.hop_ms / 1000
+    def latency_s(self, host: Host, address: str) -> float:
+        """Return the one-way network latency from a host to an address."""
+        other = next(each for each in self.hosts if each.address == address)
+        same = other.data_centre == host.data_centre
+        return SAME_DATA_CENTRE_LATENCY_S if same else self.deployment.hop_ms / 1000
 
-    def gossip_s(self) -> float:
-        return self.rng.uniform(*GOSSIP_S)
+    def gossip_delay_s(self) -> float:
+        return self.rng.uniform(*GOSSIP_DELAY_S)
 
-    def later(self, reader: ModelNode, member: Member, delay_s: float) -> None:
+    def deliver_later(self, reader: ModelNode, member: Member, delay_s: float) -> None:
         self.loop.call_later(delay_s, reader.directory.apply_update, member)
 
-    def spread(self, node: ModelNode, changed: Member) -> None:
-        """Let the others hear what a node says of itself."""
+    def broadcast_member(self, node: ModelNode, changed: Member) -> None:
+        """Gossip a node's own change of state to the other nodes."""
         if changed.node == node.name:
-            for other in self.nodes():
+            for other in self.running_nodes():
                 if other is not node:
-                    self.later(other, changed, self.gossip_s())
+                    self.deliver_later(other, changed, self.gossip_delay_s())
 
-    def suspect(self, name: str) -> None:
-        """Take a sign that a node is gone; what lives refutes it."""
-        node = next((each for each in self.nodes() if each.name == name), None)
+    def handle_failure_report(self, name: str) -> None:
+        """Start the failure detection of a node, unless it is up and would refute the suspicion."""
+        node = next((each for each in self.running_nodes() if each.name == name), None)
         if node is None:
-            self.loop.call_later(SUSPECTED_S, self.mark, name, MemberState.SUSPECT)
-            self.loop.call_later(DEAD_S, self.mark, name, MemberState.DEAD)
+            self.loop.call_later(SUSPECT_DELAY_S, self.set_member_state, name, MemberState.SUSPECT)
+            self.loop.call_later(DEAD_DELAY_S, self.set_member_state, name, MemberState.DEAD)
 
-    def mark(self, name: str, state: MemberState) -> None:
-        for node in self.nodes():
+    def set_member_state(self, name: str, state: MemberState) -> None:
+        for node in self.running_nodes():
             held = node.directory.find(name)
             if held is not None and held.state is not state:
                 node.directory.apply_update(attrs.evolve(held, state=state))
 
-    def publish(self, node: ModelNode, report: LoadReport) -> None:
-        """Bring news of a server's pace to those that follow it."""
+    def publish_load_report(self, node: ModelNode, report: LoadReport) -> None:
+        """Send a node's load report to the recipients of its bulletins."""
         if node.directory.own.state is not MemberState.READY:
             return
         for reader in bulletin_recipients(node.directory.own, node.directory.members()):
-            other = self.node_at(reader.peer_address)
-            if other is None or self.rng.random() < self.lost_news:
+            other = self.find_node(reader.peer_address)
+            if other is None or self.rng.random() < self.report_loss_share:
                 continue
             same = reader.data_centre == node.directory.own.data_centre
-            way_s = IN_ZONE_S if same else self.deployment.hop_ms / 1000
-            self.loop.call_later(way_s, self.tell, other, node.directory.own, report)
+            latency_s = SAME_DATA_CENTRE_LATENCY_S if same else self.deployment.hop_ms / 1000
+            self.loop.call_later(
+                latency_s, self.deliver_load_report, other, node.directory.own, report
+            )
 
-    def tell(self, reader: ModelNode, member: Member, report: LoadReport) -> None:
+    def deliver_load_report(self, reader: ModelNode, member: Member, report: LoadReport) -> None:
         if reader.is_up and reader.directory.find(member.node) is not None:
             reader.dispatcher.record_load_report(member, report)
 
-    async def call(self, server: ModelServer, request_id: str, deadline: float) -> bool:
-        """Make a call for a running request, through the node beside its server."""
-        if not self.text:
-            return await self.oracle_caller.call_made(server, request_id, deadline)
-        seat = next(seat for seat in self.seats if seat.server is server)
-        node = seat.node
+    async def make_nested_call(self, server: ModelServer, request_id: str, deadline: float) -> bool:
+        """Send a nested request for a running request, through the node beside its server."""
+        if not self.tree_text:
+            return await self.oracle_caller.make_nested_call(server, request_id, deadline)
+        host = next(host for host in self.hosts if host.server is server)
+        node = host.node
         if node is None or not node.is_up:
             return False
-        kind = self.work.kinds[kind_of(request_id)]
+        kind = self.work.kinds[request_kind(request_id)]
         now = self.loop.time()
         settings = node.view.find("callers", f"/{kind.name}/")
         request = Request(
@@ -203,125 +213,130 @@
             goal=now + settings.goal_ms / 1000,
         )
         try:
-            answer = await node.dispatch(request, settings)
+            response = await node.dispatch(request, settings)
         except RequestFailedError as error:
-            self.count(f"call {error.code}")
+            self.count_failure(f"call {error.code}")
             return False
         except asyncio.CancelledError:
             if node.is_up:
                 raise
             return False
-        return not answer.is_server_error
+        return not response.is_server_error
 
-    def count(self, name: str) -> None:
-        self.counts[name] = self.counts.get(name, 0) + 1
+    def count_failure(self, name: str) -> None:
+        self.failure_counts[name] = self.failure_counts.get(name, 0) + 1
 
-    async def play(self) -> list[RequestEnd]:
-        """Play the day and return what became of each request."""
-        for seat in self.seats if self.text else ():
-            self.start_node(seat)
-        await asyncio.sleep(LEAD_S)
+    async def run(self) -> list[RequestOutcome]:
+        """Run the simulation and return the outcome of each request."""
+        for host in self.hosts if self.tree_text else ():
+            self.start_node(host)
+        await asyncio.sleep(WARM_UP_S)
         for fault in self.deployment.faults:
-            self.loop.call_at(self.began + fault.at_s, self.strike, fault)
+            self.loop.call_at(self.traffic_starts_at + fault.at_s, self.inject_fault, fault)
         callers = [
-            asyncio.ensure_future(self.come(arrival))
-            for arrival in arrivals(self.deployment, self.seed)
+            asyncio.ensure_future(self.handle_arrival(arrival))
+            for arrival in draw_arrivals(self.deployment, self.seed)
         ]
         await asyncio.gather(*callers)
-        for node in self.nodes():
-            node.end()
-        return self.ends
-
-    async def come(self, arrival: Arrival) -> None:
-        await asyncio.sleep(self.began + arrival.at_s - self.loop.time())
-        if not self.text:
-            self.ends.append(await self.oracle_caller.call(arrival))
+        for node in self.running_nodes():
+            node.crash()
+        return self.outcomes
+
+    async def handle_arrival(self, arrival: Arrival) -> None:
+        await asyncio.sleep(self.traffic_starts_at + arrival.at_s - self.loop.time())
+        if not self.tree_text:
+            self.outcomes.append(await self.oracle_caller.call(arrival))
             return
         rng = self.work.rng(f"caller {arrival.request_id}")
         caller = Caller(
             arrival,
             self.work.kinds[arrival.kind],
             self.deployment.caller_ms / 1000,
-            lambda: self.entry(arrival.data_centre, rng),
+            lambda: self.pick_entry_node(arrival.data_centre, rng),
             rng,
         )
-        self.ends.append(await caller.call())
+        self.outcomes.append(await caller.call())
 
-    def entry(self, data_centre: int, rng: random.Random) -> ModelNode | None:
-        """Return a node that takes callers, of their own data centre where there is one."""
-        taking = [seat for seat in self.seats if seat.node is not None and seat.node.takes_callers]
-        near = [seat for seat in taking if seat.data_centre == data_centre]
-        return rng.choice(near or taking).node if taking else None
+    def pick_entry_node(self, data_centre: int, rng: random.Random) -> ModelNode | None:
+        """Return a random node that accepts callers, preferably in their own data centre."""
+        accepting = [
+            host for host in self.hosts if host.node is not None and host.node.accepts_callers
+        ]
+        near = [host for host in accepting if host.data_centre == data_centre]
+        return rng.choice(near or accepting).node if accepting else None
 
     # Faults
 
-    def strike(self, fault: FaultPlan) -> None:
-        """Let a fault begin; ``burst``, ``shift`` and ``abuse`` are the arrivals' own."""
-        action = getattr(self, f"strike_{fault.kind}", None)
+    def inject_fault(self, fault: FaultPlan) -> None:
+        """Start a fault; ``burst``, ``shift`` and ``abuse`` are part of the arrivals instead."""
+        action = getattr(self, f"inject_{fault.kind}", None)
         if action is not None:
             action(fault)
 
-    def struck(self, fault: FaultPlan) -> list[Seat]:
-        """Draw whom a fault strikes: at least one, and never all of a service unless it says so."""
+    def pick_targets(self, fault: FaultPlan) -> list[Host]:
+        """Draw the hosts that a fault affects.
+
+        At least one; never all hosts of a service, unless the fault's share is 1.
+        """
         rng = random.Random(f"{self.seed} {fault}")
-        fitting = [
-            seat
-            for seat in self.seats
-            if not seat.is_gone and fault.service in ("", seat.plan.name)
+        eligible = [
+            host
+            for host in self.hosts
+            if not host.has_left and fault.service in ("", host.plan.name)
         ]
-        count = min(len(fitting), max(1, round(fault.share * len(fitting))))
-        drawn = rng.sample(fitting, count)
+        count = min(len(eligible), max(1, round(fault.share * len(eligible))))
+        drawn = rng.sample(eligible, count)
         if fault.share >= 1:
             return drawn
-        left = {seat.plan.name for seat in fitting if seat not in drawn}
-        return [seat for seat in drawn if seat.plan.name in left]
-
-    def strike_slow(self, fault: FaultPlan) -> None:
-        for seat in self.struck(fault):
-            seat.server.trouble = fault.factor
-            self.loop.call_later(fault.for_s, setattr, seat.server, "trouble", 1.0)
-
-    def strike_grey(self, fault: FaultPlan) -> None:
-        for seat in self.struck(fault):
-            seat.server.grey = min(1.0, fault.factor)
-            self.loop.call_later(fault.for_s, setattr, seat.server, "grey", 0.0)
-
-    def strike_limit(self, fault: FaultPlan) -> None:
-        for seat in self.struck(fault):
-            seat.server.limit = fault.factor
-            self.loop.call_later(fault.for_s, setattr, seat.server, "limit", None)
-
-    def strike_crash(self, fault: FaultPlan) -> None:
-        for seat in self.struck(fault):
-            seat.server.end()
-            self.loop.call_later(fault.for_s, seat.server.begin)
-
-    def strike_leave(self, fault: FaultPlan) -> None:
-        for seat in self.struck(fault):
-            seat.is_gone = True
-            if seat.node is not None:
-                seat.node.leave()
-
-    def strike_join(self, fault: FaultPlan) -> None:
-        for seat in self.struck(fault):
-            joined = self.add_seat(seat.plan, seat.data_centre)
-            if self.text:
+        left = {host.plan.name for host in eligible if host not in drawn}
+        return [host for host in drawn if host.plan.name in left]
+
+    def inject_slow(self, fault: FaultPlan) -> None:
+        for host in self.pick_targets(fault):
+            host.server.fault_factor = fault.factor
+            self.loop.call_later(fault.for_s, setattr, host.server, "fault_factor", 1.0)
+
+    def inject_grey(self, fault: FaultPlan) -> None:
+        for host in self.pick_targets(fault):
+            host.server.failure_share = min(1.0, fault.factor)
+            self.loop.call_later(fault.for_s, setattr, host.server, "failure_share", 0.0)
+
+    def inject_limit(self, fault: FaultPlan) -> None:
+        for host in self.pick_targets(fault):
+            host.server.rate_limit = fault.factor
+            self.loop.call_later(fault.for_s, setattr, host.server, "rate_limit", None)
+
+    def inject_crash(self, fault: FaultPlan) -> None:
+        for host in self.pick_targets(fault):
+            host.server.crash()
+            self.loop.call_later(fault.for_s, host.server.restart)
+
+    def inject_leave(self, fault: FaultPlan) -> None:
+        for host in self.pick_targets(fault):
+            host.has_left = True
+            if host.node is not None:
+                host.node.leave()
+
+    def inject_join(self, fault: FaultPlan) -> None:
+        for host in self.pick_targets(fault):
+            joined = self.add_host(host.plan, host.data_centre)
+            if self.tree_text:
                 self.start_node(joined)
 
-    def strike_restart(self, fault: FaultPlan) -> None:
-        for seat in self.struck(fault):
+    def inject_restart(self, fault: FaultPlan) -> None:
+        for host in self.pick_targets(fault):
             if fault.factor > 1:
-                seat.server.end()
-                self.loop.call_later(fault.for_s, seat.server.begin)
-            if seat.node is not None:
-                self.end_node(seat.node)
-                self.loop.call_later(fault.for_s + NODE_START_S, self.start_node, seat)
-
-    def end_node(self, node: ModelNode) -> None:
-        node.end()
-        self.loop.call_later(SUSPECTED_S, self.mark, node.name, MemberState.SUSPECT)
-        self.loop.call_later(DEAD_S, self.mark, node.name, MemberState.DEAD)
-
-    def strike_lossy(self, fault: FaultPlan) -> None:
-        self.lost_news = fault.share
-        self.loop.call_later(fault.for_s, setattr, self, "lost_news", 0.0)
+                host.server.crash()
+                self.loop.call_later(fault.for_s, host.server.restart)
+            if host.node is not None:
+                self.crash_node(host.node)
+                self.loop.call_later(fault.for_s + NODE_STARTUP_S, self.start_node, host)
+
+    def crash_node(self, node: ModelNode) -> None:
+        node.crash()
+        self.loop.call_later(SUSPECT_DELAY_S, self.set_member_state, node.name, MemberState.SUSPECT)
+        self.loop.call_later(DEAD_DELAY_S, self.set_member_state, node.name, MemberState.DEAD)
+
+    def inject_lossy(self, fault: FaultPlan) -> None:
+        self.report_loss_share = fault.share
+        self.loop.call_later(fault.for_s, setattr, self, "report_loss_share", 0.0)
--- a/features/steps/mechanism_steps.py
+++ b/features/steps/mechanism_steps.py
@@ -1,4 +1,4 @@
-"""Steps for what mechanisms are worth."""
+"""Steps for measuring the effect of mechanisms."""
 
 from concurrent.futures import ProcessPoolExecutor
 from concurrent.futures.process import BrokenProcessPool
@@ -18,9 +18,9 @@
 SEEDS = 3
 
 
-def can_be_left_out(mechanism: Mechanism) -> bool:
-    """Leave it out in a process of its own, so that nothing is missing here."""
-    with ProcessPoolExecutor(1, initializer=mechanism.leave_out) as pool:
+def can_be_disabled(mechanism: Mechanism) -> bool:
+    """Disable it in a process of its own, so that it stays enabled here."""
+    with ProcessPoolExecutor(1, initializer=mechanism.disable) as pool:
         try:
             return pool.submit(int).result() == 0
         except BrokenProcessPool:
@@ -32,30 +32,30 @@
     context.mechanisms = MECHANISMS
 
 
-@then("each of them can be left out, and its source is where the table says")
+@then("each of them can be disabled, and its source is in the module that the table names")
 def then_each(context: Any) -> None:
-    left = [each.name for each in context.mechanisms if not can_be_left_out(each)]
-    assert not left, left
+    failed = [each.name for each in context.mechanisms if not can_be_disabled(each)]
+    assert not failed, failed
     for each in context.mechanisms:
         text = (SOURCES / (each.module.replace(".", "/") + ".py")).read_text()
         assert each.target.rpartition(".")[2] in text, each
 
 
-@then("a mechanism of a name that does not exist is refused")
+@then("a mechanism whose target does not exist is refused")
 def then_refused(context: Any) -> None:
     wrong = attrs.evolve(context.mechanisms[0], target=context.mechanisms[0].target + "s")
-    assert not can_be_left_out(wrong)
+    assert not can_be_disabled(wrong)
 
 
-@when("it is played with and without waiting for the server's pace, on seeds 1 to 3")
+@when("it is simulated with and without waiting for the server's pace, on seeds 1 to 3")
 def when_without(context: Any) -> None:
     jobs = make_jobs([context.deployment], SEEDS, {})
-    whole = list(run_jobs(jobs, PROCESSES))
-    waiting = next(each for each in MECHANISMS if each.name == "wait for the server's pace")
-    context.found = ablate(waiting, jobs, whole, PROCESSES)
+    baseline_runs = list(run_jobs(jobs, PROCESSES))
+    mechanism = next(each for each in MECHANISMS if each.name == "wait for the server's pace")
+    context.ablation = ablate(mechanism, jobs, baseline_runs, PROCESSES)
 
 
-@then("the row of the table tells a loss within the goal")
+@then("the row of the table shows a loss of in_goal")
 def then_row(context: Any) -> None:
-    assert context.found.differences[0].mean < 0, context.found
-    assert str(context.found).startswith("| wait for the server's pace | "), context.found
+    assert context.ablation.differences[0].mean < 0, context.ablation
+    assert str(context.ablation).startswith("| wait for the server's pace | "), context.ablation
--- a/features/steps/model_steps.py
+++ b/features/steps/model_steps.py
@@ -1,4 +1,4 @@
-"""Steps for the model: nothing is started, and no time is waited for."""
+"""Steps for the simulation of fleets in virtual time."""
 
 import tempfile
 from pathlib import Path
@@ -33,7 +33,7 @@
 deadline_ms = 800.0
 rate = 1.0
 """
-SOUND = {"rate": "rate_per_s", "name": 'name = "shop"\n', "share": 0.3, "split": "shop"}
+VALID = {"rate": "rate_per_s", "name": 'name = "shop"\n', "share": 0.3, "split": "shop"}
 MISTAKES = {
     "an unknown key": {"rate": "rate_per_sec"},
     "a share above 0.9": {"share": 1.5},
@@ -50,38 +50,40 @@
     return Deployment("shops", 2, (service,), (kind,), 90.0, seconds, faults=faults)
 
 
-@given("a deployment of 4 servers with neighbours that is played for {seconds:d} seconds")
+@given("a deployment of 4 servers with neighbours that is simulated for {seconds:d} seconds")
 def step_deployment(context: Any, seconds: int) -> None:
     context.deployment = deployment(seconds)
 
 
-@given("a deployment of 4 servers whose nodes all end at second 3 and begin again")
-def step_ending(context: Any) -> None:
+@given("a deployment of 4 servers whose nodes all crash at second 3 and restart")
+def step_crashing(context: Any) -> None:
     context.deployment = deployment(10.0, FaultPlan("restart", 3.0, for_s=0.5, share=1.0))
 
 
-@when("it is played twice under seed 1")
+@when("it is simulated twice with seed 1")
 def step_twice(context: Any) -> None:
-    context.plays = [simulate_deployment(context.deployment, 1, {}) for _ in range(2)]
+    context.results = [simulate_deployment(context.deployment, 1, {}) for _ in range(2)]
 
 
-@when("it is played under the policy in force and under the oracle")
+@when("it is simulated under the default policy and under the oracle")
 def step_oracle(context: Any) -> None:
-    context.plays = [simulate_deployment(context.deployment, 1, changes) for changes in ({}, None)]
+    context.results = [
+        simulate_deployment(context.deployment, 1, changes) for changes in ({}, None)
+    ]
 
 
-@when("it is played under the policy in force")
+@when("it is simulated under the default policy")
 def step_once(context: Any) -> None:
     context.figures = simulate_deployment(context.deployment, 1, {})
 
 
-@then("both plays have the same figures")
+@then("both simulations have the same figures")
 def step_same(context: Any) -> None:
-    first, second = map(attrs.asdict, context.plays)
+    first, second = map(attrs.asdict, context.results)
     assert first == second, (first, second)
 
 
-@then("placing at random is found no better than the policy in force, on seeds 1 to 3")
+@then("random selection does no better than the default policy, on seeds 1 to 3")
 def step_verdict(context: Any) -> None:
     pairs = [
         tuple(
@@ -95,7 +97,7 @@
 
 @then("the oracle answers more within the goal")
 def step_bound(context: Any) -> None:
-    own, oracle = context.plays
+    own, oracle = context.results
     assert oracle.in_goal > own.in_goal, (own.in_goal, oracle.in_goal)
 
 
@@ -104,25 +106,25 @@
     assert any(
         "Connection" in reason for reason in context.figures.reasons
     ), context.figures.reasons
-    # Without another run of the nodes, three seconds in ten would have been served.
+    # If the nodes did not restart, only three seconds in ten would have been served.
     assert context.figures.served > 0.6, context.figures
 
 
 @given("a deployment file with {mistake}")
 def step_file(context: Any, mistake: str) -> None:
-    context.mistaken = FILE.format(**SOUND | MISTAKES[mistake])
+    context.invalid_text = FILE.format(**VALID | MISTAKES[mistake])
 
 
 @then('reading it fails and names "{named}"')
 def step_refused(context: Any, named: str) -> None:
     with tempfile.TemporaryDirectory() as folder:
         path = Path(folder) / "deployment.toml"
-        path.write_text(FILE.format(**SOUND))
+        path.write_text(FILE.format(**VALID))
         load_deployment(path)
-        path.write_text(context.mistaken)
+        path.write_text(context.invalid_text)
         try:
             load_deployment(path)
         except ValueError as error:
             assert named in str(error) and str(path) in str(error), error
         else:
-            raise AssertionError("the file was taken")
+            raise AssertionError("the invalid file was accepted")
