--- a/bench/evacuation/__init__.py
+++ b/bench/evacuation/__init__.py
@@ -4,6 +4,6 @@
 one another as often as for the settings.
 """
 
-from bench.evacuation._spread import Spreading, SpreadPlan, spread
+from bench.evacuation._spread import SpreadPlan, SpreadResult, measure_spread
 
-__all__ = ["SpreadPlan", "Spreading", "spread"]
+__all__ = ["SpreadPlan", "SpreadResult", "measure_spread"]
--- a/bench/evacuation/__main__.py
+++ b/bench/evacuation/__main__.py
@@ -5,7 +5,7 @@
 
 import structlog
 
-from bench.evacuation import SpreadPlan, spread
+from bench.evacuation import SpreadPlan, measure_spread
 from bench.quarantine.__main__ import quantile
 
 SIZES = (12, 76, 195)
@@ -23,13 +23,13 @@
     )
     for size in SIZES:
         for loss in (0.0, 0.03):
-            for heard_by in HEARD_BY:
-                plans = [SpreadPlan(size, loss, heard_by, seed) for seed in range(seeds)]
-                found = [spread(plan) for plan in plans]
+            for notified_watchers in HEARD_BY:
+                plans = [SpreadPlan(size, loss, notified_watchers, seed) for seed in range(seeds)]
+                found = [measure_spread(plan) for plan in plans]
                 times = [each.seconds * 1000 for each in found]
-                there = max(each.seconds_there for each in found) * 1000
+                there = max(each.affected_seconds for each in found) * 1000
                 print(
-                    f"{size:5}  {loss:.2f}  {heard_by:18}  {quantile(times, 0.5):21.0f}  "
+                    f"{size:5}  {loss:.2f}  {notified_watchers:18}  {quantile(times, 0.5):21.0f}  "
                     f"{quantile(times, 0.99):6.0f}  {max(times):7.0f}   {there:13.0f}  "
                     f"{found[0].datagrams:10}  {found[0].bytes:7}"
                 )
--- a/bench/evacuation/_spread.py
+++ b/bench/evacuation/_spread.py
@@ -20,35 +20,35 @@
 
     size: int
     loss: float = 0.03
-    heard_by: int = WATCHERS * len(DATA_CENTRES)
+    notified_watchers: int = WATCHERS * len(DATA_CENTRES)
     seed: int = 1
 
 
 @attrs.frozen(slots=True)
-class Spreading:
+class SpreadResult:
     """Seconds until the last node knew, and until the last one in the evacuated data centre did.
 
     The latter are the last check before their servers: after them no request arrives there.
     """
 
     seconds: float
-    seconds_there: float
+    affected_seconds: float
     datagrams: int
     bytes: int
 
 
-def spread(plan: SpreadPlan) -> Spreading:
+def measure_spread(plan: SpreadPlan) -> SpreadResult:
     """Measure one fleet."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(measure(plan))
 
 
-async def measure(plan: SpreadPlan) -> Spreading:
+async def measure(plan: SpreadPlan) -> SpreadResult:
     network = EvacuationNetwork(plan.size, plan.seed, plan.loss)
     name, loop = DATA_CENTRES[0], asyncio.get_running_loop()
     watchers = range(min(plan.size, WATCHERS * len(DATA_CENTRES)))
     began = loop.time()
-    network.evacuate(name, network.rng.sample(watchers, min(plan.heard_by, len(watchers))))
+    network.evacuate(name, network.rng.sample(watchers, min(plan.notified_watchers, len(watchers))))
     there_s = 0.0
     while unaware := network.unaware(name):
         if any(network.members[number].data_centre == name for number in unaware):
@@ -59,4 +59,4 @@
     took_s = loop.time() - began
     await asyncio.sleep(TOLD_S)
     network.close()
-    return Spreading(took_s, there_s + STEP_S, network.sent, network.sent_bytes)
+    return SpreadResult(took_s, there_s + STEP_S, network.sent, network.sent_bytes)
--- a/bench/limits/__init__.py
+++ b/bench/limits/__init__.py
@@ -3,23 +3,23 @@
 from bench.limits._limit_plan import LimitPlan, draw_plan
 from bench.limits._limit_tally import LimitTally
 from bench.limits._limit_watch import (
-    EnteredRequest,
+    AnnouncedRate,
     FullestWindow,
-    NamedRate,
+    ReceivedRequest,
     allowed_between,
     fullest_window,
 )
-from bench.limits._lookups import Lookups, Reply
+from bench.limits._lookups import LookupResponse, Lookups
 from bench.limits._play import play_limits
 
 __all__ = [
-    "EnteredRequest",
+    "AnnouncedRate",
     "FullestWindow",
     "LimitPlan",
     "LimitTally",
+    "LookupResponse",
     "Lookups",
-    "NamedRate",
-    "Reply",
+    "ReceivedRequest",
     "allowed_between",
     "draw_plan",
     "fullest_window",
--- a/bench/limits/_fleet.py
+++ b/bench/limits/_fleet.py
@@ -10,7 +10,7 @@
 import tomlkit
 from aiohttp import web
 
-from bench.limits._lookups import Reply
+from bench.limits._lookups import LookupResponse
 from standins.free_port import free_port, loopback_host
 from standins.mesh._process import ManagedProcess, start_process
 from standins.platform import (
@@ -163,7 +163,7 @@
             await asyncio.sleep(0.05)
         raise TimeoutError(f"{seat.name} takes no callers after {READY_S} s")
 
-    async def send(self, turn: int, attempt: str, key: str = "") -> Reply:
+    async def send(self, turn: int, attempt: str, key: str = "") -> LookupResponse:
         """Send a lookup through a node, with a caller's key where there is one."""
         assert self.session is not None
         headers = {
@@ -177,4 +177,4 @@
             self.session.get(url, headers=headers) as response,
         ):
             await response.read()
-            return Reply(response.status, dict(response.headers))
+            return LookupResponse(response.status, dict(response.headers))
--- a/bench/limits/_limit_watch.py
+++ b/bench/limits/_limit_watch.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen(slots=True)
-class NamedRate:
+class AnnouncedRate:
     """What a server names from a time on, in requests a second; ``None`` for no limit."""
 
     at: float
@@ -23,7 +23,7 @@
 
 
 @attrs.frozen(slots=True)
-class EnteredRequest:
+class ReceivedRequest:
     """A request that reached a server, and the node at which it began."""
 
     at: float
@@ -47,7 +47,7 @@
         return self.excess <= 0
 
 
-def allowed_between(rates: Sequence[NamedRate], begins: float, ends: float) -> float:
+def allowed_between(rates: Sequence[AnnouncedRate], begins: float, ends: float) -> float:
     """Return what the limits in force between two times allow, all the excess included.
 
     Before the first one as much as the first one.
@@ -61,7 +61,7 @@
 
 
 def fullest_window(
-    rates: Sequence[NamedRate], requests: Iterable[EnteredRequest], told: Mapping[str, float]
+    rates: Sequence[AnnouncedRate], requests: Iterable[ReceivedRequest], told: Mapping[str, float]
 ) -> FullestWindow | None:
     """Return the window that exceeds its limit by most, ``None`` where none binds.
 
--- a/bench/limits/_lookups.py
+++ b/bench/limits/_lookups.py
@@ -7,12 +7,12 @@
 
 import attrs
 
-from bench.limits._limit_watch import EnteredRequest
+from bench.limits._limit_watch import ReceivedRequest
 from standins.platform import PlatformBackendServer
 
 
 @attrs.frozen(slots=True)
-class Reply:
+class LookupResponse:
     """What a caller got."""
 
     status: int
@@ -25,12 +25,12 @@
 
     attempt: str
     entry: str
-    began: float
-    ended: float
-    reply: Reply
+    started_at: float
+    ended_at: float
+    response: LookupResponse
 
 
-Send = Callable[[int, str], Awaitable[Reply]]
+Send = Callable[[int, str], Awaitable[LookupResponse]]
 """Sends a lookup with an attempt's id through the node of a number."""
 
 
@@ -44,14 +44,14 @@
 
     nodes: int
     send: Send
-    done: list[Lookup] = attrs.Factory(list)
-    entered: dict[str, tuple[str, float]] = attrs.Factory(dict)
+    completed: list[Lookup] = attrs.Factory(list)
+    sent: dict[str, tuple[str, float]] = attrs.Factory(dict)
     calls: list["asyncio.Task[None]"] = attrs.Factory(list)
     runs: dict[int, int] = attrs.Factory(dict)
     down: set[int] = attrs.Factory(set)
     lost: int = 0
 
-    async def come(self, per_s: float) -> None:
+    async def send_at_rate(self, per_s: float) -> None:
         """Send so many a second until cancelled."""
         began = time.monotonic()
         for number in itertools.count():
@@ -62,15 +62,15 @@
     async def call(self, turn: int, number: int) -> None:
         """Send one, and keep its answer; one that its node took with it is counted as lost."""
         attempt, entry, began = f"{number:016x}", self.entry(turn), time.monotonic()
-        self.entered[attempt] = entry, began
+        self.sent[attempt] = entry, began
         try:
-            reply = await self.send(turn, attempt)
+            response = await self.send(turn, attempt)
         except (OSError, TimeoutError):
             self.lost += 1
             return
-        self.done.append(Lookup(attempt, entry, began, time.monotonic(), reply))
+        self.completed.append(Lookup(attempt, entry, began, time.monotonic(), response))
 
-    async def settle(self) -> None:
+    async def wait_for_responses(self) -> None:
         """Wait for the answers to all that was sent."""
         await asyncio.gather(*self.calls, return_exceptions=True)
 
@@ -78,37 +78,39 @@
         """Return the name of a node's present run."""
         return f"{turn}#{self.runs.get(turn, 0)}"
 
-    def entered_anew(self, turn: int) -> None:
+    def start_new_run(self, turn: int) -> None:
         """Take a node for another one from now on."""
         self.runs[turn] = self.runs.get(turn, 0) + 1
 
-    def told(self, server: PlatformBackendServer, header: str) -> dict[str, float]:
+    def first_notified_at(self, server: PlatformBackendServer, header: str) -> dict[str, float]:
         """Return when each node had first passed on an answer of a server with a header."""
         ran = {each.attempt for each in server.received}
         found: dict[str, float] = {}
-        for each in self.done:
-            if each.attempt in ran and header in each.reply.headers:
-                found[each.entry] = min(each.ended, found.get(each.entry, each.ended))
+        for each in self.completed:
+            if each.attempt in ran and header in each.response.headers:
+                found[each.entry] = min(each.ended_at, found.get(each.entry, each.ended_at))
         return found
 
-    def requests_at(self, server: PlatformBackendServer) -> list[EnteredRequest]:
+    def requests_at(self, server: PlatformBackendServer) -> list[ReceivedRequest]:
         """Return what a server got, with the run of a node at which each request began."""
         return [
-            EnteredRequest(each.at, self.entered[each.attempt][0])
+            ReceivedRequest(each.at, self.sent[each.attempt][0])
             for each in server.received
-            if each.attempt in self.entered
+            if each.attempt in self.sent
         ]
 
     def late_at(
-        self, server: PlatformBackendServer, told: Mapping[str, float], after_s: float
+        self, server: PlatformBackendServer, first_notified_at: Mapping[str, float], after_s: float
     ) -> list[str]:
         """Return what a server got though it began later than ``after_s`` after a node was told."""
         return [
             each.attempt
             for each in server.received
-            if each.attempt in self.entered and self._is_late(each.attempt, told, after_s)
+            if each.attempt in self.sent and self._is_late(each.attempt, first_notified_at, after_s)
         ]
 
-    def _is_late(self, attempt: str, told: Mapping[str, float], after_s: float) -> bool:
-        entry, began = self.entered[attempt]
-        return began > told.get(entry, float("inf")) + after_s
+    def _is_late(
+        self, attempt: str, first_notified_at: Mapping[str, float], after_s: float
+    ) -> bool:
+        entry, began = self.sent[attempt]
+        return began > first_notified_at.get(entry, float("inf")) + after_s
--- a/bench/limits/_play.py
+++ b/bench/limits/_play.py
@@ -11,7 +11,7 @@
 from bench.limits._fleet import LimitFleet, LimitSeat
 from bench.limits._limit_plan import LimitPlan, NodeEvent
 from bench.limits._limit_tally import LimitTally
-from bench.limits._limit_watch import FullestWindow, NamedRate, fullest_window
+from bench.limits._limit_watch import AnnouncedRate, FullestWindow, fullest_window
 from bench.limits._lookups import Lookups
 
 LIMIT, LEAVING = "Server-Limit", "Server-Leaving"
@@ -28,7 +28,7 @@
     fleet: LimitFleet
     lookups: Lookups
     rng: random.Random
-    named: list[NamedRate] = attrs.Factory(list)
+    named: list[AnnouncedRate] = attrs.Factory(list)
 
     @property
     def limited(self) -> list[LimitSeat]:
@@ -37,20 +37,20 @@
     async def run(self) -> None:
         """Play all changes and events while lookups come."""
         began = time.monotonic()
-        coming = asyncio.create_task(self.lookups.come(self.plan.per_s))
+        coming = asyncio.create_task(self.lookups.send_at_rate(self.plan.per_s))
         work = [self.change_limits(began), *(self.strike(each, began) for each in self.plan.events)]
         if self.plan.leaves_at_s is not None:
             work.append(self.leave(began + self.plan.leaves_at_s))
         await asyncio.gather(*work)
         await until(began + self.plan.seconds)
         coming.cancel()
-        await self.lookups.settle()
+        await self.lookups.wait_for_responses()
 
     async def change_limits(self, began: float) -> None:
         before = None
         for change in self.plan.changes:
             await until(began + change.at_s)
-            self.named.append(NamedRate(time.monotonic(), change.per_s))
+            self.named.append(AnnouncedRate(time.monotonic(), change.per_s))
             if self.plan.flickers:
                 await self.flicker(before, change.per_s)
             self.name(change.per_s)
@@ -84,11 +84,11 @@
         if event.kind == "freeze":
             seat.process.freeze()
             await asyncio.sleep(event.for_s)
-            self.lookups.entered_anew(event.node)
+            self.lookups.start_new_run(event.node)
             seat.process.thaw()
         else:
             await seat.process.kill()
-            self.lookups.entered_anew(event.node)
+            self.lookups.start_new_run(event.node)
             await asyncio.sleep(event.for_s)
             await self.fleet.start(seat)
             await self.fleet.wait_ready(seat)
@@ -99,13 +99,13 @@
         windows = [self.fullest_at(each) for each in self.limited]
         binding = [window for window in windows if window is not None]
         left = self.fleet.seats[-1].server
-        late = self.lookups.late_at(left, self.lookups.told(left, LEAVING), DRAIN_S)
-        statuses = Counter(each.reply.status for each in self.lookups.done)
+        late = self.lookups.late_at(left, self.lookups.first_notified_at(left, LEAVING), DRAIN_S)
+        statuses = Counter(each.response.status for each in self.lookups.completed)
         return LimitTally(
             worst=max(binding, key=lambda each: each.excess, default=None),
             late=len(late),
             used=self.used(),
-            asked=len(self.lookups.entered),
+            asked=len(self.lookups.sent),
             lost=self.lookups.lost,
             statuses=statuses,
         )
@@ -113,13 +113,15 @@
     def fullest_at(self, seat: LimitSeat) -> FullestWindow | None:
         """Return the fullest window of a limited server."""
         requests = self.lookups.requests_at(seat.server)
-        return fullest_window(self.named, requests, self.lookups.told(seat.server, LIMIT))
+        return fullest_window(
+            self.named, requests, self.lookups.first_notified_at(seat.server, LIMIT)
+        )
 
     def used(self) -> float:
         """Return which share of what the first limit offered ran, while it was in force."""
         first = self.named[0]
         assert first.per_s is not None
-        ended = max(began for _, began in self.lookups.entered.values())
+        ended = max(began for _, began in self.lookups.sent.values())
         ends = self.named[1].at if len(self.named) > 1 else ended
         ran = [
             sum(first.at + 1.0 <= each.at < ends for each in seat.server.received)
--- a/bench/quarantine/__init__.py
+++ b/bench/quarantine/__init__.py
@@ -5,8 +5,16 @@
 themselves, and counts what becomes of all others.
 """
 
-from bench.quarantine._news_network import NewsNetwork
-from bench.quarantine._play import PlayedFleet, PlayPlan, Tally, play
-from bench.quarantine._spread import Spread, spread
+from bench.quarantine._news_network import BulletinNetwork
+from bench.quarantine._play import PlayedFleet, QuarantinePlan, Tally, simulate_quarantine
+from bench.quarantine._spread import SpreadResult, measure_spread
 
-__all__ = ["NewsNetwork", "PlayPlan", "PlayedFleet", "Spread", "Tally", "play", "spread"]
+__all__ = [
+    "BulletinNetwork",
+    "PlayedFleet",
+    "QuarantinePlan",
+    "SpreadResult",
+    "Tally",
+    "measure_spread",
+    "simulate_quarantine",
+]
--- a/bench/quarantine/__main__.py
+++ b/bench/quarantine/__main__.py
@@ -7,25 +7,25 @@
 import attrs
 import structlog
 
-from bench.quarantine import PlayPlan, Tally, play, spread
+from bench.quarantine import QuarantinePlan, Tally, measure_spread, simulate_quarantine
 
 SIZES = (12, 69, 195)
 PLANS = {
-    "guilty request": PlayPlan(guilty_per_s=5.0),
-    "guilty from the first moment": PlayPlan(guilty_per_s=5.0, guilty_from_s=0.0),
-    "guilty, many at once": PlayPlan(guilty_per_s=30.0),
-    "guilty and losses": PlayPlan(guilty_per_s=5.0, loss_every_s=7.0, loss_share=0.3),
-    "losses of a tenth, 60 servers": PlayPlan(servers=60, per_s=1500.0, loss_every_s=5.0),
-    "losses of half, 12 servers": PlayPlan(
-        servers=12, per_s=200.0, loss_every_s=8.0, loss_share=0.5
+    "guilty request": QuarantinePlan(guilty_per_s=5.0),
+    "guilty from the first moment": QuarantinePlan(guilty_per_s=5.0, guilty_from_s=0.0),
+    "guilty, many at once": QuarantinePlan(guilty_per_s=30.0),
+    "guilty and losses": QuarantinePlan(guilty_per_s=5.0, crash_every_s=7.0, crash_share=0.3),
+    "losses of a tenth, 60 servers": QuarantinePlan(servers=60, per_s=1500.0, crash_every_s=5.0),
+    "losses of half, 12 servers": QuarantinePlan(
+        servers=12, per_s=200.0, crash_every_s=8.0, crash_share=0.5
     ),
-    "losses of all, 12 servers": PlayPlan(
-        servers=12, per_s=200.0, loss_every_s=12.0, loss_share=1.0
+    "losses of all, 12 servers": QuarantinePlan(
+        servers=12, per_s=200.0, crash_every_s=12.0, crash_share=1.0
     ),
-    "two pages only, losses of half": PlayPlan(
-        servers=12, per_s=200.0, common=1.0, pages=2, loss_every_s=8.0, loss_share=0.5
+    "two pages only, losses of half": QuarantinePlan(
+        servers=12, per_s=200.0, common_share=1.0, pages=2, crash_every_s=8.0, crash_share=0.5
     ),
-    "quiet": PlayPlan(),
+    "quiet": QuarantinePlan(),
 }
 
 
@@ -39,12 +39,12 @@
     print("nodes  loss  all know after: p50 ms  p99 ms  most ms   datagrams an end  bytes an end")
     for size in sizes:
         for loss in (0.0, 0.03):
-            found = [spread(size, seed, loss) for seed in range(seeds)]
+            found = [measure_spread(size, seed, loss) for seed in range(seeds)]
             times = [each.seconds * 1000 for each in found]
             middle, late = quantile(times, 0.5), quantile(times, 0.99)
             print(
                 f"{size:5}  {loss:.2f}  {middle:22.0f}  {late:6.0f}  {max(times):7.0f}  "
-                f"{found[0].datagrams_an_end:17.0f}  {found[0].bytes_an_end:12.0f}"
+                f"{found[0].datagrams_per_crash:17.0f}  {found[0].bytes_per_crash:12.0f}"
             )
 
 
@@ -62,11 +62,11 @@
     for name, plan in PLANS.items():
         for after in (0, 2, 3):
             plans = [attrs.evolve(plan, quarantine_after=after, seed=seed) for seed in range(seeds)]
-            tally = added([play(each) for each in plans])
+            tally = added([simulate_quarantine(each) for each in plans])
             print(
                 f"{name:32} {after:5}  {tally.asked:6}  {tally.served / tally.asked:7.4f}  "
                 f"{tally.failed:7}  {tally.held:5}  {tally.common_held:10}  "
-                f"{tally.guilty_ends} of {tally.ends}"
+                f"{tally.guilty_crashes} of {tally.ends}"
             )
 
 
--- a/bench/quarantine/_news_network.py
+++ b/bench/quarantine/_news_network.py
@@ -20,7 +20,7 @@
 DELAY_S = (0.0005, 0.003)
 
 
-class NewsNetwork:
+class BulletinNetwork:
     """One quarantine for each node of a service; ``loss`` of all datagrams never arrive.
 
     Nodes in ``cut`` neither hear nor are heard. ``sent`` and ``sent_bytes`` count datagrams.
@@ -30,7 +30,7 @@
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random(seed)
         self.loss = loss
-        self.cut: set[int] = set()
+        self.partitioned: set[int] = set()
         self.sent = 0
         self.sent_bytes = 0
         self.members = [make_member(number) for number in range(size)]
@@ -66,14 +66,18 @@
         self.sent += 1
         self.sent_bytes += len(cbor2.dumps(fields)) + ENVELOPE_BYTES
         target = int(reader.node)
-        if self.rng.random() < self.loss or sender in self.cut or target in self.cut:
+        if (
+            self.rng.random() < self.loss
+            or sender in self.partitioned
+            or target in self.partitioned
+        ):
             return
         self.loop.call_later(self.rng.uniform(*DELAY_S), self.deliver, sender, fields, target)
 
     def deliver(self, sender: int, fields: list[Any], target: int) -> None:
         self.nodes[target].take(self.members[sender], fields)
 
-    def holders(self, fingerprint: int) -> int:
+    def count_holding(self, fingerprint: int) -> int:
         """Return how many nodes hold a request back."""
         now = self.loop.time()
         return sum(
--- a/bench/quarantine/_play.py
+++ b/bench/quarantine/_play.py
@@ -7,7 +7,7 @@
 import attrs
 
 from bench.model._virtual_loop import VirtualLoop
-from bench.quarantine._news_network import SERVICE, NewsNetwork
+from bench.quarantine._news_network import SERVICE, BulletinNetwork
 from marjoramtide.errors import ErrorCode
 from marjoramtide.exchange import NotRunError, Request, RequestBody, inline_body
 from marjoramtide.serving._crash_detector import CrashDetector
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen(slots=True)
-class PlayPlan:
+class QuarantinePlan:
     """A service of ``servers``, with ``per_s`` requests a second of ``work_s`` on the mean.
 
     ``common`` of them ask for one of ``pages`` pages, the others for something of their own. The
@@ -36,17 +36,17 @@
     servers: int = 6
     per_s: float = 150.0
     work_s: float = 0.12
-    common: float = 0.3
+    common_share: float = 0.3
     pages: int = 20
     guilty_per_s: float = 0.0
     guilty_from_s: float = 10.0
     deadly_s: float = 0.08
-    loss_every_s: float = 0.0
-    loss_share: float = 0.15
-    back_s: float = 3.5
+    crash_every_s: float = 0.0
+    crash_share: float = 0.15
+    restart_s: float = 3.5
     seconds: float = 60.0
     quarantine_after: int = 2
-    news_loss: float = 0.01
+    bulletin_loss: float = 0.01
     seed: int = 1
 
 
@@ -60,7 +60,7 @@
     failed: int = 0
     common_held: int = 0
     ends: int = 0
-    guilty_ends: int = 0
+    guilty_crashes: int = 0
     guilty_asked: int = 0
 
 
@@ -77,11 +77,11 @@
 class PlayedFleet:
     """Places requests at random on servers that are up and have room."""
 
-    def __init__(self, plan: PlayPlan) -> None:
+    def __init__(self, plan: QuarantinePlan) -> None:
         self.plan = plan
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random(plan.seed)
-        self.network = NewsNetwork(plan.servers, plan.seed, plan.news_loss)
+        self.network = BulletinNetwork(plan.servers, plan.seed, plan.bulletin_loss)
         for node in self.network.nodes:
             node.configure(RouteSettings(quarantine_after=plan.quarantine_after))
         self.servers = [PlayedServer(self.loop) for _ in range(plan.servers)]
@@ -96,7 +96,7 @@
         arrivals = [self.arrive(self.plan.per_s, self.ordinary, ends)]
         if self.plan.guilty_per_s:
             arrivals.append(self.ask_for_guilty(ends))
-        if self.plan.loss_every_s:
+        if self.plan.crash_every_s:
             arrivals.append(self.lose_some(ends))
         await asyncio.gather(*arrivals)
         await asyncio.gather(*self.tasks)
@@ -105,7 +105,7 @@
 
     def ordinary(self) -> str:
         """Return the path of another request."""
-        if self.rng.random() < self.plan.common:
+        if self.rng.random() < self.plan.common_share:
             return f"/page/{self.rng.randrange(self.plan.pages)}"
         return f"/own/{self.rng.getrandbits(48):x}"
 
@@ -122,8 +122,8 @@
 
     async def lose_some(self, ends: float) -> None:
         while self.loop.time() < ends:
-            await asyncio.sleep(self.plan.loss_every_s)
-            count = max(1, round(self.plan.loss_share * len(self.servers)))
+            await asyncio.sleep(self.plan.crash_every_s)
+            count = max(1, round(self.plan.crash_share * len(self.servers)))
             for number in self.rng.sample(range(len(self.servers)), count):
                 self.end(number)
 
@@ -205,13 +205,13 @@
             return
         server.up = False
         self.tally.ends += 1
-        self.tally.guilty_ends += by is not None
+        self.tally.guilty_crashes += by is not None
         for ticket, (_, ended) in server.runs.items():
             server.watch.request_lost(ticket, by_server=True, now=now)
             ended.set_result(False)
         server.runs.clear()
         self.loop.call_later(NOTICED_S / 2, self.noticed, number)
-        self.loop.call_later(self.plan.back_s, self.back, number)
+        self.loop.call_later(self.plan.restart_s, self.back, number)
 
     def noticed(self, number: int) -> None:
         suspects = self.servers[number].watch.connection_refused(self.loop.time())
@@ -224,7 +224,7 @@
         server.watch.note_response(self.loop.time(), self.loop.time())
 
 
-def play(plan: PlayPlan) -> Tally:
+def simulate_quarantine(plan: QuarantinePlan) -> Tally:
     """Play a plan in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
 
--- a/bench/quarantine/_spread.py
+++ b/bench/quarantine/_spread.py
@@ -5,7 +5,7 @@
 import attrs
 
 from bench.model._virtual_loop import VirtualLoop
-from bench.quarantine._news_network import NewsNetwork
+from bench.quarantine._news_network import BulletinNetwork
 from marjoramtide.serving import InFlightRequest
 
 GUILTY = 0xBAD
@@ -16,42 +16,42 @@
 
 
 @attrs.frozen(slots=True)
-class Spread:
+class SpreadResult:
     """Seconds from the second end until all nodes hold the request back, and datagrams of an end.
 
     ``bytes_an_end`` are those of all nodes together.
     """
 
     seconds: float
-    datagrams_an_end: float
-    bytes_an_end: float
+    datagrams_per_crash: float
+    bytes_per_crash: float
 
 
-def spread(size: int, seed: int = 1, loss: float = 0.03, running: int = 10) -> Spread:
+def measure_spread(size: int, seed: int = 1, loss: float = 0.03, running: int = 10) -> SpreadResult:
     """Measure one fleet, whose servers run ``running`` requests at their end."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(measure(size, seed, loss, running))
 
 
-async def measure(size: int, seed: int, loss: float, running: int) -> Spread:
-    network = NewsNetwork(size, seed, loss)
+async def measure(size: int, seed: int, loss: float, running: int) -> SpreadResult:
+    network = BulletinNetwork(size, seed, loss)
     loop = asyncio.get_running_loop()
     first, second = network.rng.sample(range(size), 2)
     network.nodes[first].server_ended(make_runs(network, running))
     await asyncio.sleep(BETWEEN_S)
     began = loop.time()
     network.nodes[second].server_ended(make_runs(network, running))
-    while network.holders(GUILTY) < size and loop.time() < began + GIVEN_UP_S:
+    while network.count_holding(GUILTY) < size and loop.time() < began + GIVEN_UP_S:
         await asyncio.sleep(STEP_S)
     took = loop.time() - began
     # What is told again of both ends belongs to their price; what is told of a request that is held
     # back, for as long as it is, does not.
     await asyncio.sleep(BETWEEN_S)
     network.close()
-    return Spread(took, network.sent / 2, network.sent_bytes / 2)
+    return SpreadResult(took, network.sent / 2, network.sent_bytes / 2)
 
 
-def make_runs(network: NewsNetwork, running: int) -> list[InFlightRequest]:
+def make_runs(network: BulletinNetwork, running: int) -> list[InFlightRequest]:
     """Return the guilty request amid others, each of which runs once in its life."""
     others = [network.rng.getrandbits(64) for _ in range(running - 1)]
     now = network.loop.time()
--- a/bench/quota/__main__.py
+++ b/bench/quota/__main__.py
@@ -8,11 +8,11 @@
 import attrs
 import structlog
 
-from bench.quota import QuotaFigures, QuotaPlan, play
+from bench.quota import QuotaFigures, QuotaPlan, simulate_quota
 
 SIZES = (70, 300)
 WAYS = ("leases", "one owner", "even shares", "told use")
-HOWS = ("spread", "one", "moving")
+ENTRY_PATTERNS = ("spread", "one", "moving")
 FAULTS = (
     "owner ends",
     "owner starts again",
@@ -42,7 +42,7 @@
         return sum(getattr(each, name) for each in found) / len(found)
 
     return (
-        f"{plan.size:5}  {plan.way:12} {plan.how:12} {plan.fault or '-':24} {worst.excess:7.1f} "
+        f"{plan.size:5}  {plan.way:12} {plan.entry_pattern:12} {plan.fault or '-':24} {worst.excess:7.1f} "
         f"{worst.limit:6.0f} {mean('served'):6.3f} {mean('small_served'):6.3f} "
         f"{mean('datagrams_per_s'):6.0f} {mean('bytes_per_s') / 1000:6.1f} "
         f"{mean('crossed_bytes_per_s') / 1000:6.1f}"
@@ -56,14 +56,16 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     print(HEAD)
     plans = [
-        plan_of(size, way=way, how=how)
-        for size, way, how in itertools.product(SIZES, WAYS, HOWS)
+        plan_of(size, way=way, entry_pattern=pattern)
+        for size, way, pattern in itertools.product(SIZES, WAYS, ENTRY_PATTERNS)
         # All tell all: at 300 nodes that is more than can be played.
         if not (way == "told use" and size > SIZES[0])
     ]
     plans += [plan_of(size, fault=fault) for size, fault in itertools.product(SIZES, FAULTS)]
     for plan in plans:
-        print(row(plan, [play(attrs.evolve(plan, seed=seed)) for seed in seeds]), flush=True)
+        print(
+            row(plan, [simulate_quota(attrs.evolve(plan, seed=seed)) for seed in seeds]), flush=True
+        )
 
 
 if __name__ == "__main__":
--- a/bench/quota/_play.py
+++ b/bench/quota/_play.py
@@ -14,7 +14,7 @@
 
 WARM_S = 2.0
 # Of the usual rate of a workspace; what it may send at once is that of a second.
-QUOTA = 1.6
+LIMIT_RATIO = 1.6
 SKEW = 1.2
 SMALL_PER_S = 2.0
 # Until a change of the limits is in force at all nodes.
@@ -33,8 +33,8 @@
     workspaces: int = 77
     per_s: float = 390.0
     way: str = "leases"
-    hot: float = 6.0
-    how: str = "spread"
+    surge_factor: float = 6.0
+    entry_pattern: str = "spread"
     fault: str = ""
     loss: float = 0.01
     seconds: float = 12.0
@@ -46,7 +46,9 @@
     weights = [1 / place**SKEW for place in range(1, plan.workspaces + 1)]
     rates = [plan.per_s * weight / sum(weights) for weight in weights]
     found = [
-        WorkspaceSettings(f"w{place}", (), "route", -1, QUOTA * rate, max(1.0, QUOTA * rate))
+        WorkspaceSettings(
+            f"w{place}", (), "route", -1, LIMIT_RATIO * rate, max(1.0, LIMIT_RATIO * rate)
+        )
         for place, rate in enumerate(rates)
     ]
     return Workspaces({each.name: each for each in found})
@@ -60,7 +62,7 @@
     return QuotaNetwork(plan.size, plan.seed, plan.loss, limits, plan.way == "one owner")
 
 
-def play(plan: QuotaPlan) -> QuotaFigures:
+def simulate_quota(plan: QuotaPlan) -> QuotaFigures:
     """Play a plan."""
 
     async def run() -> QuotaFigures:
@@ -93,11 +95,13 @@
 
     async def callers(self, workspace: WorkspaceSettings, ended: float) -> None:
         loop = asyncio.get_running_loop()
-        usual = workspace.requests_per_s / QUOTA
+        usual = workspace.requests_per_s / LIMIT_RATIO
         async with asyncio.TaskGroup() as tasks:
             while loop.time() < ended:
                 is_hot = workspace is self.hot and loop.time() > self.began + WARM_S
-                await asyncio.sleep(self.rng.expovariate(usual * (self.plan.hot if is_hot else 1)))
+                await asyncio.sleep(
+                    self.rng.expovariate(usual * (self.plan.surge_factor if is_hot else 1))
+                )
                 tasks.create_task(self.ask(workspace, self.node(is_hot)))
 
     def node(self, is_hot: bool) -> int:
@@ -106,9 +110,9 @@
         # Callers of a node that is gone come by another one, where there is one.
         everywhere = range(self.plan.size)
         up = [number for number in everywhere if number not in down] or list(everywhere)
-        if is_hot and self.plan.how == "one":
+        if is_hot and self.plan.entry_pattern == "one":
             return up[0]
-        if is_hot and self.plan.how == "moving":
+        if is_hot and self.plan.entry_pattern == "moving":
             return up[second * 7 % len(up)]
         return self.rng.choice(up)
 
--- a/features/steps/bench_limits_steps.py
+++ b/features/steps/bench_limits_steps.py
@@ -6,10 +6,10 @@
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from bench.limits import (
-    EnteredRequest,
+    AnnouncedRate,
+    LookupResponse,
     Lookups,
-    NamedRate,
-    Reply,
+    ReceivedRequest,
     allowed_between,
     draw_plan,
     fullest_window,
@@ -25,13 +25,13 @@
     "and node {node} passes that on at second {told:g}"
 )
 def given_named(context: Any, rate: float, at: float, node: str, told: float) -> None:
-    context.rates = [NamedRate(at, rate)]
+    context.rates = [AnnouncedRate(at, rate)]
     context.told = {node: told}
 
 
 @when("it gets {count:d} requests of {entry} from second {first:g} on, one each {gap:g} s")
 def when_gets(context: Any, count: int, entry: str, first: float, gap: float) -> None:
-    context.requests = [EnteredRequest(first + number * gap, entry) for number in range(count)]
+    context.requests = [ReceivedRequest(first + number * gap, entry) for number in range(count)]
 
 
 @then("the fullest window holds {held:d} of {allowed:g} allowed, {verdict}")
@@ -57,11 +57,11 @@
     begins: float,
     ends: float,
 ) -> None:
-    rates = [NamedRate(at, first), NamedRate(change, second)]
+    rates = [AnnouncedRate(at, first), AnnouncedRate(change, second)]
     assert abs(allowed_between(rates, begins, ends) - allowed) < 1e-9
 
 
-async def unsent(turn: int, attempt: str) -> Reply:
+async def unsent(turn: int, attempt: str) -> LookupResponse:
     raise OSError
 
 
@@ -78,8 +78,8 @@
 def when_began(
     context: Any, one: str, first: float, second: float, other: str, third: float
 ) -> None:
-    context.lookups.entered = {"1": (one, first), "2": (one, second), "3": (other, third)}
-    received = [Arrival(third, attempt) for attempt in context.lookups.entered]
+    context.lookups.sent = {"1": (one, first), "2": (one, second), "3": (other, third)}
+    received = [Arrival(third, attempt) for attempt in context.lookups.sent]
     context.server = SimpleNamespace(received=received)
 
 
--- a/features/steps/evacuation_policy_steps.py
+++ b/features/steps/evacuation_policy_steps.py
@@ -6,7 +6,7 @@
 
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from bench.evacuation import SpreadPlan, spread
+from bench.evacuation import SpreadPlan, measure_spread
 from marjoramtide.checked import MalformedError
 from marjoramtide.evacuation._store_news import unpack_store_news
 from marjoramtide.policy import EvacuationSnapshot, EvacuationState
@@ -76,7 +76,7 @@
 
 @then("all of it knows within {seconds:d} s, with each of {count:d} seeds")
 def then_all_know(context: Any, seconds: int, count: int) -> None:
-    took = [spread(plan).seconds for plan in context.plans]
+    took = [measure_spread(plan).seconds for plan in context.plans]
     assert len(took) == count and max(took) <= seconds, took
 
 
--- a/features/steps/platform_named_limits_steps.py
+++ b/features/steps/platform_named_limits_steps.py
@@ -7,7 +7,7 @@
 import attrs
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from bench.limits import Lookups, NamedRate, Reply, fullest_window
+from bench.limits import AnnouncedRate, LookupResponse, Lookups, fullest_window
 from features.platform_harness import Seat, route
 from features.steps.platform_node_steps import run, start_fleet
 
@@ -23,7 +23,7 @@
     """The lookups of a scenario, and which servers have named what."""
 
     lookups: Lookups
-    named: list[NamedRate] = attrs.Factory(list)
+    named: list[AnnouncedRate] = attrs.Factory(list)
     limited: list[Seat] = attrs.Factory(list)
 
 
@@ -40,9 +40,9 @@
 
     run(context, begin())
 
-    async def send(turn: int, attempt: str) -> Reply:
+    async def send(turn: int, attempt: str) -> LookupResponse:
         result = await fleet.call(fleet.seats[turn], attempt=attempt)
-        return Reply(result.status, result.headers)
+        return LookupResponse(result.status, result.headers)
 
     context.play = LimitPlay(Lookups(count, send))
 
@@ -62,7 +62,7 @@
 @when("{per_s:d} lookups a second come through all nodes")
 def when_come(context: Any, per_s: int) -> None:
     async def begin() -> None:
-        context.coming = asyncio.create_task(context.play.lookups.come(per_s))
+        context.coming = asyncio.create_task(context.play.lookups.send_at_rate(per_s))
 
     run(context, begin())
 
@@ -80,7 +80,7 @@
         play.limited = context.fleet.seats[:count]
         for each in play.limited:
             each.server.rate = rate
-        play.named.append(NamedRate(time.monotonic(), float(rate)))
+        play.named.append(AnnouncedRate(time.monotonic(), float(rate)))
 
     run(context, name())
 
@@ -114,7 +114,7 @@
         await asyncio.sleep(seconds)
         lookups = context.play.lookups
         lookups.down.add(0)
-        lookups.entered_anew(0)
+        lookups.start_new_run(0)
         await context.fleet.restart_node(0)
         await context.fleet.seats[0].registrant.heartbeat("i-1")
         await context.fleet.wait_for(context.fleet.seats[0].node.takes_callers)
@@ -145,7 +145,7 @@
     context.coming.cancel()
     if beats := getattr(context, "beats", None):
         beats.cancel()
-    await context.play.lookups.settle()
+    await context.play.lookups.wait_for_responses()
 
 
 @then("each of these got no more than its limit allows")
@@ -153,7 +153,7 @@
     run(context, end_play(context))
     play = context.play
     for each in play.limited:
-        told = play.lookups.told(each.server, "Server-Limit")
+        told = play.lookups.first_notified_at(each.server, "Server-Limit")
         worst = fullest_window(play.named, play.lookups.requests_at(each.server), told)
         assert worst is None or worst.is_within, worst
 
@@ -162,7 +162,7 @@
 def then_got(context: Any, least: int, seconds: int) -> None:
     run(context, end_play(context))
     play = context.play
-    ended = max(began for _, began in play.lookups.entered.values())
+    ended = max(began for _, began in play.lookups.sent.values())
     for each in play.limited:
         count = sum(ended - seconds < arrival.at <= ended for arrival in each.server.received)
         assert count >= least, count
@@ -170,8 +170,8 @@
 
 @then("each lookup that was refused has a time to come back")
 def then_hint(context: Any) -> None:
-    refused = [each for each in context.play.lookups.done if each.reply.status == 503]
-    hints = [float(each.reply.headers.get("Retry-After", 0)) for each in refused]
+    refused = [each for each in context.play.lookups.completed if each.response.status == 503]
+    hints = [float(each.response.headers.get("Retry-After", 0)) for each in refused]
     assert all(hint > 0 for hint in hints), hints
 
 
@@ -179,7 +179,7 @@
 def then_nothing(context: Any, seconds: int) -> None:
     run(context, end_play(context))
     lookups, first = context.play.lookups, context.fleet.seats[0]
-    told = lookups.told(first.server, "Server-Leaving")
+    told = lookups.first_notified_at(first.server, "Server-Leaving")
     assert told, "no node had passed the word on"
     late = lookups.late_at(first.server, told, seconds)
     assert not late, f"{len(late)} requests"
@@ -192,9 +192,9 @@
     stops = context.fleet.stops
     lookups = [
         each
-        for each in context.play.lookups.done
-        if not stops.touches(each.began, each.ended, ASKED_AGAIN_S)
+        for each in context.play.lookups.completed
+        if not stops.touches(each.started_at, each.ended_at, ASKED_AGAIN_S)
     ]
-    good = sum(each.reply.status == 200 for each in lookups)
+    good = sum(each.response.status == 200 for each in lookups)
     assert good * 100 >= share * len(lookups), (good, len(lookups), stops.stops)
-    assert len(lookups) * 2 > len(context.play.lookups.done), stops.stops
+    assert len(lookups) * 2 > len(context.play.lookups.completed), stops.stops
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -10,7 +10,7 @@
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from bench.model._virtual_loop import VirtualLoop
-from bench.quarantine import NewsNetwork, PlayPlan, play, spread
+from bench.quarantine import BulletinNetwork, QuarantinePlan, measure_spread, simulate_quarantine
 from bench.quarantine._spread import GUILTY, make_runs
 from marjoramtide.exchange import LoadReport, Request
 from marjoramtide.peers import report_fields, unpack_report
@@ -29,24 +29,24 @@
 REQUEST = 7
 PAGE = 0x1234_5678_9ABC_DEF0
 SIMULATIONS = {
-    "a tenth of 60 servers is lost every 5 s": PlayPlan(
-        servers=60, per_s=1500.0, loss_every_s=5.0, seconds=30.0
+    "a tenth of 60 servers is lost every 5 s": QuarantinePlan(
+        servers=60, per_s=1500.0, crash_every_s=5.0, seconds=30.0
     ),
-    "half of 12 servers is lost every 8 s": PlayPlan(
-        servers=12, per_s=200.0, loss_every_s=8.0, loss_share=0.5
+    "half of 12 servers is lost every 8 s": QuarantinePlan(
+        servers=12, per_s=200.0, crash_every_s=8.0, crash_share=0.5
     ),
-    "all of 12 servers are lost every 12 s": PlayPlan(
-        servers=12, per_s=200.0, loss_every_s=12.0, loss_share=1.0
+    "all of 12 servers are lost every 12 s": QuarantinePlan(
+        servers=12, per_s=200.0, crash_every_s=12.0, crash_share=1.0
     ),
-    "half of 12 servers that have 2 pages is lost every 8 s": PlayPlan(
-        servers=12, per_s=200.0, common=1.0, pages=2, loss_every_s=8.0, loss_share=0.5
+    "half of 12 servers that have 2 pages is lost every 8 s": QuarantinePlan(
+        servers=12, per_s=200.0, common_share=1.0, pages=2, crash_every_s=8.0, crash_share=0.5
     ),
-    "half of 12 servers, whose requests take 6 s, is lost every 8 s": PlayPlan(
-        servers=12, per_s=12.0, work_s=6.0, common=0.0, loss_every_s=8.0, loss_share=0.5
+    "half of 12 servers, whose requests take 6 s, is lost every 8 s": QuarantinePlan(
+        servers=12, per_s=12.0, work_s=6.0, common_share=0.0, crash_every_s=8.0, crash_share=0.5
     ),
-    "a guilty request arrives 5 times a second": PlayPlan(guilty_per_s=5.0),
-    "a guilty request arrives amid losses of a third": PlayPlan(
-        guilty_per_s=5.0, loss_every_s=7.0, loss_share=0.3
+    "a guilty request arrives 5 times a second": QuarantinePlan(guilty_per_s=5.0),
+    "a guilty request arrives amid losses of a third": QuarantinePlan(
+        guilty_per_s=5.0, crash_every_s=7.0, crash_share=0.3
     ),
 }
 
@@ -155,7 +155,9 @@
 
 @when("it is simulated with the seeds 1, 2, 3 and 4")
 def simulated(context: Any) -> None:
-    context.tallies = [play(attrs.evolve(context.plan, seed=seed)) for seed in (1, 2, 3, 4)]
+    context.tallies = [
+        simulate_quarantine(attrs.evolve(context.plan, seed=seed)) for seed in (1, 2, 3, 4)
+    ]
 
 
 def total(context: Any, name: str) -> int:
@@ -180,12 +182,12 @@
 
 @then("a guilty request crashed at most {count:d} servers in each simulation")
 def crashed(context: Any, count: int) -> None:
-    assert all(0 < tally.guilty_ends <= count for tally in context.tallies), context.tallies
+    assert all(0 < tally.guilty_crashes <= count for tally in context.tallies), context.tallies
 
 
 @given("fleets of {size:d} nodes, where {loss:d} in 100 datagrams are lost")
 def given_fleets(context: Any, size: int, loss: int) -> None:
-    context.spreads = [spread(size, seed, loss / 100) for seed in range(20)]
+    context.spreads = [measure_spread(size, seed, loss / 100) for seed in range(20)]
 
 
 @then("in 20 of 20 fleets all nodes hold it back within {seconds:g} s of the second crash")
@@ -197,7 +199,7 @@
 @then("a crash costs at most {count:d} datagrams")
 def costs(context: Any, count: int) -> None:
     """Each node gets it three times, plus random gossip until a second has passed."""
-    assert all(each.datagrams_an_end <= count for each in context.spreads), context.spreads
+    assert all(each.datagrams_per_crash <= count for each in context.spreads), context.spreads
 
 
 def run(context: Any, work: Any) -> Any:
@@ -209,13 +211,13 @@
     context.runner = context.cleanup.enter_context(asyncio.Runner(loop_factory=VirtualLoop))
 
     async def make() -> None:
-        context.network = NewsNetwork(size)
+        context.network = BulletinNetwork(size)
         context.cleanup.callback(context.network.close)
 
     run(context, make())
 
 
-async def crash_two(network: NewsNetwork) -> None:
+async def crash_two(network: BulletinNetwork) -> None:
     for number in (1, 2):
         network.nodes[number].server_ended(make_runs(network, 5))
         await asyncio.sleep(0.2)
@@ -227,7 +229,7 @@
 
     async def hold() -> None:
         await crash_two(context.network)
-        assert context.network.holders(GUILTY) == size
+        assert context.network.count_holding(GUILTY) == size
 
     run(context, hold())
 
@@ -317,10 +319,10 @@
     given_fleet(context, size)
 
     async def cut() -> None:
-        context.network.cut.add(7)
+        context.network.partitioned.add(7)
         await crash_two(context.network)
         await asyncio.sleep(5.0)
-        assert context.network.holders(GUILTY) == size - 1
+        assert context.network.count_holding(GUILTY) == size - 1
 
     run(context, cut())
 
@@ -328,7 +330,7 @@
 @when("that node is reachable again, and another has restarted")
 def reachable(context: Any) -> None:
     async def heal() -> None:
-        context.network.cut.clear()
+        context.network.partitioned.clear()
         context.network.restart(9)
 
     run(context, heal())
@@ -338,7 +340,7 @@
 def all_held(context: Any, size: int, seconds: float) -> None:
     async def wait() -> None:
         await asyncio.sleep(seconds)
-        assert context.network.holders(GUILTY) == size, context.network.holders(GUILTY)
+        assert context.network.count_holding(GUILTY) == size, context.network.count_holding(GUILTY)
 
     run(context, wait())
 
@@ -351,7 +353,7 @@
         request = Request("mapdesk", "GET", "/", (), False, True, 0.0)
         node.begin(request, GUILTY)
         await asyncio.sleep(0.1)
-        assert context.network.holders(GUILTY) == len(context.network.nodes)
+        assert context.network.count_holding(GUILTY) == len(context.network.nodes)
         node.completed(GUILTY)
 
     run(context, try_it())
@@ -369,7 +371,7 @@
 def none_holds(context: Any, seconds: float) -> None:
     async def wait() -> None:
         await asyncio.sleep(seconds)
-        assert context.network.holders(GUILTY) == 0, context.network.holders(GUILTY)
+        assert context.network.count_holding(GUILTY) == 0, context.network.count_holding(GUILTY)
 
     run(context, wait())
 
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -5,9 +5,9 @@
 import attrs
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from bench.quota import QuotaFigures, QuotaPlan, play
+from bench.quota import QuotaFigures, QuotaPlan, simulate_quota
 from bench.quota.__main__ import plan_of
-from bench.quota._play import QUOTA
+from bench.quota._play import LIMIT_RATIO
 from marjoramtide.policy.quota import FleetShares, QuotaAccount, make_quota_pool
 from marjoramtide.policy.quota._fleet_shares import RETENTION_S
 
@@ -41,12 +41,14 @@
 
 @given("a workspace of {limit:d} requests a second on {nodes:d} nodes")
 def given_small(context: Any, limit: int, nodes: int) -> None:
-    context.plan = QuotaPlan(nodes, workspaces=1, per_s=limit / QUOTA, hot=4 * QUOTA, seconds=20)
+    context.plan = QuotaPlan(
+        nodes, workspaces=1, per_s=limit / LIMIT_RATIO, surge_factor=4 * LIMIT_RATIO, seconds=20
+    )
 
 
 @when("it sends four times its limit through all nodes")
 def when_above_limit(context: Any) -> None:
-    context.figures = play(context.plan)
+    context.figures = simulate_quota(context.plan)
 
 
 @when("its largest workspace sends requests {how}")
@@ -54,9 +56,9 @@
     how, _, fault = how.partition(" while ")
     fault_name = FAULTS.get(fault, "")
     plan = attrs.evolve(
-        context.plan, how=ARRIVALS[how], fault=fault_name, seed=SEEDS.get(fault_name, 1)
+        context.plan, entry_pattern=ARRIVALS[how], fault=fault_name, seed=SEEDS.get(fault_name, 1)
     )
-    context.figures = play(plan)
+    context.figures = simulate_quota(plan)
 
 
 @then("no workspace has more than its limit, 10 in 100 and 20 requests in any 5 s")
