--- a/bench/quota/__main__.py
+++ b/bench/quota/__main__.py
@@ -56,8 +56,8 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     print(HEAD)
     plans = [
-        plan_of(size, way=way, entry_pattern=pattern)
-        for size, way, pattern in itertools.product(SIZES, WAYS, ENTRY_PATTERNS)
+        plan_of(size, way=way, entry_pattern=entry_pattern)
+        for size, way, entry_pattern in itertools.product(SIZES, WAYS, ENTRY_PATTERNS)
         # All tell all: at 300 nodes that is more than can be played.
         if not (way == "told use" and size > SIZES[0])
     ]
--- a/features/steps/quota_steps.py
+++ b/features/steps/quota_steps.py
@@ -51,12 +51,15 @@
     context.figures = simulate_quota(context.plan)
 
 
-@when("its largest workspace sends requests {how}")
-def when_sends(context: Any, how: str) -> None:
-    how, _, fault = how.partition(" while ")
+@when("its largest workspace sends requests {entry_pattern}")
+def when_sends(context: Any, entry_pattern: str) -> None:
+    entry_pattern, _, fault = entry_pattern.partition(" while ")
     fault_name = FAULTS.get(fault, "")
     plan = attrs.evolve(
-        context.plan, entry_pattern=ARRIVALS[how], fault=fault_name, seed=SEEDS.get(fault_name, 1)
+        context.plan,
+        entry_pattern=ARRIVALS[entry_pattern],
+        fault=fault_name,
+        seed=SEEDS.get(fault_name, 1),
     )
     context.figures = simulate_quota(plan)
 
