--- a/bench/limits/__init__.py
+++ b/bench/limits/__init__.py
@@ -1,27 +1,27 @@
-"""Real nodes beside backend servers that name limits and leave."""
+"""Tests real nodes beside backend servers that announce rate limits and leave."""
 
 from bench.limits._limit_plan import LimitPlan, draw_plan
 from bench.limits._limit_tally import LimitTally
 from bench.limits._limit_watch import (
-    EnteredRequest,
+    AnnouncedRate,
     FullestWindow,
-    NamedRate,
+    ReceivedRequest,
     allowed_between,
     fullest_window,
 )
-from bench.limits._lookups import Lookups, Reply
-from bench.limits._play import play_limits
+from bench.limits._lookups import LookupResponse, Lookups
+from bench.limits._play import run_limit_test
 
 __all__ = [
-    "EnteredRequest",
+    "AnnouncedRate",
     "FullestWindow",
     "LimitPlan",
     "LimitTally",
+    "LookupResponse",
     "Lookups",
-    "NamedRate",
-    "Reply",
+    "ReceivedRequest",
     "allowed_between",
     "draw_plan",
     "fullest_window",
-    "play_limits",
+    "run_limit_test",
 ]
--- a/bench/quarantine/_news_network.py
+++ b/bench/quarantine/_news_network.py
@@ -1,4 +1,4 @@
-"""Nodes' quarantines, and bulletins between them."""
+"""Quarantine services of many nodes, and the simulated bulletins between them."""
 
 import asyncio
 import random
@@ -15,22 +15,22 @@
 
 SERVICE = "mapdesk"
 KEY = "a key for played fleets"
-# What a datagram carries besides the fields: mark, code, sender and the frame of a list.
+# Bytes of a datagram besides the fields: prefix, MAC, sender and list header.
 ENVELOPE_BYTES = 4 + 16 + 9 + 2
 DELAY_S = (0.0005, 0.003)
 
 
-class NewsNetwork:
-    """One quarantine for each node of a service; ``loss`` of all datagrams never arrive.
+class BulletinNetwork:
+    """One quarantine per node of a service; a share ``loss`` of the datagrams is lost.
 
-    Nodes in ``cut`` neither hear nor are heard. ``sent`` and ``sent_bytes`` count datagrams.
+    Nodes in ``partitioned`` neither send nor receive. ``sent`` and ``sent_bytes`` count datagrams.
     """
 
     def __init__(self, size: int, seed: int = 1, loss: float = 0.0) -> None:
         self.loop = asyncio.get_running_loop()
         self.rng = random.Random(seed)
         self.loss = loss
-        self.cut: set[int] = set()
+        self.partitioned: set[int] = set()
         self.sent = 0
         self.sent_bytes = 0
         self.members = [make_member(number) for number in range(size)]
@@ -38,10 +38,10 @@
         self.tasks = [asyncio.ensure_future(node.run()) for node in self.nodes]
 
     def make_node(self, number: int) -> QuarantineService:
-        """Return the quarantine of a node that knows nothing yet."""
+        """Return the quarantine of a newly started node."""
         directory = ModelDirectory(self.members[number], lambda node: None)
         for member in self.members:
-            directory.take(member)
+            directory.apply_update(member)
 
         def publish(fields: list[Any], readers: Iterable[Member]) -> None:
             for reader in readers:
@@ -57,7 +57,7 @@
         )
 
     def restart(self, number: int) -> None:
-        """Have a node lose all it knew."""
+        """Restart a node without its state."""
         self.tasks[number].cancel()
         self.nodes[number] = self.make_node(number)
         self.tasks[number] = asyncio.ensure_future(self.nodes[number].run())
@@ -66,15 +66,19 @@
         self.sent += 1
         self.sent_bytes += len(cbor2.dumps(fields)) + ENVELOPE_BYTES
         target = int(reader.node)
-        if self.rng.random() < self.loss or sender in self.cut or target in self.cut:
+        if (
+            self.rng.random() < self.loss
+            or sender in self.partitioned
+            or target in self.partitioned
+        ):
             return
         self.loop.call_later(self.rng.uniform(*DELAY_S), self.deliver, sender, fields, target)
 
     def deliver(self, sender: int, fields: list[Any], target: int) -> None:
         self.nodes[target].handle_bulletin(self.members[sender], fields)
 
-    def holders(self, fingerprint: int) -> int:
-        """Return how many nodes hold a request back."""
+    def count_holding(self, fingerprint: int) -> int:
+        """Return the number of nodes that hold a request back."""
         now = self.loop.time()
         return sum(
             any(each.fingerprint == fingerprint for each in node.policy.held(now))
@@ -82,13 +86,13 @@
         )
 
     def close(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in self.tasks:
             task.cancel()
 
 
 def make_member(number: int) -> Member:
-    """Return the member of a node that is named by its number."""
+    """Return a member whose name is its number."""
     address = f"10.0.{number // 250}.{number % 250 + 1}:7104"
     return Member(
         str(number), SERVICE, "viti-west", "nadi-hall", address, address, address, MemberState.READY
--- a/features/steps/bench_limits_steps.py
+++ b/features/steps/bench_limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a play of limits counts."""
+"""Steps for the evaluation of tests with announced rate limits."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -6,10 +6,10 @@
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
 from bench.limits import (
-    EnteredRequest,
+    AnnouncedRate,
+    LookupResponse,
     Lookups,
-    NamedRate,
-    Reply,
+    ReceivedRequest,
     allowed_between,
     draw_plan,
     fullest_window,
@@ -21,22 +21,22 @@
 
 
 @given(
-    "a server that names {rate:g} requests a second at second {at:g}, "
-    "and node {node} passes that on at second {told:g}"
+    "a server that announces {rate:g} requests a second at second {at:g}, "
+    "and node {node} passes that on at second {notified_at:g}"
 )
-def given_named(context: Any, rate: float, at: float, node: str, told: float) -> None:
-    context.rates = [NamedRate(at, rate)]
-    context.told = {node: told}
+def given_named(context: Any, rate: float, at: float, node: str, notified_at: float) -> None:
+    context.rates = [AnnouncedRate(at, rate)]
+    context.notified_at = {node: notified_at}
 
 
 @when("it gets {count:d} requests of {entry} from second {first:g} on, one each {gap:g} s")
 def when_gets(context: Any, count: int, entry: str, first: float, gap: float) -> None:
-    context.requests = [EnteredRequest(first + number * gap, entry) for number in range(count)]
+    context.requests = [ReceivedRequest(first + number * gap, entry) for number in range(count)]
 
 
 @then("the fullest window holds {held:d} of {allowed:g} allowed, {verdict}")
 def then_held(context: Any, held: int, allowed: float, verdict: str) -> None:
-    found = fullest_window(context.rates, context.requests, context.told)
+    found = fullest_window(context.rates, context.requests, context.notified_at)
     count = 0 if found is None else found.count
     assert count == held, found
     assert found is None or abs(found.allowed - allowed) < 1e-9, found
@@ -57,35 +57,35 @@
     begins: float,
     ends: float,
 ) -> None:
-    rates = [NamedRate(at, first), NamedRate(change, second)]
+    rates = [AnnouncedRate(at, first), AnnouncedRate(change, second)]
     assert abs(allowed_between(rates, begins, ends) - allowed) < 1e-9
 
 
-async def unsent(turn: int, attempt: str) -> Reply:
+async def unsent(turn: int, attempt: str) -> LookupResponse:
     raise OSError
 
 
-@given("a server that leaves, whose word node {node} passes on at second {told:g}")
-def given_leaving(context: Any, node: str, told: float) -> None:
-    context.told = {node: told}
+@given("a server that leaves, whose announcement node {node} passes on at second {notified_at:g}")
+def given_leaving(context: Any, node: str, notified_at: float) -> None:
+    context.notified_at = {node: notified_at}
     context.lookups = Lookups(2, unsent)
 
 
 @when(
-    "it gets requests that began at node {one} at second {first:g} and {second:g}, "
+    "it gets requests that started at node {one} at second {first:g} and {second:g}, "
     "and at node {other} at second {third:g}"
 )
 def when_began(
     context: Any, one: str, first: float, second: float, other: str, third: float
 ) -> None:
-    context.lookups.entered = {"1": (one, first), "2": (one, second), "3": (other, third)}
-    received = [Arrival(third, attempt) for attempt in context.lookups.entered]
+    context.lookups.sent = {"1": (one, first), "2": (one, second), "3": (other, third)}
+    received = [Arrival(third, attempt) for attempt in context.lookups.sent]
     context.server = SimpleNamespace(received=received)
 
 
-@then("one of them came later than {seconds:d} s after its node was told")
+@then("one of them arrived later than {seconds:d} s after its node was notified")
 def then_late(context: Any, seconds: int) -> None:
-    late = context.lookups.late_at(context.server, context.told, seconds)
+    late = context.lookups.late_at(context.server, context.notified_at, seconds)
     assert late == ["2"], late
 
 
--- a/features/steps/platform_named_limits_steps.py
+++ b/features/steps/platform_named_limits_steps.py
@@ -7,7 +7,7 @@
 import attrs
 from behave import given, step, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from bench.limits import Lookups, NamedRate, Reply, fullest_window
+from bench.limits import AnnouncedRate, LookupResponse, Lookups, fullest_window
 from features.platform_harness import FleetNode, route
 from features.steps.platform_node_steps import run, start_fleet
 
@@ -23,7 +23,7 @@
     """The lookups of a scenario, the limited servers and the limits that they stated."""
 
     lookups: Lookups
-    named: list[NamedRate] = attrs.Factory(list)
+    named: list[AnnouncedRate] = attrs.Factory(list)
     limited: list[FleetNode] = attrs.Factory(list)
 
 
@@ -40,9 +40,9 @@
 
     run(context, begin())
 
-    async def send(turn: int, attempt: str) -> Reply:
+    async def send(turn: int, attempt: str) -> LookupResponse:
         result = await fleet.call(fleet.fleet_nodes[turn], attempt=attempt)
-        return Reply(result.status, result.headers)
+        return LookupResponse(result.status, result.headers)
 
     context.limit_run = LimitRun(Lookups(count, send))
 
@@ -62,7 +62,7 @@
 @when("{per_s:d} lookups a second come through all nodes")
 def when_come(context: Any, per_s: int) -> None:
     async def begin() -> None:
-        context.lookup_task = asyncio.create_task(context.limit_run.lookups.come(per_s))
+        context.lookup_task = asyncio.create_task(context.limit_run.lookups.send_at_rate(per_s))
 
     run(context, begin())
 
@@ -80,7 +80,7 @@
         limit_run.limited = context.fleet.fleet_nodes[:count]
         for each in limit_run.limited:
             each.server.rate = rate
-        limit_run.named.append(NamedRate(time.monotonic(), float(rate)))
+        limit_run.named.append(AnnouncedRate(time.monotonic(), float(rate)))
 
     run(context, name())
 
@@ -114,7 +114,7 @@
         await asyncio.sleep(seconds)
         lookups = context.limit_run.lookups
         lookups.down.add(0)
-        lookups.entered_anew(0)
+        lookups.start_new_run(0)
         await context.fleet.restart_node(0)
         await context.fleet.fleet_nodes[0].registrant.heartbeat("i-1")
         await context.fleet.wait_for(context.fleet.fleet_nodes[0].node.accepts_callers)
@@ -145,7 +145,7 @@
     context.lookup_task.cancel()
     if heartbeats := getattr(context, "heartbeat_task", None):
         heartbeats.cancel()
-    await context.limit_run.lookups.settle()
+    await context.limit_run.lookups.wait_for_responses()
 
 
 @then("each of these got no more than its limit allows")
@@ -153,7 +153,7 @@
     run(context, finish_lookups(context))
     limit_run = context.limit_run
     for each in limit_run.limited:
-        told = limit_run.lookups.told(each.server, "Server-Limit")
+        told = limit_run.lookups.first_notified_at(each.server, "Server-Limit")
         window = fullest_window(limit_run.named, limit_run.lookups.requests_at(each.server), told)
         assert window is None or window.is_within, window
 
@@ -162,7 +162,7 @@
 def then_got(context: Any, least: int, seconds: int) -> None:
     run(context, finish_lookups(context))
     limit_run = context.limit_run
-    last_sent_at = max(sent_at for _, sent_at in limit_run.lookups.entered.values())
+    last_sent_at = max(sent_at for _, sent_at in limit_run.lookups.sent.values())
     for each in limit_run.limited:
         count = sum(
             last_sent_at - seconds < arrival.at <= last_sent_at for arrival in each.server.received
@@ -172,8 +172,8 @@
 
 @then("each lookup that was refused has a retry hint")
 def then_hint(context: Any) -> None:
-    refused = [each for each in context.limit_run.lookups.done if each.reply.status == 503]
-    hints = [float(each.reply.headers.get("Retry-After", 0)) for each in refused]
+    refused = [each for each in context.limit_run.lookups.completed if each.response.status == 503]
+    hints = [float(each.response.headers.get("Retry-After", 0)) for each in refused]
     assert all(hint > 0 for hint in hints), hints
 
 
@@ -181,7 +181,7 @@
 def then_no_late_requests(context: Any, seconds: int) -> None:
     run(context, finish_lookups(context))
     lookups, first = context.limit_run.lookups, context.fleet.fleet_nodes[0]
-    told = lookups.told(first.server, "Server-Leaving")
+    told = lookups.first_notified_at(first.server, "Server-Leaving")
     assert told, "no node has passed the statement on"
     late = lookups.late_at(first.server, told, seconds)
     assert not late, f"{len(late)} requests"
@@ -194,9 +194,9 @@
     stalls = context.fleet.loop_stalls
     lookups = [
         each
-        for each in context.limit_run.lookups.done
-        if not stalls.overlaps(each.began, each.ended, SETTINGS_CHECK_S)
+        for each in context.limit_run.lookups.completed
+        if not stalls.overlaps(each.started_at, each.ended_at, SETTINGS_CHECK_S)
     ]
-    good = sum(each.reply.status == 200 for each in lookups)
+    good = sum(each.response.status == 200 for each in lookups)
     assert good * 100 >= share * len(lookups), (good, len(lookups), stalls.stalls)
-    assert len(lookups) * 2 > len(context.limit_run.lookups.done), stalls.stalls
+    assert len(lookups) * 2 > len(context.limit_run.lookups.completed), stalls.stalls
