--- a/features/steps/edge_steps.py
+++ b/features/steps/edge_steps.py
@@ -29,10 +29,10 @@
     for row in rows:
         seen = len(log_lines(node, *REFUSAL_EVENTS))
         answer = await send_raw(node.callers, unescape(row["raw"]))
-        log_lines = await wait_for_log_lines(node, seen, REFUSAL_EVENTS)
-        codes = [line["code"] for line in log_lines]
+        refusals = await wait_for_log_lines(node, seen, REFUSAL_EVENTS)
+        codes = [line["code"] for line in refusals]
         good = answer.statuses == [int(row["status"])] and codes == [row["code"]]
-        if not (good and b"Request-Outcome: not-run" in answer.data and log_lines[0]["step"]):
+        if not (good and b"Request-Outcome: not-run" in answer.data and refusals[0]["step"]):
             wrong.append(f"{row['raw'][:90]}\n   {answer.statuses} {codes} {answer.data[:200]!r}")
         await asyncio.sleep(LOG_LINE_INTERVAL_S)
     return wrong
