--- a/src/marjoramtide/claims/__init__.py
+++ b/src/marjoramtide/claims/__init__.py
@@ -1,8 +1,8 @@
 """Claims of idempotency keys: a request with a key runs at most once within the retention time."""
 
+from marjoramtide.claims._claim_bulletin import is_claim_bulletin, pack_claim, unpack_claim
 from marjoramtide.claims._claim_cleaner import ClaimCleaner, make_claim_cleaner
 from marjoramtide.claims._claim_handle import ClaimHandle
-from marjoramtide.claims._claim_news import is_claim_bulletin, pack_claim, unpack_claim
 from marjoramtide.claims._claim_outcome import ClaimOutcome
 from marjoramtide.claims._claim_record import ClaimRecord
 from marjoramtide.claims._claim_result import ClaimResult
--- a/src/marjoramtide/claims/_claims.py
+++ b/src/marjoramtide/claims/_claims.py
@@ -9,7 +9,6 @@
 
 from marjoramtide.claims._claim_handle import ClaimHandle
 from marjoramtide.claims._claim_keys import claim_key
-from marjoramtide.claims._claim_memory import RecentClaims
 from marjoramtide.claims._claim_outcome import ClaimOutcome
 from marjoramtide.claims._claim_record import ClaimRecord, decode_record
 from marjoramtide.claims._claim_result import ClaimResult
@@ -17,6 +16,7 @@
 from marjoramtide.claims._conflict_reason import ConflictReason
 from marjoramtide.claims._pending_write import PendingWrite
 from marjoramtide.claims._pending_writes import PendingWrites
+from marjoramtide.claims._recent_claims import RecentClaims
 from marjoramtide.claims._retention import DISPATCH_WINDOW_S, retention_s, store_time
 from marjoramtide.clock import Clock
 from marjoramtide.errors import ErrorCode, MarjoramtideError
--- a/src/marjoramtide/store/__init__.py
+++ b/src/marjoramtide/store/__init__.py
@@ -1,10 +1,10 @@
 """The client of the platform's object store: its interface, and how it handles failed calls."""
 
 from marjoramtide.store._call import Call, CallOutcome, StoreResponse
+from marjoramtide.store._default_protocol import DefaultStoreProtocol
 from marjoramtide.store._http_object_store import HttpObjectStore, open_object_store
 from marjoramtide.store._listing import Listing
 from marjoramtide.store._object_store import ObjectStore
-from marjoramtide.store._own_protocol import DefaultStoreProtocol
 from marjoramtide.store._resolution import Resolution
 from marjoramtide.store._resolved_write import create_resolved, update_resolved
 from marjoramtide.store._store_limits import StoreLimits
--- a/src/marjoramtide/store/_http_object_store.py
+++ b/src/marjoramtide/store/_http_object_store.py
@@ -16,13 +16,13 @@
 from marjoramtide.store._backoff import full_jitter
 from marjoramtide.store._call import Call, CallOutcome, StoreResponse
 from marjoramtide.store._call_budget import CallBudget
-from marjoramtide.store._call_failed import CallNotSentError, ResponseLostError
+from marjoramtide.store._call_errors import CallNotSentError, ResponseLostError
 from marjoramtide.store._circuit_breaker import CircuitBreaker
-from marjoramtide.store._epoch import EpochTracker
+from marjoramtide.store._default_protocol import DefaultStoreProtocol
+from marjoramtide.store._epoch_tracker import EpochTracker
 from marjoramtide.store._http_session import open_session
 from marjoramtide.store._listing import Listing
 from marjoramtide.store._object_store import ObjectStore
-from marjoramtide.store._own_protocol import DefaultStoreProtocol
 from marjoramtide.store._store_limits import StoreLimits
 from marjoramtide.store._store_protocol import StoreProtocol, WatchResponse
 from marjoramtide.store._stored_object import StoredObject
--- a/src/marjoramtide/store/_http_session.py
+++ b/src/marjoramtide/store/_http_session.py
@@ -5,7 +5,7 @@
 import aiohttp
 
 from marjoramtide.sockets import enable_keepalive
-from marjoramtide.store._call_failed import disable_resend
+from marjoramtide.store._call_errors import disable_resend
 
 MAX_CONNECTIONS = 16
 KEEPALIVE_S = 10
