--- a/features/steps/announcements_steps.py
+++ b/features/steps/announcements_steps.py
@@ -34,7 +34,7 @@
 
 
 class AgedStore(MemoryStore):
-    """A store whose ``list_lately`` returns the objects of some seconds ago."""
+    """A store whose ``list_allow_stale`` returns the objects of some seconds ago."""
 
     def __init__(self, clock: ManualClock, age_s: float) -> None:
         super().__init__()
--- a/features/steps/interference_steps.py
+++ b/features/steps/interference_steps.py
@@ -90,7 +90,7 @@
     while context.now < until:
         before = seen.slowdown
         held_until = context.now + (seen.holds_s(context.now) or 0.0)
-        context.now = max(context.now + 0.002, seen.preferred_read_at(context.now)) + lateness()
+        context.now = max(context.now + 0.002, seen.preferred_check_at(context.now)) + lateness()
         had_grid = seen.grid is not None
         changed = seen.observe(context.neighbours.at(context.now), context.now)
         context.predictions += 1
--- a/src/marjoramtide/policy/pace/_interference.py
+++ b/src/marjoramtide/policy/pace/_interference.py
@@ -176,8 +176,8 @@
         """Return for how many seconds the slowdown holds, ``None`` while unknown."""
         return None if self.grid is None else self.grid.next_after(now) - now
 
-    def preferred_read_at(self, now: float) -> float:
-        """Return when the next read of the slowdown is most informative, in seconds."""
+    def preferred_check_at(self, now: float) -> float:
+        """Return the time, in seconds, at which the next health check is most informative."""
         last = self.observed_at if self.observed_at is not None else now - SEARCH_INTERVAL_S
         if self.grid is None:
             return last + SEARCH_INTERVAL_S
--- a/src/marjoramtide/serving/_service.py
+++ b/src/marjoramtide/serving/_service.py
@@ -192,7 +192,9 @@
     def preferred_check_at(self, now: float) -> float | None:
         """Return the best time for the next health check, ``None`` while the load is unknown."""
         return (
-            self.interference.preferred_read_at(now) if self.interference.has_observations else None
+            self.interference.preferred_check_at(now)
+            if self.interference.has_observations
+            else None
         )
 
     async def handle(self, request: Request, body: RequestBody) -> Response:
