--- a/features/steps/witness_steps.py
+++ b/features/steps/witness_steps.py
@@ -236,7 +236,7 @@
                 for each in context.fleet.seats
             )
         )
-        reporter = seat(context, number).node.run_teller
+        reporter = seat(context, number).node.witness_reporter
         await context.fleet.wait_for(lambda: reporter.link is not None)
 
     run_fleet(context, drain())
@@ -250,4 +250,4 @@
 
 @then("no request is in flight at the witness of node {number:d}")
 def none_in_flight(context: Any, number: int) -> None:
-    assert not seat(context, number).node.run_teller.in_flight
+    assert not seat(context, number).node.witness_reporter.in_flight
--- a/src/marjoramtide/daemon/_node.py
+++ b/src/marjoramtide/daemon/_node.py
@@ -120,7 +120,7 @@
         self.quarantine = make_quarantine_service(
             settings.key, self.membership, self.membership.publish, self.clock, rng, self.metrics
         )
-        self.run_teller = WitnessReporter(
+        self.witness_reporter = WitnessReporter(
             self.membership,
             self.peer_client,
             self.quarantine.is_known_safe,
@@ -138,7 +138,7 @@
             self.tracer,
             self.quarantine,
             started_at,
-            self.run_teller,
+            self.witness_reporter,
         )
         self.peer_server.handler = self.serving
         if interface.runs is not None:
@@ -251,7 +251,7 @@
             "metrics": self.metrics.run,
             "logs": report_suppressed_lines,
             "quarantine": self.quarantine.run,
-            "run teller": self.run_teller.run,
+            "witness reporter": self.witness_reporter.run,
             "evacuations": self.evacuations.run,
         }
         if self.interface.uses_idempotency_keys:
