--- a/src/marjoramtide/claims/_claims.py
+++ b/src/marjoramtide/claims/_claims.py
@@ -216,8 +216,8 @@
     def schedule_release(self, key: str, record: ClaimRecord) -> None:
         """Free the key of an attempt that will not run, once the store is reachable.
 
-        The caller is told that the request was not run and may be retried; a claim that took effect
-        unnoticed would make every retry a conflict until the retention time ends.
+        The response to the caller says that the request was not run and may be retried; a claim
+        that took effect unnoticed would make every retry a conflict until the retention time ends.
         """
         self.pending_writes.add(PendingWrite(key, self.as_released(record), 0))
 
--- a/src/marjoramtide/cli/_commands.py
+++ b/src/marjoramtide/cli/_commands.py
@@ -103,7 +103,7 @@
         spans.sort(key=lambda span: span.get("start", 0))
         unreachable = [error.peer for error in responses if isinstance(error, MarjoramtideError)]
         lines = [format_fields(span, separator="  ") for span in spans]
-        lines += [f"no answer from {', '.join(unreachable)}"] if unreachable else []
+        lines += [f"no response from {', '.join(unreachable)}"] if unreachable else []
         document = {"spans": spans, "silent": unreachable}
         self._session.output.result(document, "\n".join(lines) or "no spans kept of this trace")
 
--- a/src/marjoramtide/cli/_evacuation_commands.py
+++ b/src/marjoramtide/cli/_evacuation_commands.py
@@ -61,7 +61,7 @@
         document = {"evacuations": [attrs.asdict(row) for row in rows], "silent": unreachable}
         self._session.output.table(document, [attrs.astuple(row) for row in rows], COLUMNS)
         if unreachable:
-            self._session.output.progress(f"no answer from {', '.join(unreachable)}")
+            self._session.output.progress(f"no response from {', '.join(unreachable)}")
 
 
 def evacuation_progress(
--- a/src/marjoramtide/cli/_quarantine_commands.py
+++ b/src/marjoramtide/cli/_quarantine_commands.py
@@ -59,7 +59,7 @@
         document = {"held": [attrs.asdict(request) for request in held], "silent": unreachable}
         self._session.output.table(document, rows, COLUMNS)
         if unreachable:
-            self._session.output.progress(f"no answer from {', '.join(unreachable)}")
+            self._session.output.progress(f"no response from {', '.join(unreachable)}")
 
     @SetParseFns(fingerprint=str)
     def release(self, fingerprint: str) -> None:
--- a/src/marjoramtide/cli/_workspace_commands.py
+++ b/src/marjoramtide/cli/_workspace_commands.py
@@ -119,7 +119,7 @@
 
     def _print_unreachable(self, unreachable: Sequence[str]) -> None:
         if unreachable:
-            self._session.output.progress(f"no answer from {', '.join(unreachable)}")
+            self._session.output.progress(f"no response from {', '.join(unreachable)}")
 
 
 def fetch_workspaces(session: Session) -> tuple[list[ShownWorkspace], list[str]]:
--- a/src/marjoramtide/daemon/_settings_file_watcher.py
+++ b/src/marjoramtide/daemon/_settings_file_watcher.py
@@ -11,8 +11,8 @@
 
 log = structlog.get_logger()
 
-# Interval at which the file is compared, in seconds, without a signal. Reading a kilobyte costs
-# some 50 us, and operators expect a change to take effect within seconds.
+# Interval, in seconds, at which the file is checked for changes without a signal. Reading a
+# kilobyte costs some 50 us, and operators expect a change to take effect within seconds.
 POLL_INTERVAL_S = 2.0
 
 
--- a/src/marjoramtide/ingress/_attempts.py
+++ b/src/marjoramtide/ingress/_attempts.py
@@ -26,7 +26,7 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Attempts:
-    """The attempts of one request and what they allow the caller to be told.
+    """The attempts of one request, and which final response they allow.
 
     ``count`` is the number of nodes the request was sent to, ``not_reached_backend`` how many of
     them rejected it before their backend server saw it. ``rejected_by`` are the nodes that rejected
@@ -36,7 +36,7 @@
     of those that were lost with the server or node that ran them.
 
     ``unknown_error`` is the first failure after which a backend server may have begun the request.
-    Once it is set, the caller must not be told "not run", whatever later attempts report.
+    Once it is set, the final response must not be "not run", whatever later attempts report.
     ``not_run_error`` is the last failure of the other kind.
 
     ``decisions`` records the outcome of each attempt, for the log of a request that fails.
@@ -69,7 +69,7 @@
         else:
             if error.code is ErrorCode.UNKNOWN_SERVICE:
                 # The address of a replaced instance may belong to a node of another service by now.
-                # Passed on to the caller, its reply would be a 404 for a route that exists; only
+                # Passed on to the caller, its response would be a 404 for a route that exists; only
                 # this node's own settings decide that.
                 error.code = ErrorCode.NO_CANDIDATE
             self.not_run_error = error
@@ -136,7 +136,7 @@
         """Return whether one more run could be the third that is lost.
 
         Failure: a request crashes the server that runs it, and the crash takes some time, so that
-        no node knows of it yet. On a route with three attempts one caller's attempt crashed three
+        no node knows of it yet. On a route with three attempts one caller's request crashed three
         servers, also by a hedge that was in progress when the first run was lost. An attempt that
         has been running for longer than a lost one indicates that the request is harmless.
         """
@@ -168,7 +168,7 @@
                 step="ingress.choose",
             )
         if self.not_run_error is not None and self.not_run_error.code is ErrorCode.QUARANTINED:
-            # Even if an earlier attempt may have run: the request stays quarantined until then.
+            # Even if an earlier attempt may have run: the request stays quarantined for this long.
             error.retry_after_ms = self.not_run_error.retry_after_ms
         if error.retry_after_ms is None:
             error.retry_after_ms = self.state.selector.retry_after_ms(now)
@@ -184,7 +184,7 @@
 def is_final(error: Exception) -> bool:
     """Return whether a failure rules out another attempt, whatever time and budgets are left.
 
-    A quarantined request is refused by all nodes of the service, or will be within moments. One
+    A quarantined request is rejected by all nodes of the service, or will be within moments. One
     that was not started because its nested calls are being refused would lack them at any server.
     An attempt that ran until the deadline leaves a few milliseconds, since the serving node gives
     up slightly earlier: another server would start in vain, and a request that froze the first
--- a/src/marjoramtide/ingress/_class_budgets.py
+++ b/src/marjoramtide/ingress/_class_budgets.py
@@ -27,8 +27,8 @@
     """How many retries and hedges urgent or routine requests may make.
 
     The classes have separate budgets. Failure of a shared one: a surge of routine requests is
-    rejected everywhere and uses up the budget; an urgent request whose first attempt meets a dead
-    instance is then refused.
+    rejected everywhere and uses up the budget; an urgent request whose first attempt is sent to a
+    crashed instance is then refused.
     """
 
     retries: RetryBudget
--- a/src/marjoramtide/ingress/_failure_feedback.py
+++ b/src/marjoramtide/ingress/_failure_feedback.py
@@ -26,7 +26,7 @@
         case NotRunError(
             code=ErrorCode.CONNECT_FAILED | ErrorCode.PEER_LOST | ErrorCode.UNKNOWN_SERVICE
         ):
-            # UNKNOWN_SERVICE: a node of another service answers at the address, so the intended
+            # UNKNOWN_SERVICE: a node of another service responds at the address, so the intended
             # node is gone and membership has not noticed yet.
             selector.lost(node, now, elapsed_ms=elapsed_ms, unreachable=True)
             directory.report_failure(node)
@@ -36,9 +36,9 @@
         case NotRunError(
             code=ErrorCode.STORE_UNAVAILABLE | ErrorCode.KEY_REUSED | ErrorCode.QUARANTINED
         ):
-            # The claim or the request was refused, not the load. If the Retry-After were taken as
-            # the node's own, no lookups would be sent to it, and in a store outage all nodes would
-            # be avoided in turn.
+            # The rejection is due to the claim or the request, not to the load. If the Retry-After
+            # were taken as the node's own, no lookups would be sent to it, and in a store outage
+            # all nodes would be avoided in turn.
             selector.cancelled(node, now, elapsed_ms=elapsed_ms)
         case UnknownOutcomeError(code=ErrorCode.DUPLICATE_KEY):
             selector.cancelled(node, now, elapsed_ms=elapsed_ms)
--- a/src/marjoramtide/ingress/_peer_crash_detector.py
+++ b/src/marjoramtide/ingress/_peer_crash_detector.py
@@ -32,11 +32,11 @@
 class PeerCrashDetector:
     """Finds out whether a node has crashed, and reports the requests known to have run there.
 
-    Failure: a request crashes the node that serves it. That node can't tell anyone what it ran, so
-    the request is sent to the next node, and callers retry it: 34 crashes in 12 s among six nodes.
-    The nodes that had sent the request know of it, and so does the witness of what the node ran for
-    its own callers. If a node's address refuses connections, the node has crashed but its host has
-    not. For a node that leaves as planned, or that can't be reached, no request is blamed.
+    Failure: a request crashes the node that serves it. That node can't report what it ran, so the
+    request is sent to the next node, and callers retry it: 34 crashes in 12 s among six nodes. The
+    nodes that had sent the request know of it, and so does the witness of what the node ran for its
+    own callers. If a node's address refuses connections, the node has crashed but its host has not.
+    For a node that leaves as planned, or that can't be reached, no request is blamed.
     """
 
     def __init__(
--- a/src/marjoramtide/ingress/_startup_grace.py
+++ b/src/marjoramtide/ingress/_startup_grace.py
@@ -27,8 +27,8 @@
     asked again, and the whole fleet refused all requests queued in its sockets at one moment.
 
     ``is_quarantine_known`` returns whether the node has learned which requests are quarantined.
-    Failure: one of them crashes the node, which restarts knowing only itself and runs the next one
-    that waits at its port.
+    Failure: one of them crashes the node, which restarts knowing only itself and runs the next such
+    request that waits at its port.
     """
 
     clock: Clock
--- a/src/marjoramtide/membership/_announcer.py
+++ b/src/marjoramtide/membership/_announcer.py
@@ -113,8 +113,8 @@
         was_alone = self._is_alone()
         await self._sleep_unless_rewrite_needed(self._reread_delay_s())
         # At its first read every node knows only itself. Without a second wait, all nodes of a
-        # fleet that starts at once would reread the list within 15 s, though gossip has told them
-        # of each other meanwhile.
+        # fleet that starts at once would reread the list within 15 s, though they know each other
+        # by gossip meanwhile.
         if was_alone and not self._is_alone():
             await self._sleep_unless_rewrite_needed(self._reread_delay_s())
 
@@ -174,7 +174,7 @@
 
         A stale list costs a tenth of a call on the platform. It suffices if it contains this run's
         own announcement, since then at least one of two nodes that start at once finds the other.
-        Otherwise the addresses in it are pinged: if a node replies, gossip tells of all others; if
+        Otherwise the addresses in it are pinged: if a node replies, gossip brings all others; if
         none does, the current list is read.
         """
         listed = _decode_announcements(await self.store.list_allow_stale(ANNOUNCEMENT_PREFIX))
--- a/src/marjoramtide/membership/_disseminator.py
+++ b/src/marjoramtide/membership/_disseminator.py
@@ -51,8 +51,8 @@
     ) -> tuple[list[Status], list[tuple[AppliedSettings, tuple[int, ...]]]]:
         """Take the updates for one datagram, the least transmitted first.
 
-        A recipient that is suspect or dead is told so first (Lifeguard's buddy system), since it
-        can refute a suspicion only once it knows of it.
+        The first update is the recipient's own state if it is suspect or dead (Lifeguard's buddy
+        system), since it can refute a suspicion only once it knows of it.
         """
         statuses = []
         if recipient is not None and recipient.health is not Health.ALIVE:
--- a/src/marjoramtide/peers/_in_flight_listener.py
+++ b/src/marjoramtide/peers/_in_flight_listener.py
@@ -1,4 +1,4 @@
-"""The interface to what is notified of nodes that were lost with requests in flight."""
+"""The interface of listeners for nodes that are lost with requests in flight."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Sequence
--- a/src/marjoramtide/peers/_limits.py
+++ b/src/marjoramtide/peers/_limits.py
@@ -5,7 +5,7 @@
 # Limit for unauthenticated peers; a nonce, a proof and the name of a lane are far smaller.
 MAX_HANDSHAKE_BYTES = 512
 # Long, since both ends ping each connection, and there may be thousands. A peer that no longer
-# answers is detected earlier by membership, by the stall guard or by request deadlines.
+# responds is detected earlier by membership, by the stall guard or by request deadlines.
 PING_INTERVAL_S = 20.0
 PING_TIMEOUT_S = 5.0
 STALL_TIMEOUT_S = 2.0
--- a/src/marjoramtide/peers/_session.py
+++ b/src/marjoramtide/peers/_session.py
@@ -209,8 +209,8 @@
         now = self.clock.monotonic()
         if self.freeze_detector.was_frozen(now):
             # Frames that waited in the socket while this process was frozen have deadlines that
-            # have passed in real time. Running them would waste work, or make a booking that the
-            # caller was told is lost. They have not started, so "not run" is true.
+            # have passed in real time. Running them would waste work, or make a booking that was
+            # reported to its caller as lost. They have not started, so "not run" is true.
             raise NotRunError(
                 ErrorCode.DEADLINE,
                 "the node was frozen before it read the request",
--- a/src/marjoramtide/platform/_interface.py
+++ b/src/marjoramtide/platform/_interface.py
@@ -49,7 +49,7 @@
 
 
 def second_try_settings(bounds: Bounds) -> dict[str, float]:
-    """Return the settings that limit the second tries of all nodes together."""
+    """Return the settings that limit the second attempts of all nodes together."""
     if bounds.retry_ratio is None or bounds.retry_slack is None or not bounds.retry_window_s:
         return {}
     return {
--- a/src/marjoramtide/policy/_call_profile.py
+++ b/src/marjoramtide/policy/_call_profile.py
@@ -9,11 +9,11 @@
 class CallProfile:
     """The properties of a request that decisions depend on.
 
-    ``deadline`` and ``goal`` are in seconds of the monotonic clock; an answer after the goal is
+    ``deadline`` and ``goal`` are in seconds of the monotonic clock; a response after the goal is
     worth less. ``attempt`` counts from 1. ``kind`` identifies requests that take about as long as
     this one: those of the same route and class. A lower ``rank`` goes first in its class.
-    ``is_call`` is true if a running request waits for this one. ``workspace`` is the one whose
-    share of a server the request counts towards, empty if unknown.
+    ``is_call`` is true for a nested call: a running request waits for this one. ``workspace`` is
+    the one whose share of a server the request counts towards, empty if unknown.
     """
 
     urgent: bool
@@ -30,8 +30,8 @@
 def make_call_profile(request: Request, deadline: float, attempt: int, kind: str) -> CallProfile:
     """Return the profile of a request at its ``attempt``-th attempt.
 
-    A call has no goal of its own: the request that made it occupies a slot until the answer
-    arrives, and fails without it.
+    A nested call has no goal of its own: the request that made it occupies a slot until the
+    response arrives, and fails without it.
     """
     return CallProfile(
         urgent=request.urgent,
--- a/src/marjoramtide/policy/admission/_adaptive_limiter.py
+++ b/src/marjoramtide/policy/admission/_adaptive_limiter.py
@@ -19,11 +19,11 @@
     Failure: a noisy neighbour takes half of the processor; all slots stay full, each execution
     takes twice as long, and every admitted request misses its deadline. With fewer running
     concurrently each one is fast again, and the rest waits or is rejected here, where that is
-    cheap. The rule is that of gradient limits (Netflix concurrency-limits): the limit is multiplied
-    by how much the recent mean exceeds ``TOLERANCE`` times the usual one, spread over as many
-    samples as run concurrently; otherwise it grows by its square root for each ``limit``
-    completions that used it, since a neighbour's burst may be over within milliseconds. The limit
-    stays within [``min_limit``, ``slots``].
+    cheap. The rule is that of gradient limits (Netflix concurrency-limits): if the recent mean
+    duration exceeds ``TOLERANCE`` times the usual one, the limit is divided by the excess factor,
+    spread over as many samples as run concurrently; otherwise it grows by its square root for each
+    ``limit`` completions that used it, since a neighbour's burst may be over within milliseconds.
+    The limit stays within [``min_limit``, ``slots``].
 
     Failure of that rule: the neighbour slows down each execution equally, however many run, so a
     lower limit costs throughput and helps nothing. Each reduction is therefore evaluated once the
--- a/src/marjoramtide/policy/admission/_call_throttle.py
+++ b/src/marjoramtide/policy/admission/_call_throttle.py
@@ -17,10 +17,10 @@
 class CallThrottle:
     """Client-side adaptive throttling (Google's SRE book), for the runs of one kind.
 
-    Failure: a service that runs call is overloaded, and refuses half of their calls. A run that
-    needs two calls gets both in a quarter of the cases; all others hold a slot for their whole
-    time and end with an error, and the calls that were served for them were wasted as well. If
-    fewer runs are admitted, those get all their calls.
+    Failure: the service that runs call is overloaded, and refuses half of their calls. A run that
+    needs two calls gets both in a quarter of the cases; all others hold a slot for their whole time
+    and end with an error, and any call that was served for them is wasted as well. If fewer runs
+    are admitted, those get all their calls.
 
     ``runs`` counts runs that ended or were rejected, ``served`` the ones among them whose calls
     were served; both decay. ``credit`` accumulates the admitted share: one run is admitted whenever
--- a/src/marjoramtide/policy/admission/_cold_rate_limiter.py
+++ b/src/marjoramtide/policy/admission/_cold_rate_limiter.py
@@ -116,7 +116,7 @@
         return max(1.0, self.rule.rate * service_ms / 1000 if service_ms else self.rule.burst)
 
     def _bucket(self, now: float) -> TokenBucket:
-        """Return the bucket, which starts with what the last second has left of a full one.
+        """Return the bucket, which starts full but for the excess requests of the last second.
 
         It starts empty if that is unknown. All requests of a server that started after this node
         were counted here.
--- a/src/marjoramtide/policy/admission/_edf_admission.py
+++ b/src/marjoramtide/policy/admission/_edf_admission.py
@@ -232,7 +232,7 @@
         lateness_ms = wait_ms + run_ms - remaining_ms
         if lateness_ms > 0:
             # Failure: a request waits until its deadline in a queue that could never have served
-            # it, and the caller is told at the end. If rejected now, it can be sent elsewhere.
+            # it, and its caller gets an error only then. If rejected now, it can be sent elsewhere.
             return _reject(reason, min(lateness_ms, wait_ms))
         latest_start = self.estimates.latest_start(profile, due)
         self.waiting.add(ticket, QueueEntry(profile.urgent, key, latest_start))
@@ -453,9 +453,9 @@
         """Drop and return the routine requests that would finish too late at their queue position.
 
         Failure: a surge of urgent requests, or a lowered limit, leaves routine ones waiting for a
-        slot that becomes free too late, and their callers are told only at the deadline. The slack
-        is wide because a burst of urgent work passes: dropping at the first sign rejected many that
-        would have been served.
+        slot that becomes free too late, and their callers get an error only at the deadline. The
+        slack is wide because a burst of urgent work passes: dropping at the first sign rejected
+        many that would have been served.
         """
         late: list[int] = []
         for key, ticket in list(self.waiting.routine.entries):
--- a/src/marjoramtide/policy/admission/_knee_limiter.py
+++ b/src/marjoramtide/policy/admission/_knee_limiter.py
@@ -12,15 +12,15 @@
 # nearly full do so in the last two fifths; a limit that is too low is raised under load.
 INITIAL_LIMIT_SHARE = 0.8
 # Executions that must have ended at some concurrency before it is distinguished from lower ones.
-# Single times deviate by a third to two thirds of their mean; the mean of eight is known to 12 to
-# 24 in a hundred, and the steps to find are a third and more.
+# Single times deviate by a third to two thirds of their mean; the mean of eight is accurate to 12
+# to 24 in a hundred, and the steps to be found are a third or more.
 MIN_SAMPLES = 8
 # The weight of an execution among those of its concurrency, once there are some.
 WEIGHT = 0.05
 # How much longer executions must take at a higher concurrency to be distinguished from those below,
 # as a logarithm: a fifth. A smaller step costs less than the slots that would be left unused.
 MIN_STEP = math.log(1.2)
-# The share of the best throughput that a lower limit must reach to be preferred: it answers sooner.
+# The share of the best throughput at which a lower limit is preferred: its responses come sooner.
 NEARLY_BEST = 0.97
 # The shortest duration, in milliseconds: below the resolution of a timer.
 MIN_DURATION_MS = 0.1
@@ -39,7 +39,7 @@
     """Finds the concurrency at which a backend server has the highest throughput.
 
     Failure: a server takes 1.7 times as long for everything while over four fifths of its slots are
-    in use. Under load all slots are, so each answer is late and the throughput is a fifth lower
+    in use. Under load all slots are, so each response is late and the throughput is a fifth lower
     than with the last slots left unused. Throughput is the concurrency divided by the duration of
     an execution. The duration is averaged for each concurrency at which executions started, and
     assumed to rise with it: where it falls by chance, neighbouring numbers are pooled. Means are
@@ -106,8 +106,8 @@
     def _best_limit(self, levels: "list[DurationLevel]") -> int:
         """Return the lowest limit with nearly the best known throughput.
 
-        Of two limits with the same throughput the lower one answers sooner. Only the ends of levels
-        are compared: within a level a higher limit always has a higher throughput.
+        Of two limits with the same throughput the lower one gives earlier responses. Only the ends
+        of levels are compared: within a level a higher limit always has a higher throughput.
         """
         ends = [*(level.max_concurrency for level in levels[:-1]), self.current_limit]
         throughput = {end: end / relative_duration(levels, end) for end in ends}
--- a/src/marjoramtide/policy/admission/_priority_shares.py
+++ b/src/marjoramtide/policy/admission/_priority_shares.py
@@ -34,10 +34,11 @@
     def share_ahead(self, priority: QueuePriority, slots: int) -> float:
         """Return the share (0 to 1) of the slots used by requests that go before a request.
 
-        Failure: under overload, a request whose goal has passed waits for a late answer behind all
-        that can still meet theirs. As long as these arrive it never starts, and its caller is told
-        only at its deadline. Based on how much work they have used recently it is rejected
-        immediately. If slots were left over, such a request is still served in time.
+        Failure: under overload, a request whose goal has passed waits for a late response behind
+        all requests that can still meet theirs. As long as such requests arrive it never starts,
+        and its caller gets an error only at its deadline. Given how much of the slots they have
+        used recently, it is rejected immediately instead. If slots were left over, such a request
+        is still served in time.
         """
         total = sum(self.work_ms.values())
         if not total:
--- a/src/marjoramtide/policy/admission/_queue_priority.py
+++ b/src/marjoramtide/policy/admission/_queue_priority.py
@@ -5,8 +5,8 @@
 from marjoramtide.policy._call_profile import CallProfile
 
 # The weight of one rank in the sort key of a queue, in seconds: above any deadline, so that a lower
-# rank always goes first. With 50 ms, as before, routine requests that had waited went before urgent
-# ones that had just arrived, and under overload fewer of the urgent ones were served.
+# rank always goes first. With 50 ms, routine requests that had waited went before urgent ones that
+# had just arrived, and under overload fewer of the urgent ones were served.
 RANK_STEP_S = 1000.0
 # Puts the requests of a workspace that has used up its share behind the others of their rank, in
 # seconds: above any deadline, below a step of ranks.
--- a/src/marjoramtide/policy/budgets/_retry_after_hint.py
+++ b/src/marjoramtide/policy/budgets/_retry_after_hint.py
@@ -14,11 +14,11 @@
 class RetryAfterHint:
     """Assigns each rejected caller a later place than the one before.
 
-    Failure: a thousand callers are rejected at once and told the same delay; they retry at once,
-    are rejected again, and the service alternates between idle and overloaded. Places are assigned
-    at the rate at which the service completes requests, as in a virtual queue, so the load of
-    retries equals its capacity. A node that has seen no responses yet assigns none: twenty callers
-    rejected in the first moments after a start were told up to 19 s, although the service was
+    Failure: a thousand callers are rejected at once with the same delay; they retry at once, are
+    rejected again, and the service alternates between idle and overloaded. Places are assigned at
+    the rate at which the service completes requests, as in a virtual queue, so the load of retries
+    equals its capacity. A node that has seen no responses yet assigns none: twenty callers rejected
+    in the first moments after a start were given delays of up to 19 s, although the service was
     available after half a second. Random jitter (from ``rng``, if given) keeps ingress nodes, which
     don't know each other's places, from acting in lockstep.
     """
--- a/src/marjoramtide/policy/budgets/_retry_budget.py
+++ b/src/marjoramtide/policy/budgets/_retry_budget.py
@@ -12,7 +12,7 @@
 class RetryBudget:
     """A token bucket filled by first attempts; one instance each for retries and for hedges.
 
-    Failure: servers fail, each request is tried three times, and the threefold load keeps them
+    Failure: servers fail, each request is attempted three times, and the threefold load keeps them
     failing after the cause is gone (a retry storm). Each first attempt deposits ``share`` of a
     token and each second attempt takes a whole one, so second attempts never exceed that share of
     the requests of the last ``window_s`` seconds: a storm can't sustain itself, since a retry
--- a/src/marjoramtide/policy/evacuation/_evacuation_state.py
+++ b/src/marjoramtide/policy/evacuation/_evacuation_state.py
@@ -20,11 +20,12 @@
     A store that is restored from a backup may lack an evacuation that was acknowledged. If it stays
     in force for ``EVACUATION_HOLD_S``, this costs the capacity of a data centre for that time if it
     was revoked meanwhile; if it were dropped, requests would be sent to servers after the operator
-    was told that they get none. An evacuation that the backup contains again, although it was
-    revoked, stays in force until it is revoked again.
+    has received the acknowledgement that they get none. An evacuation that the backup contains
+    again, although it was revoked, stays in force until it is revoked again.
 
     ``seen`` are the names that the store has contained in this epoch: for these only the store
-    counts, so a node that missed that one was written again and revoked doesn't bring it back.
+    counts, so a node that missed that an evacuation was written again and then revoked doesn't
+    restore it.
 
     Times are in seconds of the monotonic clock.
     """
--- a/src/marjoramtide/policy/pace/_interference.py
+++ b/src/marjoramtide/policy/pace/_interference.py
@@ -44,7 +44,7 @@
     ``slowdown`` is the factor by which work takes longer now. On many instances it changes at fixed
     times, since schedulers assign processor quotas by the period. If the changes observed so far
     fit such a grid, the next time at which the slowdown may change is known: until then a fast
-    server stays fast, and a request that ends before is safe.
+    server stays fast, and a request that ends before then is safe.
 
     Without the prediction a server that has just been read as fast may turn slow a few milliseconds
     later, and a booking sent there takes four times as long.
--- a/src/marjoramtide/policy/pace/_pace.py
+++ b/src/marjoramtide/policy/pace/_pace.py
@@ -17,7 +17,7 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class Pace:
-    """The factor by which work takes longer than undisturbed now, until when, and on average.
+    """The factor by which work is slowed down now, until when, and on average.
 
     ``holds_until``, ``slow_since`` and ``trusted_until`` are in seconds of the monotonic clock.
     ``holds_until`` is when the slowdown may next change, ``None`` if unknown; ``slow_since`` is
@@ -56,7 +56,7 @@
         return work_ms * self.slowdown
 
     def earliest_end_ms(self, work_ms: float, now: float) -> float:
-        """Return the milliseconds until work ends that begins now, or waits if it then ends sooner.
+        """Return the milliseconds until work ends that begins now, or later if it ends sooner then.
 
         The best slowdown is assumed: work that would be late only at the usual one still has a good
         chance, and no other node has accepted it.
--- a/src/marjoramtide/policy/placing/_completion_model.py
+++ b/src/marjoramtide/policy/placing/_completion_model.py
@@ -42,11 +42,11 @@
         return self.latency.median or DEFAULT_LATENCY_MS
 
     def score(self, view: NodeView, urgent: bool, now: float) -> float:
-        """Return the expected milliseconds to a successful answer, the cost of retries included.
+        """Return the expected milliseconds to a successful response, the cost of retries included.
 
         A server that fails immediately is never busy, so a policy that goes by load alone sends it
         most of the requests. A failure costs its own latency, a retry at another node and part of
-        the retry budget. With success rate p, 1/p attempts are needed for a successful answer, so
+        the retry budget. With success rate p, 1/p attempts are needed for a successful response, so
         the score of a server that only fails tends to infinity.
         """
         success = max(MIN_SUCCESS_RATE, view.success_rate(now))
@@ -56,7 +56,7 @@
         return (predicted_ms + (1 - success) * self.typical_ms()) / success
 
     def predict_ms(self, view: NodeView, urgent: bool, now: float) -> float:
-        """Return the predicted milliseconds to any answer, successful or not."""
+        """Return the predicted milliseconds to any response, successful or not."""
         service_ms = self._service_ms(view, now)
         load = self._load(view, urgent, service_ms, now)
         wait_ms = service_ms * (CONTENTION * load**4 if load < 1 else load - CONTENTION)
--- a/src/marjoramtide/policy/placing/_forecast_selector.py
+++ b/src/marjoramtide/policy/placing/_forecast_selector.py
@@ -61,13 +61,13 @@
             and not self._accepts_any_answer(profile, now)
         ):
             # Under overload each request would otherwise be sent to one full node after another,
-            # and the attempts alone would use the processor time that answers need. A first
+            # and the attempts alone would use the processor time that responses need. A first
             # attempt is made, since only the node itself knows its load; a retry needs a reason.
             return None
         return chosen
 
     def _accepts_any_answer(self, profile: CallProfile, now: float) -> bool:
-        """Return whether no goal is left to meet, so that any answer is better than none."""
+        """Return whether no goal is left to meet, so that any response is better than none."""
         return not now < profile.goal < profile.deadline
 
     def _sample_by_distance(self, pool: list[NodeView]) -> list[NodeView]:
@@ -99,7 +99,7 @@
         )
 
     def _load(self, view: NodeView, now: float) -> float:
-        """Return the running and queued requests, with own ones since the report, per slot."""
+        """Return the running and queued requests per slot, with own ones sent since the report."""
         report = view.report
         if report is None:
             return len(view.outstanding) / max(1, self.model.slots)
@@ -127,7 +127,7 @@
         """Return the mean slowdown of the nodes that have reported theirs, 1 if none has.
 
         If a node without a report were assumed to be fast, it would be preferred to nodes that are
-        known to be. In the first seconds two in five late answers came from such nodes.
+        known to be. In the first seconds two in five late responses came from such nodes.
         """
         reported = [
             mean_slowdown(view.report) for view in self.views.values() if view.report is not None
--- a/src/marjoramtide/policy/placing/_node_view.py
+++ b/src/marjoramtide/policy/placing/_node_view.py
@@ -11,7 +11,7 @@
 
 MIN_HALF_LIFE_S = 0.2
 MAX_HALF_LIFE_S = 20.0
-# An answer that takes more than this many times the median latency counts as bad.
+# A response that takes more than this many times the median latency counts as bad.
 SLOW_ANSWER_FACTOR = 3.0
 
 
@@ -80,9 +80,9 @@
     def take_report(self, report: LoadReport, now: float) -> None:
         """Store a report unless the stored one is newer.
 
-        Two answers can overtake each other on separate connections, and an older report from before
-        a burst would make a full node look idle. The sequence number is assigned by the sender, so
-        no clocks are compared.
+        Two responses can overtake each other on separate connections, and an older report from
+        before a burst would make a full node look idle. The sequence number is assigned by the
+        sender, so no clocks are compared.
         """
         latest = self.report
         if latest is not None and (0 < report.sequence <= latest.sequence):
@@ -99,10 +99,10 @@
         self.closed_until = 0.0 if report.accepts else self.closed_until
 
     def reset_history(self) -> None:
-        """Discard observations of a process of the backend server that another has replaced.
+        """Discard the observations of a backend server process that has been replaced.
 
-        Otherwise a server that has crashed and restarted would pass for a straggler by its former
-        failures and latencies, and stay idle while the others are full.
+        Otherwise a server that has crashed and restarted would be taken for a straggler because of
+        its former failures and latencies, and stay idle while the others are full.
         """
         self.latency_ms = Ewma(0.3, 0.3)
         self.success = Ewma(0.2, 0.2, 1.0, 1)
@@ -115,7 +115,7 @@
         self.result_count = 0
 
     def note_latency(self, elapsed_ms: float, typical_ms: float, now: float) -> None:
-        """Record how long an answer took, compared with the median of the service."""
+        """Record how long a response took, compared with the median of the service."""
         self.latency_ms.add(elapsed_ms)
         self.note_outcome(elapsed_ms <= SLOW_ANSWER_FACTOR * typical_ms, now)
 
@@ -145,7 +145,7 @@
         return 1 - failure_rate
 
     def stalled_ms(self, usual_ms: float, now: float) -> float:
-        """Return for how long an answer to own requests has been overdue, 0 where it isn't."""
+        """Return for how many ms a response to this node has been overdue, 0 if none is."""
         oldest = self.outstanding[0] if self.outstanding else None
         return stalled_ms(oldest, self.last_answer_at, len(self.outstanding), usual_ms, now)
 
--- a/src/marjoramtide/policy/placing/_outlier_ejection.py
+++ b/src/marjoramtide/policy/placing/_outlier_ejection.py
@@ -24,7 +24,7 @@
     ejected only when its success rate is low and well below that of the others, the share of
     ejected nodes is capped, and at least one node always remains. An ejected node is probed after a
     time that doubles with each ejection, one request at a time, and is reinstated after
-    ``PROBES_TO_REINSTATE`` successful answers.
+    ``PROBES_TO_REINSTATE`` successful responses.
     """
 
     cap: float
--- a/src/marjoramtide/policy/placing/_predicted_selector.py
+++ b/src/marjoramtide/policy/placing/_predicted_selector.py
@@ -1,4 +1,4 @@
-"""Selection by the predicted time to a successful answer."""
+"""Selection by the predicted time to a successful response."""
 
 import random
 from collections.abc import Collection
@@ -31,7 +31,7 @@
 
 @attrs.define(slots=True, eq=False, repr=False)
 class PredictedSelector(Selector):
-    """Chooses, from a random sample, the node with the shortest expected time to a good answer.
+    """Chooses, from a random sample, the node with the shortest expected time to a good response.
 
     The nodes form tiers by distance: the same data centre, the same region, elsewhere. The nearest
     tier that has a usable node is preferred, and the next one gets a share of the requests that
@@ -152,7 +152,7 @@
             drawn.insert(0, own)
         # A server that has just started is idle, so every ingress node would send to it while its
         # caches are empty and it is slow. It takes part in a share of the samples that grows with
-        # its uptime. That holds for all ingress nodes together; limits on the requests of each
+        # its uptime. That holds for all ingress nodes together, as a limit for each of them
         # wouldn't.
         slow_start_s = self.model.slow_start_s
         warm = [
@@ -248,7 +248,7 @@
             self.model.service_mean.note_report(self.views.values())
 
     def _count_answer(self, now: float) -> None:
-        """Update the rate of successful answers, weighted towards the last second."""
+        """Update the rate of successful responses, weighted towards the last second."""
         elapsed = now - self.rate_updated_at if self.rate_updated_at is not None else 0.0
         self.rate_updated_at = now
         self.rate_per_s = self.rate_per_s / (1 + max(0.0, elapsed)) + 1
--- a/src/marjoramtide/policy/placing/_selector.py
+++ b/src/marjoramtide/policy/placing/_selector.py
@@ -42,7 +42,7 @@
         kind: str = "",
         work_ms: float = 0.0,
     ) -> None:
-        """Record an answer; ``succeeded`` is false for an error of the backend server.
+        """Record a response; ``succeeded`` is false for an error of the backend server.
 
         ``elapsed_ms`` counts from ``sent``; ``served_ms`` is the part of it that the request spent
         at the serving node, ``None`` if unknown; the rest is network time. ``work_ms`` is how long
@@ -71,14 +71,14 @@
         elapsed_ms: float | None = None,
         unreachable: bool = False,
     ) -> None:
-        """Record that no answer will arrive: the connection failed or could not be opened."""
+        """Record that no response will arrive: the connection failed or could not be opened."""
 
     @abstractmethod
     def cancelled(self, node: str, now: float, *, elapsed_ms: float | None = None) -> None:
         """Record that this node cancelled a request itself.
 
         The caller disconnected, the deadline passed, or another attempt was answered first. This
-        shows that the answer takes longer than ``elapsed_ms``, and nothing about success.
+        shows that the response takes longer than ``elapsed_ms``, and nothing about success.
         """
 
     @abstractmethod
@@ -92,7 +92,7 @@
         """Return the delay that a rejected caller is given, spread over the callers."""
 
     def reported(self, node: str, report: LoadReport, now: float) -> None:
-        """Record a load report that arrived in a bulletin, not with an answer."""
+        """Record a load report that arrived in a bulletin, not with a response."""
         return None
 
     def node_snapshot(self, node: str, now: float) -> dict[str, object]:
--- a/src/marjoramtide/policy/placing/_service_mean.py
+++ b/src/marjoramtide/policy/placing/_service_mean.py
@@ -14,7 +14,7 @@
 class ServiceMean:
     """The load and service time of an average node, with each node weighted equally.
 
-    Weighting each answer instead would count the busy nodes most, and a node that hasn't reported
+    Weighting each response instead would count the busy nodes most, and a node that hasn't reported
     for a while would be assumed to be as full as those. The load is capped at ``MAX_MEAN_LOAD``: a
     queue that isn't reported on is more likely to drain than to grow. The averages are recomputed
     once for half as many reports as there are nodes, so that the cost per report doesn't grow with
--- a/src/marjoramtide/policy/quarantine/_completed_requests.py
+++ b/src/marjoramtide/policy/quarantine/_completed_requests.py
@@ -15,7 +15,7 @@
 
 
 class CompletedRequests:
-    """Excuses requests that the server has completed: at one of its crashes for each completion.
+    """Excuses requests that the server has completed, at one crash for each completion.
 
     Failure without it: a tenth of the servers is lost at once, and a page that everybody requests
     was running on all of them. It looks like a request that crashes servers, and nobody gets it. A
--- a/src/marjoramtide/policy/quarantine/_hold_rule.py
+++ b/src/marjoramtide/policy/quarantine/_hold_rule.py
@@ -13,8 +13,8 @@
     """``after`` crashes of servers hold a request back for ``hold_s`` seconds; 0 means never.
 
     Two crashes are enough. Few innocent requests are lost with two servers without being completed
-    by any, and a third try costs everything that runs on a third server; an innocent request loses
-    one rejection with a retry delay.
+    by any, and a third attempt costs everything that runs on a third server; an innocent request
+    loses one rejection with a retry delay.
     """
 
     after: int = 2
--- a/src/marjoramtide/policy/quarantine/_suspect.py
+++ b/src/marjoramtide/policy/quarantine/_suspect.py
@@ -39,7 +39,7 @@
 
     ``crashes`` are the crashes by their numbers, ``cleared`` the numbers of those it is cleared of;
     both in the order in which they were reported. ``updated_at`` is when something new was last
-    reported, ``is_confirmed`` whether the crashes are then more than chance. ``label`` is its
+    reported, ``is_confirmed`` whether the crashes exceeded chance at that time. ``label`` is its
     method and target, empty until this node has seen such a request, ``refused`` how often this
     node has rejected it.
     """
--- a/src/marjoramtide/policy/quarantine/_suspect_report.py
+++ b/src/marjoramtide/policy/quarantine/_suspect_report.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other about a request that was running when servers crashed."""
+"""What nodes report to each other about a request that was running when servers crashed."""
 
 import attrs
 
@@ -23,7 +23,7 @@
     Both are grow-only sets, so all nodes converge to the same state whatever the order, duplicates
     and delays of reports, and without a common clock: a request that a server has completed is
     cleared of the crashes that were known by then, and of no later one. ``trial_s`` is for how many
-    more seconds a server tests whether it still crashes.
+    more seconds a server tests whether the request still crashes it.
     """
 
     fingerprint: int
--- a/src/marjoramtide/policy/quota/_fleet_shares.py
+++ b/src/marjoramtide/policy/quota/_fleet_shares.py
@@ -5,8 +5,8 @@
 
 import attrs
 
-# A node that became unreachable may still serve in another partition. It is counted for so long, in
-# seconds, unless it announced that it leaves or another node has taken its address.
+# A node that became unreachable may still serve in another partition. It is counted for this long,
+# in seconds, unless it announced that it leaves or another node has taken its address.
 RETENTION_S = 60.0
 
 
--- a/src/marjoramtide/policy/statements/__init__.py
+++ b/src/marjoramtide/policy/statements/__init__.py
@@ -1,4 +1,4 @@
-"""Which rate limit has this backend server process requested, and is it leaving?
+"""The rate limit that a backend server process has requested, and whether it is leaving.
 
 For servers that ask in their responses for fewer requests, or for none, while responses arrive out
 of order and the nodes beside them restart.
--- a/src/marjoramtide/serving/_crash_detector.py
+++ b/src/marjoramtide/serving/_crash_detector.py
@@ -118,7 +118,7 @@
         return suspects
 
     def server_leaving(self) -> None:
-        """Record that the server has announced its end, so no request is suspected of it."""
+        """Record that the server has announced that it is leaving: no request is suspected then."""
         self.is_leaving = True
 
     def _pop_all(self) -> list[InFlightRequest]:
--- a/src/marjoramtide/serving/_ended_incarnations.py
+++ b/src/marjoramtide/serving/_ended_incarnations.py
@@ -3,7 +3,7 @@
 from marjoramtide.serving._registration import Registration
 
 # Number of instances that are remembered. A heartbeat delayed by a network partition is at most
-# minutes late; of a server that restarts every second, only the last minute is remembered.
+# minutes late; if an instance is replaced every second, this covers the last minute.
 MAX_INSTANCES = 64
 
 
--- a/src/marjoramtide/serving/_idempotency_key_dispatcher.py
+++ b/src/marjoramtide/serving/_idempotency_key_dispatcher.py
@@ -165,7 +165,7 @@
 
 
 def request_digest(execution: Execution) -> str:
-    """Return a digest that tells requests with the same key apart.
+    """Return a digest that distinguishes requests with the same key.
 
     Of a streamed body only the length is included.
     """
--- a/src/marjoramtide/serving/_service.py
+++ b/src/marjoramtide/serving/_service.py
@@ -70,8 +70,8 @@
         """Create the service in the closed state.
 
         Without a ``guard``, every request may be sent to the backend server. Without a
-        ``reporter``, no other node is told of the requests that this node executes for its own
-        callers. ``process_started_at`` is the start of this process in seconds of the monotonic
+        ``reporter``, the requests that this node executes for its own callers are reported to no
+        other node. ``process_started_at`` is the start of this process in seconds of the monotonic
         clock; by default, now.
         """
         self.guard = guard or AllowAllGuard()
@@ -141,8 +141,8 @@
     def set_evacuated(self, evacuated: bool) -> None:
         """Set whether the data centre is evacuated; evacuation also rejects queued requests.
 
-        Running requests are completed. The check here is the final one, because other nodes may
-        not have heard of the evacuation yet.
+        Running requests are completed. The check here is the final one, because other nodes may not
+        know of the evacuation yet.
         """
         self.is_evacuated = evacuated
         if evacuated:
@@ -342,9 +342,9 @@
         """Check whether the backend server has crashed, before a lost request is reported.
 
         A request that crashes its server would otherwise be retried on the next server before any
-        node knows of the crash: one call with three tries crashed three servers within 0.14 s.
-        With the check first, the news of the crash leaves for all nodes before the failure is
-        returned. The news needs one network hop, a retry needs two.
+        node knows of the crash: one request with three attempts crashed three servers within 0.14
+        s. With the check first, the report of the crash is sent to all nodes before the failure is
+        returned. The report needs one network hop, a retry needs two.
         """
         if isinstance(error, UnknownOutcomeError) and execution.may_have_run:
             self.crash_monitor.request_ended(execution, cancelled=False)
