--- a/bench/quarantine/_play.py
+++ b/bench/quarantine/_play.py
@@ -216,7 +216,7 @@
     def noticed(self, number: int) -> None:
         suspects = self.servers[number].watch.connection_refused(self.loop.time())
         if suspects:
-            self.network.nodes[number].server_ended(suspects)
+            self.network.nodes[number].server_crashed(suspects)
 
     def back(self, number: int) -> None:
         server = self.servers[number]
--- a/bench/quarantine/_spread.py
+++ b/bench/quarantine/_spread.py
@@ -37,10 +37,10 @@
     network = NewsNetwork(size, seed, loss)
     loop = asyncio.get_running_loop()
     first, second = network.rng.sample(range(size), 2)
-    network.nodes[first].server_ended(make_runs(network, running))
+    network.nodes[first].server_crashed(make_runs(network, running))
     await asyncio.sleep(BETWEEN_S)
     began = loop.time()
-    network.nodes[second].server_ended(make_runs(network, running))
+    network.nodes[second].server_crashed(make_runs(network, running))
     while network.holders(GUILTY) < size and loop.time() < began + GIVEN_UP_S:
         await asyncio.sleep(STEP_S)
     took = loop.time() - began
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -217,7 +217,7 @@
 
 async def crash_two(network: NewsNetwork) -> None:
     for number in (1, 2):
-        network.nodes[number].server_ended(make_runs(network, 5))
+        network.nodes[number].server_crashed(make_runs(network, 5))
         await asyncio.sleep(0.2)
 
 
@@ -285,7 +285,7 @@
     given_fleet(context, size)
 
     async def end() -> None:
-        context.network.nodes[1].server_ended(make_runs(context.network, 5))
+        context.network.nodes[1].server_crashed(make_runs(context.network, 5))
         await asyncio.sleep(0.2)
 
     run(context, end())
@@ -296,7 +296,7 @@
     async def complete() -> None:
         context.network.nodes[5].completed(GUILTY)
         await asyncio.sleep(0.2)
-        context.network.nodes[2].server_ended(make_runs(context.network, 5))
+        context.network.nodes[2].server_crashed(make_runs(context.network, 5))
 
     run(context, complete())
 
--- a/src/marjoramtide/quarantine/_quarantine_service.py
+++ b/src/marjoramtide/quarantine/_quarantine_service.py
@@ -106,7 +106,7 @@
         if self.policy.find(fingerprint) is not None:
             self.clear(fingerprint, "completed")
 
-    def server_ended(self, suspects: Sequence[InFlightRequest]) -> None:
+    def server_crashed(self, suspects: Sequence[InFlightRequest]) -> None:
         """Suspect the requests that ran there, except those it has completed before."""
         now = self.clock.monotonic()
         self._count_servers()
--- a/src/marjoramtide/serving/_crash_monitor.py
+++ b/src/marjoramtide/serving/_crash_monitor.py
@@ -93,4 +93,4 @@
             suspects=len(suspects),
             runs=[suspect.log_fields(now) for suspect in suspects[:MAX_LOGGED_SUSPECTS]],
         )
-        self.guard.server_ended(suspects)
+        self.guard.server_crashed(suspects)
--- a/src/marjoramtide/serving/_request_guard.py
+++ b/src/marjoramtide/serving/_request_guard.py
@@ -27,7 +27,7 @@
         """Record that the backend server has completed a request."""
 
     @abstractmethod
-    def server_ended(self, suspects: Sequence[InFlightRequest]) -> None:
+    def server_crashed(self, suspects: Sequence[InFlightRequest]) -> None:
         """Record which requests were in flight when the backend server crashed."""
 
     @abstractmethod
@@ -50,7 +50,7 @@
     def completed(self, fingerprint: int) -> None:
         pass
 
-    def server_ended(self, suspects: Sequence[InFlightRequest]) -> None:
+    def server_crashed(self, suspects: Sequence[InFlightRequest]) -> None:
         pass
 
     def server_replaced(self) -> None:
