--- a/bench/quarantine/_play.py
+++ b/bench/quarantine/_play.py
@@ -217,7 +217,7 @@
     def detect_crash(self, number: int) -> None:
         suspects = self.servers[number].crash_detector.connection_refused(self.loop.time())
         if suspects:
-            self.network.nodes[number].server_ended(suspects)
+            self.network.nodes[number].server_crashed(suspects)
 
     def restart(self, number: int) -> None:
         server = self.servers[number]
--- a/bench/quarantine/_spread.py
+++ b/bench/quarantine/_spread.py
@@ -37,10 +37,10 @@
     network = BulletinNetwork(size, seed, loss)
     loop = asyncio.get_running_loop()
     first, second = network.rng.sample(range(size), 2)
-    network.nodes[first].server_ended(make_runs(network, running))
+    network.nodes[first].server_crashed(make_runs(network, running))
     await asyncio.sleep(CRASH_INTERVAL_S)
     started_at = loop.time()
-    network.nodes[second].server_ended(make_runs(network, running))
+    network.nodes[second].server_crashed(make_runs(network, running))
     while network.count_holding(GUILTY) < size and loop.time() < started_at + TIMEOUT_S:
         await asyncio.sleep(POLL_S)
     took = loop.time() - started_at
--- a/src/marjoramtide/policy/pace/_interference.py
+++ b/src/marjoramtide/policy/pace/_interference.py
@@ -44,7 +44,7 @@
     ``slowdown`` is the factor by which work takes longer now. On many instances it changes at fixed
     times, since schedulers assign processor quotas by the period. If the changes observed so far
     fit such a grid, the next time at which the slowdown may change is known: until then a fast
-    server stays fast, and a request that ends before is safe.
+    server stays fast, and a request that ends before then is safe.
 
     Without the prediction a server that has just been read as fast may turn slow a few milliseconds
     later, and a booking sent there takes four times as long.
@@ -176,8 +176,8 @@
         """Return for how many seconds the slowdown holds, ``None`` while unknown."""
         return None if self.grid is None else self.grid.next_after(now) - now
 
-    def preferred_read_at(self, now: float) -> float:
-        """Return when the next read of the slowdown is most informative, in seconds."""
+    def preferred_check_at(self, now: float) -> float:
+        """Return the time, in seconds, at which the next health check is most informative."""
         last = self.observed_at if self.observed_at is not None else now - SEARCH_INTERVAL_S
         if self.grid is None:
             return last + SEARCH_INTERVAL_S
