--- a/bench/claims.py
+++ b/bench/claims.py
@@ -1,8 +1,9 @@
-"""Measures at which rate claims exhaust the store: ``python -m bench.claims``.
+"""Measures the rate of claims that exhausts the store: ``python -m bench.claims``.
 
-Starts the store's stand-in as a process with the platform's limits and lets the claims of many
-nodes, all in this process, claim and record fresh keys at fixed rates, each request at its own
-time whether or not earlier ones have ended. Prints a line for each rate and a JSON line at the end.
+Starts the stand-in store as a process with the platform's limits. The claims services of many
+nodes, all in this process, acquire and record fresh keys at fixed rates in an open loop: requests
+start whether or not earlier ones have completed. Prints a line for each rate and a JSON line at
+the end.
 """
 
 import argparse
@@ -30,8 +31,8 @@
 
 
 @attrs.define(slots=True)
-class Round:
-    """What one rate gave; latencies are those of ``acquire`` where it held."""
+class RateResult:
+    """The result of one rate; latencies are those of successful calls of ``acquire``."""
 
     offered_per_s: float
     outcomes: Counter[str] = attrs.field(factory=Counter)
@@ -42,54 +43,56 @@
 
     def summary(self) -> dict[str, float]:
         held = self.outcomes[ClaimOutcome.HELD]
-        asked = self.outcomes.total()
+        attempted = self.outcomes.total()
         cuts = quantiles(self.held_ms, n=100) if held > 1 else [0.0] * 99
         return {
             "offered_per_s": self.offered_per_s,
-            "held_share": round(held / asked, 4),
-            "refused_share": round(1 - held / asked, 4),
+            "held_share": round(held / attempted, 4),
+            "refused_share": round(1 - held / attempted, 4),
             "held_p50_ms": round(cuts[49], 2),
             "held_p99_ms": round(cuts[98], 2),
-            "cpu_ms_per_claim": round(self.cpu_ms / asked, 3),
+            "cpu_ms_per_claim": round(self.cpu_ms / attempted, 3),
             "writes_per_held": round(self.writes / max(1, held), 3),
             "unsettled_at_end": self.unsettled,
         }
 
 
-async def one_request(claims: Claims, key: str, result: Round) -> None:
-    """Claim a fresh key and record its end, as a serving node does."""
+async def claim_and_record(claims: Claims, key: str, result: RateResult) -> None:
+    """Claim a fresh key and record its completion, as a serving node does."""
     clock = claims.clock
-    started = clock.monotonic()
-    answer = await claims.acquire("mapdesk", key, "digest", RouteSettings(), started + DEADLINE_S)
-    result.outcomes[answer.outcome] += 1
-    if answer.handle is not None:
-        result.held_ms.append((clock.monotonic() - started) * 1000)
-        await claims.record(answer.handle, ClaimState.COMPLETED, 201, (), b"booked")
+    requested_at = clock.monotonic()
+    acquired = await claims.acquire(
+        "mapdesk", key, "digest", RouteSettings(), requested_at + DEADLINE_S
+    )
+    result.outcomes[acquired.outcome] += 1
+    if acquired.handle is not None:
+        result.held_ms.append((clock.monotonic() - requested_at) * 1000)
+        await claims.record(acquired.handle, ClaimState.COMPLETED, 201, (), b"booked")
 
 
-async def writes_seen(url: str) -> int:
+async def read_write_count(url: str) -> int:
     async with aiohttp.ClientSession() as session, session.get(f"{url}/stats") as response:
         return int((await response.json())["writes"])
 
 
-async def play(url: str, nodes: int, per_s: float, seconds: float, name: str) -> Round:
-    """Offer ``per_s`` requests a second, at Poisson times, to nodes at random."""
+async def offer_rate(url: str, nodes: int, per_s: float, seconds: float, name: str) -> RateResult:
+    """Offer requests to random nodes as a Poisson process of rate ``per_s``."""
     rng = random.Random(SEED)
     clock = SystemClock()
     stores = [open_object_store(url, clock=clock) for _ in range(nodes)]
     members = [make_claims(store, clock, f"node-{i}") for i, store in enumerate(stores)]
-    result, numbers = Round(per_s), itertools.count()
-    before, cpu = await writes_seen(url), time.process_time()
-    began = due = clock.monotonic()
+    result, numbers = RateResult(per_s), itertools.count()
+    before, cpu = await read_write_count(url), time.process_time()
+    started_at = due = clock.monotonic()
     async with asyncio.TaskGroup() as group:
         background = [asyncio.create_task(member.run()) for member in members]
-        while due < began + seconds:
+        while due < started_at + seconds:
             await asyncio.sleep(max(0.0, due - clock.monotonic()))
             key = f"{name}-{next(numbers)}"
-            group.create_task(one_request(rng.choice(members), key, result))
+            group.create_task(claim_and_record(rng.choice(members), key, result))
             due += rng.expovariate(per_s)
     result.cpu_ms = (time.process_time() - cpu) * 1000
-    result.writes = await writes_seen(url) - before
+    result.writes = await read_write_count(url) - before
     result.unsettled = sum(len(member.unsettled.entries) for member in members)
     for task in background:
         task.cancel()
@@ -102,7 +105,7 @@
     print(HEADER, flush=True)
     rounds = []
     for per_s in options.rates:
-        result = await play(url, options.nodes, per_s, options.seconds, f"at-{per_s}")
+        result = await offer_rate(url, options.nodes, per_s, options.seconds, f"at-{per_s}")
         rounds.append(line := result.summary())
         print(
             f"{per_s:9.0f} {line['held_share']:6.1%} {line['refused_share']:8.1%}"
--- a/bench/control_fleet.py
+++ b/bench/control_fleet.py
@@ -1,8 +1,8 @@
-"""Some members of a measured fleet in one process, over real UDP on loopback.
+"""Runs some members of a measured fleet in one process, over real UDP on loopback.
 
-``bench.control`` starts several of these and tells them on standard input, a JSON object a line,
-what to do; each answers with one JSON object a line. Times are of the monotonic clock, which all
-processes of the machine share.
+``bench.control`` starts several of these and sends them commands on standard input, one JSON object
+per line; each command is answered by one JSON object on a line. Times are of the monotonic clock,
+which all processes of the machine share.
 """
 
 import argparse
@@ -28,19 +28,19 @@
 SERVICES = 53
 SEEDS = 3
 POLL_S = 0.02
-LIMIT_S = 40.0
+TIMEOUT_S = 40.0
 PAGE_KB = resource.getpagesize() / 1024
-# An IPv4 header without options and a UDP header.
+# Size of an IPv4 header without options and a UDP header.
 HEADER_BYTES = 28
 
 
 def address_of(number: int, network: int) -> str:
-    """Return the address of a member; each has its own under 127.0.0.0/8."""
+    """Return the address of a member; each has its own in 127.0.0.0/8."""
     return f"127.{network}.{number // 250}.{number % 250 + 1}"
 
 
 def make_member(number: int, network: int) -> MembershipService:
-    """Return one member of the fleet, not started."""
+    """Return one member of the fleet, not yet started."""
     address = address_of(number, network)
     settings = NodeSettings(
         service=f"service-{number % SERVICES}",
@@ -56,14 +56,14 @@
         name=f"instance-{number}",
     )
     member = make_membership(settings, MemoryStore(), SystemClock(), random.SystemRandom())
-    # The announcements of the first members, without a store.
+    # Stands in for the first members' announcements, since there is no store.
     member.core.add_seeds([f"{address_of(seed, network)}:7102" for seed in range(SEEDS)])
     member.announcer.on_announcements = lambda announcements: None
     return member
 
 
 class FleetPart:
-    """The members of this process, and what the parent may ask of them."""
+    """The members of this process, with one method per command of the parent."""
 
     def __init__(self, numbers: range, network: int) -> None:
         self.members = [make_member(number, network) for number in numbers]
@@ -79,12 +79,12 @@
         return {"at": time.monotonic(), "resident_kb": before}
 
     async def agreed(self, count: int) -> dict[str, Any]:
-        """Wait until every member here holds ``count`` members; return the view's digests."""
+        """Wait until every member here knows ``count`` members; return the digests of the views."""
 
         def complete() -> bool:
             return all(len(member.core.view.live()) == count for member in self.members)
 
-        at = await until(complete)
+        at = await wait_until(complete)
         return {"at": at, "digests": sorted({m.core.view.digest for m in self.members})}
 
     async def usage(self) -> dict[str, Any]:
@@ -109,13 +109,13 @@
         return {"at": at, "node": member.self_member.node}
 
     async def saw_drain(self, node: str) -> dict[str, Any]:
-        """Wait until all members here see the member drain."""
+        """Wait until all members here know that ``node`` is draining."""
 
         def seen(member: MembershipService) -> bool:
             found = member.find(node)
             return found is not None and found.state is MemberState.DRAINING
 
-        return {"at": await until(lambda: all(map(seen, self.members)))}
+        return {"at": await wait_until(lambda: all(map(seen, self.members)))}
 
     async def set_settings(self, revision: int) -> dict[str, Any]:
         at = time.monotonic()
@@ -123,10 +123,10 @@
         return {"at": at}
 
     async def saw_settings(self, revision: int) -> dict[str, Any]:
-        """Wait until each member here knows of every member that it has the revision in force.
+        """Wait until each member here knows that every member has the revision in force.
 
-        Members take a revision over as soon as they hear of it: fetching the tree is the work of
-        another part of a node and not in this figure.
+        Members adopt a revision as soon as they hear of it: fetching the tree is the work of
+        another part of a node and not part of this figure.
         """
 
         def heard(member: MembershipService) -> bool:
@@ -135,8 +135,11 @@
         def in_force(member: MembershipService) -> bool:
             return all(found.revision == revision for found in member.members())
 
-        heard_at = await until(lambda: all(map(heard, self.members)))
-        return {"heard_at": heard_at, "at": await until(lambda: all(map(in_force, self.members)))}
+        heard_at = await wait_until(lambda: all(map(heard, self.members)))
+        return {
+            "heard_at": heard_at,
+            "at": await wait_until(lambda: all(map(in_force, self.members))),
+        }
 
     async def stop(self) -> dict[str, Any]:
         await asyncio.gather(*(member.stop(leave=False) for member in self.members))
@@ -153,9 +156,9 @@
     return follow
 
 
-async def until(condition: Callable[[], bool]) -> float:
-    """Wait for ``condition``; return when it held, or raise ``TimeoutError``."""
-    async with asyncio.timeout(LIMIT_S):
+async def wait_until(condition: Callable[[], bool]) -> float:
+    """Wait until ``condition`` holds and return the time; raises ``TimeoutError``."""
+    async with asyncio.timeout(TIMEOUT_S):
         while not condition():
             await asyncio.sleep(POLL_S)
     return time.monotonic()
@@ -169,7 +172,7 @@
 
 
 async def serve(part: FleetPart) -> None:
-    """Do what the parent says until it says stop, or ends."""
+    """Run the parent's commands until ``stop`` or the end of standard input."""
     reader = asyncio.StreamReader()
     await asyncio.get_running_loop().connect_read_pipe(
         lambda: asyncio.StreamReaderProtocol(reader), sys.stdin
--- a/bench/control_links.py
+++ b/bench/control_links.py
@@ -1,9 +1,9 @@
-"""What a connection between two nodes costs: to open, to keep, and for a question.
+"""Measures the cost of a connection between two nodes: to open, to keep, and per request.
 
-Kept are those of the request lanes; the control lane's end when nothing is asked over them. A node
-that has a connection to each other node holds, for each of them, one client's end and one
-server's end. Both ends are in this process, so the figures for one connection are those for one
-more peer of such a node. Nothing else runs here; the pings are those of the connection itself.
+Connections of the request lanes are kept open; those of the control lane close when idle. A node
+that is connected to all other nodes holds one client end and one server end for each of them. Both
+ends are in this process, so the figures for one connection are those for one more peer of such a
+node. Nothing else runs here; the only pings are those of the connections.
 """
 
 import asyncio
@@ -22,14 +22,14 @@
 
 SIZES = (50, 100, 200, 400)
 IDLE_S = 8.0
-QUESTIONS = 2000
+REQUESTS = 2000
 KEY = "the key of a measured fleet"
 PAGE_KB = resource.getpagesize() / 1024
 TARGET = 789
 
 
 class NoRequests(RequestHandler):
-    """Nobody sends requests here."""
+    """Handler of a server to which no requests are sent."""
 
     async def handle(self, request: Request, body: RequestBody) -> Response:
         raise NotImplementedError
@@ -43,7 +43,7 @@
 
 
 async def answer(question: dict[str, Any]) -> dict[str, Any]:
-    """Answer as a node does whose settings are level with the asker's."""
+    """Answer like a node that has the same settings revision as the caller."""
     return {"revision": question["have"], "current": True, "envelope": b""}
 
 
@@ -55,28 +55,28 @@
     server.handler = NoRequests()
     await server.start(host, port)
     clients: list[PeerClient] = []
-    opening = 0.0
+    opening_cpu_s = 0.0
     memory, cpu = [], []
     print(f"{'connections':>12}{'KB each':>10}{'CPU %':>10}{'CPU % each':>12}")
     base = resident_kb()
     for size in SIZES:
-        begin = time.process_time()
+        cpu_before = time.process_time()
         while len(clients) < size:
             client = PeerClient(KEY, clock)
             await client.link(f"{host}:{port}", ROUTINE)
             clients.append(client)
-        opening += time.process_time() - begin
+        opening_cpu_s += time.process_time() - cpu_before
         await asyncio.sleep(1.0)
         memory.append((resident_kb() - base) / 1024)
-        begin, began = time.process_time(), time.perf_counter()
+        cpu_before, started_at = time.process_time(), time.perf_counter()
         await asyncio.sleep(IDLE_S)
-        cpu.append(100 * (time.process_time() - begin) / (time.perf_counter() - began))
+        cpu.append(100 * (time.process_time() - cpu_before) / (time.perf_counter() - started_at))
         each = 1024 * memory[-1] / size
         print(f"{size:>12}{each:>10.1f}{cpu[-1]:>10.2f}{cpu[-1] / size:>12.4f}", flush=True)
-    print(f"opening one: {1e6 * opening / SIZES[-1]:.0f} us of CPU")
+    print(f"opening one: {1e6 * opening_cpu_s / SIZES[-1]:.0f} us of CPU")
     print_fit("memory, MB", memory)
     print_fit("CPU, % of a core", cpu)
-    await measure_questions(clients[0], server, f"{host}:{port}")
+    await measure_requests(clients[0], server, f"{host}:{port}")
     await asyncio.gather(*(client.close() for client in clients))
     await server.close()
 
@@ -92,15 +92,15 @@
     )
 
 
-async def measure_questions(client: PeerClient, server: PeerServer, address: str) -> None:
-    """Ask one after the other over one connection; both ends count."""
+async def measure_requests(client: PeerClient, server: PeerServer, address: str) -> None:
+    """Send requests one after the other over one connection; the CPU time includes both ends."""
     channel = PeerControlChannel(client, server)
     channel.answer("settings.pull", answer)
-    begin = time.process_time()
-    for _ in range(QUESTIONS):
+    cpu_before = time.process_time()
+    for _ in range(REQUESTS):
         await channel.ask(address, "settings.pull", {"have": 7})
-    each = (time.process_time() - begin) / QUESTIONS
-    print(f"one question and its answer: {1e6 * each:.0f} us of CPU, both ends together")
+    each = (time.process_time() - cpu_before) / REQUESTS
+    print(f"one request and its response: {1e6 * each:.0f} us of CPU, both ends together")
 
 
 def main() -> None:
--- a/bench/crashes/__main__.py
+++ b/bench/crashes/__main__.py
@@ -1,4 +1,4 @@
-"""Prints how many processes a request ends among real nodes, and what that costs others."""
+"""Prints how many processes a deadly request crashes, and the effect on other requests."""
 
 import argparse
 import asyncio
@@ -8,12 +8,14 @@
 
 import attrs
 
-from bench.crashes import CrashPlan, play_crashes
+from bench.crashes import CrashPlan, run_crash_test
 
 PLANS = {
     "node": CrashPlan(),
-    "node-own-callers": CrashPlan(nodes=6, deadly_per_s=2.0, back_after_s=1.0, dies_after_s=0.02),
-    "server": CrashPlan(ends_nodes=False),
+    "node-own-callers": CrashPlan(
+        nodes=6, deadly_per_s=2.0, restart_after_s=1.0, crash_after_s=0.02
+    ),
+    "server": CrashPlan(crashes_nodes=False),
     "innocent-nodes": CrashPlan(deadly_per_s=0.0, kill_every_s=1.7),
 }
 
@@ -31,10 +33,11 @@
                 folder = (options.logs or Path(temporary)) / f"{name}-{seed}"
                 folder.mkdir(parents=True)
                 plan = attrs.evolve(PLANS[name], seed=seed)
-                found = asyncio.run(play_crashes(plan, folder))
+                result = asyncio.run(run_crash_test(plan, folder))
                 print(
-                    f"{name:18} {seed:4}  {os.getloadavg()[0]:4.1f}  {len(found.ends):5}  "
-                    f"{found.late_ends:9}  {found.common:.4f}  {found.others:.4f}  {found.held:9}",
+                    f"{name:18} {seed:4}  {os.getloadavg()[0]:4.1f}  {len(result.crashed_at):5}  "
+                    f"{result.late_crashes:9}  {result.common:.4f}  {result.others:.4f}  "
+                    f"{result.held_back_count:9}",
                     flush=True,
                 )
 
--- a/bench/crashes/_crash_tally.py
+++ b/bench/crashes/_crash_tally.py
@@ -1,29 +1,30 @@
-"""What a play of ending processes has cost."""
+"""The result of a test with crashing processes."""
 
 from collections.abc import Sequence
 
 import attrs
 
-# Ends later than this after the third one, in seconds: by then all nodes should know the request.
+# Crashes later than this after the third one count as late: by then all nodes should hold the
+# request back.
 KNOWN_AFTER_S = 3.0
 
 
 @attrs.frozen(slots=True)
 class CrashTally:
-    """When processes ended, in seconds of the play, and the shares of requests that completed.
+    """Times of the crashes since the start of the test, and shares of completed requests.
 
-    ``held`` is how many requests were refused as held back, besides the deadly ones.
+    ``held_back_count`` counts attempts of requests other than the deadly ones that were held back.
     """
 
-    ends: Sequence[float]
+    crashed_at: Sequence[float]
     common: float
     others: float
-    held: int
+    held_back_count: int
 
     @property
-    def late_ends(self) -> int:
-        """Return how many ends came when the request should have been known for long."""
-        if len(self.ends) < 3:
+    def late_crashes(self) -> int:
+        """Return the number of crashes after all nodes should have held the request back."""
+        if len(self.crashed_at) < 3:
             return 0
-        known_at = self.ends[2] + KNOWN_AFTER_S
-        return sum(at > known_at for at in self.ends)
+        known_at = self.crashed_at[2] + KNOWN_AFTER_S
+        return sum(at > known_at for at in self.crashed_at)
--- a/bench/crashes/_play.py
+++ b/bench/crashes/_play.py
@@ -1,4 +1,4 @@
-"""One play of a mesh of real processes, some of which end."""
+"""Runs one test of a mesh of real processes, some of which crash."""
 
 import asyncio
 import random
@@ -16,13 +16,13 @@
 SERVICE = "mapdesk"
 DEADLY, COMMON, OTHER = "deadly", "common", "other"
 TIMEOUT_MS = 2000
-# A node that is to be killed must have begun the common path within so many seconds.
-LOOK_S = 0.01
+# A node is killed only if it started a request for the common path within ``JUST_BEGUN_S``.
+POLL_S = 0.01
 JUST_BEGUN_S = 0.05
 
 
 def planned_calls(plan: CrashPlan) -> list[PlannedCall]:
-    """Return the calls of a play; a deadly one has the same path each time, as common ones do."""
+    """Return the calls of a test; all deadly calls have one path, and all common calls another."""
     calls = []
     for label, rate, first_s in (
         (DEADLY, plan.deadly_per_s, 1.0),
@@ -39,61 +39,63 @@
                 service_ms=plan.service_ms,
                 retries=0 if label == DEADLY else 1,
             )
-            # Each of the others is asked for once: its path is its own by the length of its answer.
+            # The length of the response makes the path of each other call unique.
             calls.append(attrs.evolve(call, answer_bytes=64 + number) if label == OTHER else call)
     return calls
 
 
 async def kill_nodes(mesh: Mesh, plan: CrashPlan) -> None:
-    """Kill a node now and then, just after it has begun to serve the common path."""
-    drawn = random.Random(plan.seed)
+    """Kill a node every ``kill_every_s``, just after it started to serve the common path."""
+    rng = random.Random(plan.seed)
     while True:
         await asyncio.sleep(plan.kill_every_s)
-        node = await just_begun(mesh, drawn)
+        node = await find_serving_node(mesh, rng)
         assert node.process is not None
         await node.process.kill()
-        mesh.supervisors.append(asyncio.create_task(back_later(node, plan.back_after_s)))
+        mesh.supervisors.append(asyncio.create_task(restart_later(node, plan.restart_after_s)))
 
 
-async def just_begun(mesh: Mesh, drawn: random.Random) -> MeshNode:
-    """Return a node beside a server that has begun the common path just now."""
+async def find_serving_node(mesh: Mesh, rng: random.Random) -> MeshNode:
+    """Return a node whose server has just started to serve the common path."""
     while True:
-        since = time.time() - JUST_BEGUN_S
-        able = [
+        earliest = time.time() - JUST_BEGUN_S
+        candidates = [
             node
             for node in mesh.nodes
             if node.process is not None
             and node.process.running
-            and any(at > since and request.startswith(COMMON) for at, request, _ in node.journal())
+            and any(
+                at > earliest and request.startswith(COMMON) for at, request, _ in node.journal()
+            )
         ]
-        if able:
-            return drawn.choice(able)
-        await asyncio.sleep(LOOK_S)
+        if candidates:
+            return rng.choice(candidates)
+        await asyncio.sleep(POLL_S)
 
 
-async def back_later(node: MeshNode, delay_s: float) -> None:
+async def restart_later(node: MeshNode, delay_s: float) -> None:
     await asyncio.sleep(delay_s)
     await node.start_node()
 
 
-def begin_ends(mesh: Mesh, plan: CrashPlan) -> None:
-    """Begin to end what is to end in this play."""
+def start_crashes(mesh: Mesh, plan: CrashPlan) -> None:
+    """Start the crashes of a plan."""
     if plan.kill_every_s:
         mesh.supervisors.append(asyncio.create_task(kill_nodes(mesh, plan)))
-    elif plan.ends_nodes:
-        mesh.kill_nodes_that_serve(f"{DEADLY}-", plan.back_after_s, plan.dies_after_s)
+    elif plan.crashes_nodes:
+        mesh.kill_nodes_that_serve(f"{DEADLY}-", plan.restart_after_s, plan.crash_after_s)
     else:
-        mesh.supervise_servers(plan.back_after_s)
+        mesh.supervise_servers(plan.restart_after_s)
 
 
 def share(results: Sequence[CallResult], label: str) -> float:
-    """Return the share of the calls of a label that completed; 1 where there are none."""
+    """Return the completed share of the calls with a label; 1 if there are none."""
     own = [result for result in results if result.call.label == label]
     return sum(each.outcome is Outcome.COMPLETED for each in own) / len(own) if own else 1.0
 
 
 def held_back(results: Sequence[CallResult]) -> int:
-    """Return how many attempts of requests that end nothing were refused as held back."""
+    """Return how many attempts of requests other than the deadly ones were held back."""
     return sum(
         "quarantined" in attempt.reason
         for result in results
@@ -102,16 +104,16 @@
     )
 
 
-async def play_crashes(plan: CrashPlan, folder: Path) -> CrashTally:
-    """Play one plan; the processes' logs stay in ``folder``."""
-    deadly = "" if plan.ends_nodes or plan.kill_every_s else f"/{DEADLY}"
+async def run_crash_test(plan: CrashPlan, folder: Path) -> CrashTally:
+    """Run one plan; ``folder`` keeps the logs of the processes."""
+    deadly = "" if plan.crashes_nodes or plan.kill_every_s else f"/{DEADLY}"
     plans = [attrs.evolve(each, deadly=deadly) for each in make_plan({SERVICE: plan.nodes})]
     async with Mesh(folder, plans) as mesh:
         await mesh.ready()
-        begin_ends(mesh, plan)
-        began = time.time()
+        start_crashes(mesh, plan)
+        started_at = time.time()
         entries = {SERVICE: [node.callers for node in mesh.nodes]}
         results = await play(planned_calls(plan), entries, seed=plan.seed)
         rows = sorted(row for node in mesh.nodes for row in node.journal())
-    ends = [at - began for at, request, _ in rows if request.startswith(f"{DEADLY}-")]
-    return CrashTally(ends, share(results, COMMON), share(results, OTHER), held_back(results))
+    crashed_at = [at - started_at for at, request, _ in rows if request.startswith(f"{DEADLY}-")]
+    return CrashTally(crashed_at, share(results, COMMON), share(results, OTHER), held_back(results))
--- a/bench/evacuation/__init__.py
+++ b/bench/evacuation/__init__.py
@@ -1,7 +1,7 @@
-"""Plays how evacuations reach all nodes of a fleet, without a network, in virtual time.
+"""Simulates in virtual time how an evacuation reaches all nodes of a fleet.
 
-Real ``EvacuationService`` objects tell each other bulletins that take time and get lost, and ask
-one another as often as for the settings.
+Real ``EvacuationService`` objects exchange bulletins that are delayed and may be lost, and query
+one another as often as nodes do for the settings.
 """
 
 from bench.evacuation._spread import SpreadPlan, SpreadResult, measure_spread
--- a/bench/evacuation/__main__.py
+++ b/bench/evacuation/__main__.py
@@ -1,4 +1,4 @@
-"""Prints how soon a fleet knows of an evacuation, and what that costs."""
+"""Prints how soon a fleet knows of an evacuation, and the messages needed."""
 
 import argparse
 import logging
@@ -9,7 +9,7 @@
 from bench.quarantine.__main__ import quantile
 
 SIZES = (12, 76, 195)
-HEARD_BY = (6, 1)
+NOTIFIED_WATCHERS = (6, 1)
 
 
 def main() -> None:
@@ -23,15 +23,15 @@
     )
     for size in SIZES:
         for loss in (0.0, 0.03):
-            for notified_watchers in HEARD_BY:
+            for notified_watchers in NOTIFIED_WATCHERS:
                 plans = [SpreadPlan(size, loss, notified_watchers, seed) for seed in range(seeds)]
-                found = [measure_spread(plan) for plan in plans]
-                times = [each.seconds * 1000 for each in found]
-                there = max(each.affected_seconds for each in found) * 1000
+                results = [measure_spread(plan) for plan in plans]
+                times = [each.seconds * 1000 for each in results]
+                affected = max(each.affected_seconds for each in results) * 1000
                 print(
                     f"{size:5}  {loss:.2f}  {notified_watchers:18}  {quantile(times, 0.5):21.0f}  "
-                    f"{quantile(times, 0.99):6.0f}  {max(times):7.0f}   {there:13.0f}  "
-                    f"{found[0].datagrams:10}  {found[0].bytes:7}"
+                    f"{quantile(times, 0.99):6.0f}  {max(times):7.0f}   {affected:13.0f}  "
+                    f"{results[0].datagrams:10}  {results[0].bytes:7}"
                 )
 
 
--- a/bench/evacuation/_evacuation_network.py
+++ b/bench/evacuation/_evacuation_network.py
@@ -1,4 +1,4 @@
-"""Nodes that know of evacuations, and what they tell each other."""
+"""Evacuation services of many nodes, and the simulated messages between them."""
 
 import asyncio
 import random
@@ -15,17 +15,17 @@
 from marjoramtide.policy import EvacuationSnapshot
 
 DATA_CENTRES = ("nadi-hall", "lautoka-hall", "sigatoka-hall")
-# What a datagram carries besides the fields: mark, code, sender and the frame of a list.
+# Bytes of a datagram besides the fields: prefix, MAC, sender and list header.
 ENVELOPE_BYTES = 4 + 16 + 9 + 2
 DELAY_S = (0.0005, 0.003)
-# Between two questions of a node for the settings, at a bound of six seconds.
-ASKED_S = (1.125, 1.5)
-# Until the store has answered a watch that waits.
-STORE_S = (0.002, 0.008)
+# Interval of a node's queries for the settings, at a freshness bound of six seconds.
+QUERY_INTERVAL_S = (1.125, 1.5)
+# Time until the store has answered a pending watch.
+STORE_DELAY_S = (0.002, 0.008)
 
 
 class EvacuationNetwork:
-    """One service for each node; ``loss`` of all datagrams never arrive."""
+    """One evacuation service per node; a share ``loss`` of the datagrams is lost."""
 
     def __init__(self, size: int, seed: int, loss: float) -> None:
         self.loop = asyncio.get_running_loop()
@@ -35,10 +35,10 @@
         self.sent_bytes = 0
         self.members = [make_member(number) for number in range(size)]
         self.nodes = [self.make_node(number) for number in range(size)]
-        self.tasks = [asyncio.ensure_future(self.ask_on(number)) for number in range(size)]
+        self.tasks = [asyncio.ensure_future(self.poll_peers(number)) for number in range(size)]
 
     def make_node(self, number: int) -> EvacuationService:
-        """Return the service of a node that knows of no evacuation yet."""
+        """Return the service of a node that knows of no evacuation."""
         directory = ModelDirectory(self.members[number], lambda node: None)
         for member in self.members:
             directory.apply_update(member)
@@ -66,27 +66,29 @@
             delay_s = self.rng.uniform(*DELAY_S)
             self.loop.call_later(delay_s, self.nodes[target].take, fields, str(sender))
 
-    async def ask_on(self, number: int) -> None:
-        """Ask others for the settings, one after another; news goes both ways."""
-        await asyncio.sleep(self.rng.uniform(0, ASKED_S[1]))
+    async def poll_peers(self, number: int) -> None:
+        """Query random peers as for the settings; a query exchanges evacuations both ways."""
+        await asyncio.sleep(self.rng.uniform(0, QUERY_INTERVAL_S[1]))
         while True:
             other = self.rng.choice([each for each in range(len(self.nodes)) if each != number])
             self.nodes[other].take(self.nodes[number].told(), str(number))
             self.nodes[number].take(self.nodes[other].told(), str(other))
-            await asyncio.sleep(self.rng.uniform(*ASKED_S))
+            await asyncio.sleep(self.rng.uniform(*QUERY_INTERVAL_S))
 
     def evacuate(self, name: str, watchers: Iterable[int]) -> None:
-        """Have the store tell some nodes of an evacuation."""
-        told = EvacuationSnapshot(7, frozenset((name,)))
+        """Let the store notify some nodes of an evacuation."""
+        snapshot = EvacuationSnapshot(7, frozenset((name,)))
         for number in watchers:
-            self.loop.call_later(self.rng.uniform(*STORE_S), self.nodes[number].take_stored, told)
+            self.loop.call_later(
+                self.rng.uniform(*STORE_DELAY_S), self.nodes[number].take_stored, snapshot
+            )
 
     def unaware(self, name: str) -> list[int]:
-        """Return the nodes that don't know that a data centre is evacuated."""
+        """Return the nodes that don't know yet that a data centre is evacuated."""
         return [number for number, node in enumerate(self.nodes) if name not in node.in_force]
 
     def close(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks and close the services."""
         for task in self.tasks:
             task.cancel()
         for node in self.nodes:
@@ -94,9 +96,16 @@
 
 
 def make_member(number: int) -> Member:
-    """Return the member of a node that is named by its number."""
+    """Return a member whose name is its number."""
     address = f"10.0.{number // 250}.{number % 250 + 1}:7104"
-    place = DATA_CENTRES[number % len(DATA_CENTRES)]
+    data_centre = DATA_CENTRES[number % len(DATA_CENTRES)]
     return Member(
-        str(number), "mapdesk", "viti-west", place, address, address, address, MemberState.READY
+        str(number),
+        "mapdesk",
+        "viti-west",
+        data_centre,
+        address,
+        address,
+        address,
+        MemberState.READY,
     )
--- a/bench/evacuation/_spread.py
+++ b/bench/evacuation/_spread.py
@@ -1,4 +1,4 @@
-"""How soon all nodes know of an evacuation, and what that costs."""
+"""Measures how soon all nodes know of an evacuation, and the messages needed."""
 
 import asyncio
 
@@ -7,16 +7,16 @@
 from bench.evacuation._evacuation_network import DATA_CENTRES, EvacuationNetwork
 from bench.model._virtual_loop import VirtualLoop
 
-GIVEN_UP_S = 30.0
-STEP_S = 0.001
-# Nodes of a data centre that watch the store, as deployed.
+TIMEOUT_S = 30.0
+POLL_S = 0.001
+# Number of nodes per data centre that watch the store, as in production.
 WATCHERS = 2
-TOLD_S = 0.5
+SETTLING_S = 0.5
 
 
 @attrs.frozen(slots=True)
 class SpreadPlan:
-    """One fleet; ``heard_by`` of the nodes that watch the store are not turned away by it."""
+    """A fleet; the store notifies ``notified_watchers`` of the nodes that watch it."""
 
     size: int
     loss: float = 0.03
@@ -28,7 +28,8 @@
 class SpreadResult:
     """Seconds until the last node knew, and until the last one in the evacuated data centre did.
 
-    The latter are the last check before their servers: after them no request arrives there.
+    Nodes of that data centre check requests right before their servers: once all of them know, no
+    request reaches the servers.
     """
 
     seconds: float
@@ -38,7 +39,7 @@
 
 
 def measure_spread(plan: SpreadPlan) -> SpreadResult:
-    """Measure one fleet."""
+    """Measure one fleet in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(measure(plan))
 
@@ -47,16 +48,16 @@
     network = EvacuationNetwork(plan.size, plan.seed, plan.loss)
     name, loop = DATA_CENTRES[0], asyncio.get_running_loop()
     watchers = range(min(plan.size, WATCHERS * len(DATA_CENTRES)))
-    began = loop.time()
+    started_at = loop.time()
     network.evacuate(name, network.rng.sample(watchers, min(plan.notified_watchers, len(watchers))))
-    there_s = 0.0
+    affected_s = 0.0
     while unaware := network.unaware(name):
         if any(network.members[number].data_centre == name for number in unaware):
-            there_s = loop.time() - began
-        if loop.time() > began + GIVEN_UP_S:
+            affected_s = loop.time() - started_at
+        if loop.time() > started_at + TIMEOUT_S:
             break
-        await asyncio.sleep(STEP_S)
-    took_s = loop.time() - began
-    await asyncio.sleep(TOLD_S)
+        await asyncio.sleep(POLL_S)
+    took_s = loop.time() - started_at
+    await asyncio.sleep(SETTLING_S)
     network.close()
-    return SpreadResult(took_s, there_s + STEP_S, network.sent, network.sent_bytes)
+    return SpreadResult(took_s, affected_s + POLL_S, network.sent, network.sent_bytes)
--- a/bench/fleet/__init__.py
+++ b/bench/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What control costs in whole processes: fleets of real nodes on loopback, idle but for events."""
+"""Measures the cost of the control plane with fleets of real node processes on loopback."""
--- a/bench/fleet/__main__.py
+++ b/bench/fleet/__main__.py
@@ -1,8 +1,9 @@
-"""Starts fleets of node processes one after another, and prints what control costs in them.
+"""Starts fleets of node processes of several sizes, and prints the cost of their control plane.
 
-Each fleet idles, then meets settings changes, drains, replacements, an outage of the store, the
-loss of a tenth and a restart of all. Lines are fitted to the costs over the size of the fleet,
-to times over its logarithm, and carried on to a large fleet. Writes ``out/fleet.json``.
+Each fleet is measured while idle and during settings changes, drains, evacuations, replacements,
+a store outage, the loss of a tenth of the nodes and a restart of all nodes. Costs are fitted
+linearly over the size of the fleet and times over its logarithm, and extrapolated to a large
+fleet. Writes ``out/fleet.json``.
 """
 
 import argparse
@@ -26,19 +27,19 @@
 
 async def run(sizes: list[int]) -> None:
     bare = {name: await measure_bare(modules) for name, modules in BARE.items()}
-    found = []
+    measurements = []
     for size in sizes:
-        began = time.monotonic()
-        found.append(await measure(size))
-        took, load = time.monotonic() - began, os.getloadavg()[0]
+        started_at = time.monotonic()
+        measurements.append(await measure(size))
+        took, load = time.monotonic() - started_at, os.getloadavg()[0]
         print(f"{size} nodes measured in {took:.0f} s; load of the machine {load:.1f}", flush=True)
-    lines = extrapolate(found) if len(found) > 1 else {}
-    print_tables(found, lines, bare)
+    fits = extrapolate(measurements) if len(measurements) > 1 else {}
+    print_tables(measurements, fits, bare)
     write(
         {
             "bare": {name: attrs.asdict(memory) for name, memory in bare.items()},
-            "measured": [attrs.asdict(item) for item in found],
-            "fits": {name: attrs.asdict(line) for name, line in lines.items()},
+            "measured": [attrs.asdict(item) for item in measurements],
+            "fits": {name: attrs.asdict(fit) for name, fit in fits.items()},
         }
     )
 
--- a/bench/fleet/_fleet.py
+++ b/bench/fleet/_fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of node processes, and what may be asked of all of them."""
+"""A fleet of node processes, with queries over all nodes."""
 
 import asyncio
 import ipaddress
@@ -27,18 +27,18 @@
 SERVICES = ("mapdesk", "licencehub", "case-desk", "tile-cache", "rate-board")
 NODES_PER_SERVER = 20
 POLL_S = 0.05
-ESTABLISHED = "01"
-LIMIT_S = 40.0
+TCP_ESTABLISHED = "01"
+TIMEOUT_S = 40.0
 
 
 def make_plans(size: int) -> list[NodePlan]:
-    """Return nodes spread over the data centres, and in each over the services."""
+    """Return plans of nodes, spread evenly over data centres and services."""
     places = itertools.cycle(itertools.product(SERVICES, REGION_OF))
     return [NodePlan(service, place) for service, place in itertools.islice(places, size)]
 
 
 class Fleet(Mesh):
-    """A mesh whose nodes share a few backend server stand-ins, which only answer health reads."""
+    """A mesh whose nodes share a few stand-in backend servers, which only answer health checks."""
 
     def __init__(self, folder: Path, size: int) -> None:
         super().__init__(folder, make_plans(size))
@@ -62,35 +62,35 @@
         await asyncio.gather(*(node.start_node() for node in nodes))
 
     async def kill_nodes(self, nodes: Iterable[MeshNode]) -> None:
-        """End nodes at once; the backend servers stay, since others share them."""
+        """Kill nodes; their backend servers stay up, since other nodes share them."""
         await asyncio.gather(*(node.process.kill() for node in nodes if node.process is not None))
 
-    # What nodes tell
+    # Queries
 
-    async def ask(self, node: MeshNode, path: str) -> dict[str, Any]:
+    async def get_json(self, node: MeshNode, path: str) -> dict[str, Any]:
         async with self.http.get(f"http://{node.operators}/{path}") as response:
             answer: dict[str, Any] = await response.json()
         return answer
 
-    async def gossip(self, nodes: Sequence[MeshNode]) -> dict[str, float]:
-        """Return the totals of what the nodes sent."""
-        answers = await asyncio.gather(*(self.ask(node, "status") for node in nodes))
+    async def gossip_totals(self, nodes: Sequence[MeshNode]) -> dict[str, float]:
+        """Return the sums of the nodes' gossip counters."""
+        answers = await asyncio.gather(*(self.get_json(node, "status") for node in nodes))
         return {
             name: sum(answer["gossip"][name] for answer in answers)
             for name in ("sent", "sent_bytes", "refutations")
         }
 
-    async def states(self, node: MeshNode) -> dict[str, str]:
-        """Return the states of all members this node knows, by the address of their operators."""
-        members = (await self.ask(node, "members"))["members"]
+    async def member_states(self, node: MeshNode) -> dict[str, str]:
+        """Return the states of all members that a node knows, by their operators' address."""
+        members = (await self.get_json(node, "members"))["members"]
         return {member["operators_address"]: member["state"] for member in members}
 
-    async def until(
+    async def wait_until(
         self, condition: Callable[[MeshNode], Awaitable[bool]], nodes: Sequence[MeshNode]
     ) -> float:
-        """Ask each node until ``condition`` holds of it; return when the last one came to it."""
+        """Poll until ``condition`` holds for all nodes; return the time of the last one."""
 
-        async def come_to_it(node: MeshNode) -> float:
+        async def poll(node: MeshNode) -> float:
             while True:
                 try:
                     if await condition(node):
@@ -100,30 +100,33 @@
                 await asyncio.sleep(POLL_S)
 
         try:
-            async with asyncio.timeout(LIMIT_S):
-                return max(await asyncio.gather(*map(come_to_it, nodes)))
+            async with asyncio.timeout(TIMEOUT_S):
+                return max(await asyncio.gather(*map(poll, nodes)))
         except TimeoutError as error:
-            raise TimeoutError(f"not so after {LIMIT_S} s\n{self.output()}") from error
+            raise TimeoutError(f"condition not met after {TIMEOUT_S} s\n{self.output()}") from error
 
-    async def until_known(self, nodes: Sequence[MeshNode], state: str) -> float:
-        """Wait until every node knows these in ``state`` (``""``: not at all); return when."""
-        wanted = {node.operators for node in nodes}
+    async def wait_for_state(self, nodes: Sequence[MeshNode], state: str) -> float:
+        """Wait until all running nodes know ``nodes`` in ``state`` and return the time.
+
+        An empty ``state`` waits until the nodes are no longer known as members.
+        """
+        addresses = {node.operators for node in nodes}
 
         async def known(node: MeshNode) -> bool:
-            states = await self.states(node)
-            return all(states.get(address, "") == state for address in wanted)
+            member_states = await self.member_states(node)
+            return all(member_states.get(address, "") == state for address in addresses)
 
         others = [node for node in self.nodes if node.process and node.process.running]
-        return await self.until(known, others)
+        return await self.wait_until(known, others)
 
-    # What nodes cost
+    # Costs
 
     def cpu_s(self, nodes: Iterable[MeshNode]) -> float:
-        """Return the processor time that these nodes have used."""
+        """Return the CPU time that these nodes have used."""
         return sum(read_use(pid).cpu_s for pid in pids(nodes))
 
     def memory(self) -> Memory:
-        """Return the mean of the nodes."""
+        """Return the mean memory of the nodes."""
         found = [read_memory(pid) for pid in pids(self.nodes)]
         return Memory(
             *(
@@ -133,13 +136,13 @@
         )
 
     def peer_links(self) -> float:
-        """Return how many connections of peers a node has taken in, on average."""
+        """Return the mean number of peer connections that a node has accepted."""
         ports = {parse_address(node.peers)[1] for node in self.nodes}
         rows = [row.split() for row in Path("/proc/net/tcp").read_text().splitlines()[1:]]
         packed = ipaddress.ip_address(self.host).packed[::-1].hex().upper()
-        ends = [row[1].split(":") for row in rows if row[3] == ESTABLISHED]
-        held = [port for host, port in ends if host == packed and int(port, 16) in ports]
-        return len(held) / len(self.nodes)
+        endpoints = [row[1].split(":") for row in rows if row[3] == TCP_ESTABLISHED]
+        accepted = [port for host, port in endpoints if host == packed and int(port, 16) in ports]
+        return len(accepted) / len(self.nodes)
 
 
 def pids(nodes: Iterable[MeshNode]) -> list[int]:
--- a/bench/fleet/_measurement.py
+++ b/bench/fleet/_measurement.py
@@ -1,16 +1,16 @@
-"""What one fleet cost."""
+"""The figures of one fleet."""
 
 import attrs
 
 
 @attrs.frozen(slots=True, kw_only=True)
 class Measurement:
-    """Idle rates are for each node and second, but those of the store, which are for the fleet.
+    """Idle rates are per node and second, except those of the store, which are per fleet.
 
-    ``*_s`` are seconds from an event until the last node knows of it, ``restart_*`` and
-    ``outage_*`` the calls of the whole fleet to the store. Gossip is counted as sent, with the
-    headers of IP and UDP. ``scaled_restart`` is a restart against a store whose limits are as much
-    smaller than the real one's as the fleet is smaller than the one to come.
+    ``*_s`` are seconds from an event until the last node knows of it. ``restart_*`` and
+    ``outage_*`` are store calls of the whole fleet. Gossip is counted at the sender, with IP and
+    UDP headers. ``scaled_restart`` is a restart against a store whose limits are scaled down from
+    the real ones in the ratio of this fleet to the target fleet.
     """
 
     nodes: int
--- a/bench/fleet/_memory.py
+++ b/bench/fleet/_memory.py
@@ -1,4 +1,4 @@
-"""The memory of a process, as the kernel tells it."""
+"""The memory of a process, as reported by the kernel."""
 
 from pathlib import Path
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen(slots=True)
 class Memory:
-    """MB held: all, with shared pages by their share, and of this process alone."""
+    """Resident, proportional and unique set size in MB."""
 
     rss_mb: float
     pss_mb: float
--- a/bench/fleet/_store_calls.py
+++ b/bench/fleet/_store_calls.py
@@ -1,4 +1,4 @@
-"""The calls that a fleet makes to its object store."""
+"""Counts the calls of a fleet to its object store."""
 
 import asyncio
 import time
@@ -13,24 +13,24 @@
 
 KINDS = ("reads", "writes", "watches", "throttled")
 SAMPLE_S = 0.25
-PEAK_S = 1.0
+PEAK_WINDOW_S = 1.0
 
 
 @attrs.frozen(slots=True)
 class Sample:
-    """The store's totals at one moment of the monotonic clock."""
+    """The store's counters at one time of the monotonic clock."""
 
     at: float
     counts: dict[str, int]
 
 
-def peak_per_s(samples: Sequence[Sample], kind: str, window_s: float = PEAK_S) -> float:
-    """Return the most calls that fell into any stretch of about ``window_s`` seconds."""
+def peak_per_s(samples: Sequence[Sample], kind: str, window_s: float = PEAK_WINDOW_S) -> float:
+    """Return the peak rate of calls over any window of about ``window_s`` seconds."""
     step = max(1, round(window_s / SAMPLE_S))
     pairs = list(zip(samples, samples[step:], strict=False)) or [(samples[0], samples[-1])]
     return max(
-        (late.counts[kind] - early.counts[kind]) / max(late.at - early.at, SAMPLE_S)
-        for early, late in pairs
+        (later.counts[kind] - earlier.counts[kind]) / max(later.at - earlier.at, SAMPLE_S)
+        for earlier, later in pairs
     )
 
 
@@ -39,7 +39,7 @@
 
 
 class StoreCalls:
-    """Reads the stand-in's own counts."""
+    """Reads the counters of the stand-in store and controls its faults and limits."""
 
     def __init__(self, http: aiohttp.ClientSession, address: str) -> None:
         self.http = http
@@ -51,32 +51,32 @@
         return Sample(time.monotonic(), {kind: counts[kind] for kind in KINDS})
 
     async def set_mode(self, mode: str) -> None:
-        await self.order("faults", {"mode": mode})
+        await self.post("faults", {"mode": mode})
 
     async def set_limits(self, reads_per_s: float, writes_per_s: float) -> None:
-        await self.order("limits", {"reads_per_s": reads_per_s, "writes_per_s": writes_per_s})
+        await self.post("limits", {"reads_per_s": reads_per_s, "writes_per_s": writes_per_s})
 
-    async def order(self, page: str, body: dict[str, Any]) -> None:
+    async def post(self, page: str, body: dict[str, Any]) -> None:
         async with self.http.post(f"http://{self.address}/{page}", json=body) as response:
             response.raise_for_status()
 
     async def announcements_bytes(self) -> int:
-        """Return the size of the list that every node reads at its start."""
+        """Return the size of the announcements that every node lists at its start."""
         url = f"http://{self.address}/v1/objects"
         async with self.http.get(url, params={"prefix": ANNOUNCEMENT_PREFIX}) as response:
             return len(await response.read())
 
     @asynccontextmanager
-    async def sampled(self) -> AsyncIterator[list[Sample]]:
-        """Fill the list that it yields until the block ends."""
+    async def sample_during(self) -> AsyncIterator[list[Sample]]:
+        """Yield a list to which samples are added until the block ends."""
         samples = [await self.read()]
 
-        async def fill() -> None:
+        async def collect() -> None:
             while True:
                 await asyncio.sleep(SAMPLE_S)
                 samples.append(await self.read())
 
-        task = asyncio.create_task(fill())
+        task = asyncio.create_task(collect())
         try:
             yield samples
         finally:
--- a/bench/fleet/bare.py
+++ b/bench/fleet/bare.py
@@ -1,4 +1,4 @@
-"""A process that has imported what a node imports, and does nothing: what memory is not control's.
+"""An idle process with the imports of a node, as the memory baseline without a control plane.
 
 Run as ``python -m bench.fleet.bare MODULE...``.
 """
--- a/bench/fuzz.py
+++ b/bench/fuzz.py
@@ -1,11 +1,11 @@
-"""Feeds broken input to whatever reads bytes from outside, and stops by itself.
-
-``python -m bench.fuzz --count 2000 --seed 1``: the frame decoder, the peers' handshake, the gossip
-codec, the settings tree, what others write on the platform (heartbeats, departures, objects of the
-store, load headers) and a real node's HTTP port each get ``count`` inputs (the port a tenth of
-them), half of them sound ones with a few bytes changed. An input must be taken or refused with an
-error of ours within ``SLOW_S``; anything else is a fault. The same seed gives the same inputs. The
-exit status is 0 only without faults.
+"""Fuzzes everything that parses bytes from outside the process, for a bounded time.
+
+``python -m bench.fuzz --count 2000 --seed 1``: the frame decoder, the peer handshake, the gossip
+codec, the settings tree, platform input (heartbeats, departures, store objects, load headers) and
+the HTTP port of a real node each get ``count`` inputs (the port a tenth of them). Half of the
+inputs are mutations of valid ones, the others are random bytes. An input must be accepted, or
+refused with one of ``EXPECTED_ERRORS``, within ``MAX_INPUT_S``; anything else is a fault. The same
+seed gives the same inputs. The exit status is 0 only without faults.
 """
 
 import argparse
@@ -72,14 +72,14 @@
 from standins.raw_caller import read_answer
 
 KEY = "a key for fuzzing on loopback only"
-SLOW_S = 0.5
-LIMIT_S = 50.0
+MAX_INPUT_S = 0.5
+TIMEOUT_S = 50.0
 HTTP_SHARE = 10
 PARALLEL = 5
-SILENCE_S = 0.15
-REFUSED = (MarjoramtideError, PacketError, MalformedError)
-# Pieces that parsers are known to trip over.
-PIECES = (
+READ_SILENCE_S = 0.15
+EXPECTED_ERRORS = (MarjoramtideError, PacketError, MalformedError)
+# Fragments that are known to cause errors in parsers.
+FRAGMENTS = (
     b"\x00", b"\xff", b"\x9f", b"\x81" * 500, b"\x9b" + b"\xff" * 8, b"\xc2\x41\xff", b"\xd8\x1c",
     b"\r\n", b"\n", b"\r", b" ", b"\t", b":", b"0", b"-1", b"chunked", b"Content-Length: 3\r\n",
     b"Transfer-Encoding: chunked\r\n", b"Host: other\r\n", b"Expect: 100-continue\r\n",
@@ -145,44 +145,44 @@
 
 @attrs.define(slots=True)
 class Tally:
-    """What became of the inputs of one target."""
+    """The outcomes of the inputs of one target."""
 
     name: str
-    seen: Counter[str] = attrs.Factory(Counter)
+    outcomes: Counter[str] = attrs.Factory(Counter)
     faults: list[str] = attrs.Factory(list)
 
     def fault(self, data: bytes, what: str) -> None:
-        """Keep an input that was neither taken nor refused."""
+        """Record an input that was neither accepted nor refused as expected."""
         self.faults.append(f"{self.name}: {what}: {data[:120]!r}")
 
     def line(self) -> str:
         return (
-            f"{self.name:10} {self.seen['taken']:6} taken {self.seen['refused']:6} refused "
+            f"{self.name:10} {self.outcomes['taken']:6} taken {self.outcomes['refused']:6} refused "
             f"{len(self.faults):3} faults"
         )
 
 
-def change(rng: random.Random, data: bytes) -> bytes:
-    """Return ``data`` with a few places cut out, replaced or filled up."""
+def mutate(rng: random.Random, data: bytes) -> bytes:
+    """Return ``data`` with a few fragments removed, replaced or inserted."""
     changed = bytearray(data)
     for _ in range(rng.randint(1, 4)):
         start = rng.randrange(len(changed) + 1)
-        piece = rng.choice(PIECES) if rng.random() < 0.6 else rng.randbytes(rng.randint(0, 4))
-        changed[start : start + rng.choice((0, 0, 1, 2, 8))] = piece
+        fragment = rng.choice(FRAGMENTS) if rng.random() < 0.6 else rng.randbytes(rng.randint(0, 4))
+        changed[start : start + rng.choice((0, 0, 1, 2, 8))] = fragment
     return bytes(changed)
 
 
-def inputs(rng: random.Random, count: int, *sound: bytes) -> Iterator[bytes]:
-    """Return changed sound inputs and plain noise in turn."""
+def make_inputs(rng: random.Random, count: int, *valid: bytes) -> Iterator[bytes]:
+    """Yield mutations of valid inputs and random bytes in turn."""
     for number in range(count):
         if number % 2:
             yield rng.randbytes(rng.randint(0, 200))
         else:
-            yield change(rng, rng.choice(sound))
+            yield mutate(rng, rng.choice(valid))
 
 
-def try_all(name: str, data: Iterator[bytes], read: Callable[[bytes], Any], end: float) -> Tally:
-    """Give each input to ``read``."""
+def run_target(name: str, data: Iterator[bytes], read: Callable[[bytes], Any], end: float) -> Tally:
+    """Pass each input to ``read`` and count the outcomes."""
     tally = Tally(name)
     for item in data:
         started = time.monotonic()
@@ -190,12 +190,12 @@
             break
         try:
             read(item)
-            tally.seen["taken"] += 1
-        except REFUSED:
-            tally.seen["refused"] += 1
+            tally.outcomes["taken"] += 1
+        except EXPECTED_ERRORS:
+            tally.outcomes["refused"] += 1
         except Exception as error:
             tally.fault(item, repr(error))
-        if time.monotonic() - started > SLOW_S:
+        if time.monotonic() - started > MAX_INPUT_S:
             tally.fault(item, "slow")
     return tally
 
@@ -208,8 +208,8 @@
 
 
 @attrs.define(slots=True)
-class Script:
-    """A socket whose other end says what was written down before."""
+class ScriptedSocket:
+    """A socket that receives prepared frames."""
 
     frames: list[bytes]
 
@@ -217,11 +217,11 @@
         return self.frames.pop(0) if self.frames else b""
 
     async def send(self, data: bytes) -> None:
-        """Drop what this end says."""
+        """Discard sent data."""
 
 
 def read_handshake(data: bytes) -> None:
-    """Have each end of a handshake hear ``data`` and nothing more; both must refuse it."""
+    """Let each end of a handshake receive only ``data``; both must refuse it."""
     ends: tuple[Callable[[Any], Awaitable[Any]], ...] = (
         lambda socket: open_as_server(socket, KEY, "peer"),
         lambda socket: open_as_client(socket, KEY, "urgent", "peer"),
@@ -229,16 +229,16 @@
     refusals = []
     for end in ends:
         try:
-            asyncio.run(end(Script([data])))  # type: ignore[arg-type]
+            asyncio.run(end(ScriptedSocket([data])))  # type: ignore[arg-type]
         except MarjoramtideError as error:
             refusals.append(error)
     if len(refusals) < len(ends):
-        raise RuntimeError("a handshake without the key was taken")
+        raise RuntimeError("a handshake without the key was accepted")
     raise refusals[0]
 
 
 def read_signed(data: bytes) -> Packet:
-    """Read a datagram that a node with the key has signed, whatever is in it."""
+    """Read a datagram with a valid MAC and arbitrary content."""
     codec = PacketCodec(KEY)
     return codec.decode(codec.mac(data) + data)
 
@@ -269,7 +269,7 @@
 
 
 def read_news(data: bytes) -> None:
-    """Read a bulletin that a node with the key has signed, whatever is in it."""
+    """Read a bulletin with a valid MAC and arbitrary content."""
     codec = BulletinCodec(KEY)
     _, fields = codec.decode(BULLETIN_MAGIC + codec.authenticator.seal(data))
     if is_quarantine_news(fields):
@@ -285,7 +285,7 @@
 
 
 def read_proof(data: bytes) -> None:
-    """Read the answer of a node that is asked for its settings."""
+    """Read a node's response to a query for its settings."""
     message = decode(data)
     if not isinstance(message, ReplyMessage):
         raise MalformedError("no answer")
@@ -293,7 +293,7 @@
 
 
 def read_headers(data: bytes) -> None:
-    """Read a load, a cold and a retry header; what says nothing counts as taken."""
+    """Read a load, a cold-start and a retry header; unusable values count as accepted."""
     text = data.decode("latin-1")
     read_load(text)
     read_cold(text)
@@ -301,11 +301,11 @@
 
 
 def read_statements(data: bytes) -> None:
-    """Read what a server says that it takes; what can't be read counts as refused."""
+    """Read the statement headers of a server; it must not be both accepted and refused."""
     texts = data.decode("latin-1").split(";")
     statement, malformed = STATEMENTS.parse(texts[:1], texts[1:2])
     if malformed and not statement.is_empty and len(malformed) > 1:
-        raise RuntimeError("taken and refused")
+        raise RuntimeError("accepted and refused")
 
 
 def read_epoch(data: bytes) -> None:
@@ -313,23 +313,23 @@
 
 
 async def send(address: str, data: bytes) -> bytes:
-    """Send one input; return what came back until the end, or until nothing more comes."""
+    """Send one input; return the response up to the end of the connection or a silence."""
     host, _, port = address.rpartition(":")
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
         writer.write(data)
-        answer = await read_answer(reader, SILENCE_S)
+        answer = await read_answer(reader, READ_SILENCE_S)
         return answer.data
     finally:
         writer.close()
 
 
-async def serves(node: MeshNode) -> bool:
+async def is_serving(node: MeshNode) -> bool:
     return (await send(node.callers, HTTP[0])).startswith(b"HTTP/1.1 200 ")
 
 
-async def try_http(data: Iterator[bytes], end: float) -> Tally:
-    """Give each input to the callers' port of a real node, and see that it serves on."""
+async def run_http_target(data: Iterator[bytes], end: float) -> Tally:
+    """Send each input to the callers' port of a real node, and check that it still serves."""
     tally = Tally("http")
     with tempfile.TemporaryDirectory() as folder:
         async with Mesh(Path(folder), make_plan({"mapdesk": 1})) as mesh:
@@ -338,11 +338,11 @@
             while time.monotonic() < end and (batch := list(itertools.islice(data, PARALLEL))):
                 answers = await asyncio.gather(*(send(node.callers, item) for item in batch))
                 for item, answer in zip(batch, answers, strict=True):
-                    tally.seen["taken" if b" 200 OK" in answer else "refused"] += 1
+                    tally.outcomes["taken" if b" 200 OK" in answer else "refused"] += 1
                     if b'details="internal"' in answer:
                         tally.fault(item, "internal error")
-            await asyncio.sleep(1.0)  # requests that were left half sent end by their deadline
-            if not await serves(node):
+            await asyncio.sleep(1.0)  # incomplete requests time out by their deadline
+            if not await is_serving(node):
                 tally.fault(b"", "the node does not serve any more")
             assert node.process is not None
             errors = [line for line in node.process.text().splitlines() if '"error"' in line]
@@ -351,32 +351,36 @@
     return tally
 
 
-def draw(seed: int, name: str) -> random.Random:
+def make_rng(seed: int, name: str) -> random.Random:
     return random.Random(f"{seed} {name}")
 
 
 def run(count: int, seed: int) -> list[Tally]:
     """Fuzz each target; the inputs depend on ``seed`` alone."""
-    end = time.monotonic() + LIMIT_S
-    http = inputs(draw(seed, "http"), max(1, count // HTTP_SHARE), *HTTP)
-    return [*run_readers(count, seed, end), asyncio.run(try_http(http, end))]
+    end = time.monotonic() + TIMEOUT_S
+    http = make_inputs(make_rng(seed, "http"), max(1, count // HTTP_SHARE), *HTTP)
+    return [*run_readers(count, seed, end), asyncio.run(run_http_target(http, end))]
 
 
 def run_readers(count: int, seed: int, end: float) -> list[Tally]:
-    """Fuzz what reads bytes without a node around it, until ``end`` on the monotonic clock."""
+    """Fuzz all readers that need no node, until ``end`` on the monotonic clock."""
     packet = PacketCodec(KEY).encode(PACKET)
     frames = (encode(REQUEST), encode(STATING_REQUEST), encode(CreditMessage(1, 2)))
     envelope = cbor2.dumps({"revision": 1, "text": TREE.decode()})
 
-    rng = partial(draw, seed)
+    rng = partial(make_rng, seed)
     hello = cbor2.dumps([b"a" * 16, "urgent"])
     tallies = [
-        try_all("frames", inputs(rng("frames"), count, *frames), read_frame, end),
-        try_all("handshake", inputs(rng("handshake"), count, hello), read_handshake, end),
-        try_all("datagrams", inputs(rng("gossip"), count, packet), PacketCodec(KEY).decode, end),
-        try_all("gossip", inputs(rng("signed"), count, packet[16:]), read_signed, end),
-        try_all("settings", inputs(rng("settings"), count, TREE), read_tree, end),
-        try_all("envelopes", inputs(rng("envelopes"), count, envelope), decode_envelope, end),
+        run_target("frames", make_inputs(rng("frames"), count, *frames), read_frame, end),
+        run_target("handshake", make_inputs(rng("handshake"), count, hello), read_handshake, end),
+        run_target(
+            "datagrams", make_inputs(rng("gossip"), count, packet), PacketCodec(KEY).decode, end
+        ),
+        run_target("gossip", make_inputs(rng("signed"), count, packet[16:]), read_signed, end),
+        run_target("settings", make_inputs(rng("settings"), count, TREE), read_tree, end),
+        run_target(
+            "envelopes", make_inputs(rng("envelopes"), count, envelope), decode_envelope, end
+        ),
     ]
     suspicion = SuspectReport(7, (ServerCrash(1, 0.5, 0.1),), (2,), 1.0)
     (fields,) = pack_news([suspicion])
@@ -384,7 +388,7 @@
     evacuated = StoreNews(1, EvacuationSnapshot(7, frozenset(("a",)), (("b", 3.0),)))
     record = ClaimRecord("a", "n", "d", ClaimState.HELD, 5.0)
     claim = record.encode()
-    foreign: dict[str, tuple[Callable[[bytes], Any], bytes]] = {
+    readers: dict[str, tuple[Callable[[bytes], Any], bytes]] = {
         "heartbeats": (read_heartbeat, HEARTBEAT),
         "departures": (lambda data: read_departure(read_json(data)), b'{"born":1764731292000}'),
         "objects": (read_page, PAGE),
@@ -406,8 +410,8 @@
         "runs": (lambda data: read_runs(decode(data)), encode(RunsMessage("n", [[1, 2]], [3]))),
     }
     tallies += [
-        try_all(name, inputs(rng(name), count, sound), read, end)
-        for name, (read, sound) in foreign.items()
+        run_target(name, make_inputs(rng(name), count, valid), read, end)
+        for name, (read, valid) in readers.items()
     ]
     return tallies
 
@@ -422,7 +426,7 @@
         print(tally.line())
     faults = [fault for tally in tallies for fault in tally.faults]
     print(*faults[:20], sep="\n", end="\n" if faults else "")
-    total = sum(sum(tally.seen.values()) for tally in tallies)
+    total = sum(sum(tally.outcomes.values()) for tally in tallies)
     print(f"fuzz: seed {options.seed}, {total} inputs, {len(faults)} faults")
     return 1 if faults else 0
 
--- a/bench/limits/__init__.py
+++ b/bench/limits/__init__.py
@@ -1,4 +1,4 @@
-"""Real nodes beside backend servers that name limits and leave."""
+"""Tests real nodes beside backend servers that announce rate limits and leave."""
 
 from bench.limits._limit_plan import LimitPlan, draw_plan
 from bench.limits._limit_tally import LimitTally
@@ -10,7 +10,7 @@
     fullest_window,
 )
 from bench.limits._lookups import LookupResponse, Lookups
-from bench.limits._play import play_limits
+from bench.limits._play import run_limit_test
 
 __all__ = [
     "AnnouncedRate",
@@ -23,5 +23,5 @@
     "allowed_between",
     "draw_plan",
     "fullest_window",
-    "play_limits",
+    "run_limit_test",
 ]
--- a/bench/limits/_fleet.py
+++ b/bench/limits/_fleet.py
@@ -1,4 +1,4 @@
-"""Real nodes on the platform's interface, beside stand-ins in the process of the play."""
+"""Real node processes with the platform interface, beside stand-ins in this process."""
 
 import asyncio
 import time
@@ -24,7 +24,7 @@
 SERVICE = "mapdesk"
 SLOTS = 18
 HEARTBEAT_S = 1.5
-READY_S = 20.0
+READY_TIMEOUT_S = 20.0
 TIMEOUT_MS = 1500
 PORTS = ("callers", "peers", "gossip", "operators", "readiness", "registration")
 ROUTE = {
@@ -41,8 +41,8 @@
 
 
 @attrs.define(slots=True, eq=False)
-class LimitSeat:
-    """A node as a process, and the server beside it."""
+class NodeHost:
+    """A node process and the backend server beside it."""
 
     name: str
     settings: dict[str, Any]
@@ -52,7 +52,7 @@
 
 
 class LimitFleet:
-    """A store, servers and nodes; all of it ends with the block."""
+    """A store, servers and nodes, which are stopped at the end of the block."""
 
     def __init__(self, folder: Path, nodes: int, service_ms: float) -> None:
         self.folder = folder
@@ -61,8 +61,8 @@
         self.host = loopback_host()
         self.store = PlatformStoreServer()
         self.runner = web.AppRunner(self.store.app(), access_log=None, shutdown_timeout=0.2)
-        self.seats: list[LimitSeat] = []
-        self.beats: list[asyncio.Task[None]] = []
+        self.hosts: list[NodeHost] = []
+        self.heartbeat_tasks: list[asyncio.Task[None]] = []
         self.session: aiohttp.ClientSession | None = None
 
     async def __aenter__(self) -> Self:
@@ -70,16 +70,18 @@
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
         self.configure()
         for number in range(self.nodes):
-            self.seats.append(await self.make_seat(number, await self.open_store()))
-        await asyncio.gather(*(self.start(each) for each in self.seats))
-        self.beats = [asyncio.create_task(self.beat(each)) for each in self.seats]
-        await asyncio.gather(*(self.wait_ready(each) for each in self.seats))
+            self.hosts.append(await self.make_host(number, await self.open_store()))
+        await asyncio.gather(*(self.start(each) for each in self.hosts))
+        self.heartbeat_tasks = [
+            asyncio.create_task(self.send_heartbeats(each)) for each in self.hosts
+        ]
+        await asyncio.gather(*(self.wait_ready(each) for each in self.hosts))
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        for beat in self.beats:
-            beat.cancel()
-        for each in self.seats:
+        for send_heartbeats in self.heartbeat_tasks:
+            send_heartbeats.cancel()
+        for each in self.hosts:
             if each.process is not None:
                 await each.process.kill()
             await each.server.close()
@@ -92,7 +94,7 @@
     version = 4
 
     def specification(self) -> dict[str, Any]:
-        """Return the operator's configuration."""
+        """Return the configuration that operators write to the store."""
         limits = {"MaxHeaderBytes": 16384, "MaxBodyBytes": 1 << 20}
         service = {"Name": SERVICE, "HealthPath": "/health", "MaxConns": 220}
         return {
@@ -103,15 +105,15 @@
         }
 
     def configure(self) -> None:
-        """Write the configuration as the operator does."""
+        """Write the configuration to the store as operators do."""
         self.store.state.put("config", "main", Specification=self.specification())
 
     async def open_store(self) -> str:
-        """Return a new address of the store, so that it can tell one node from the others."""
+        """Return a new address of the store, which identifies one node to the store."""
         await web.TCPSite(self.runner, self.host, 0).start()
         return "http://{}:{}".format(*self.runner.addresses[-1][:2])
 
-    async def make_seat(self, number: int, store: str) -> LimitSeat:
+    async def make_host(self, number: int, store: str) -> NodeHost:
         server = await start_platform_backend(self.host, service_ms=self.service_ms, slots=SLOTS)
         server.instance = f"i-{number}"
         addresses = {port: f"{self.host}:{free_port(self.host)}" for port in PORTS}
@@ -128,50 +130,50 @@
             "bounds": list(self.bounds),
         }
         registrant = Registrant(addresses["registration"], SERVICE, server.name, SLOTS)
-        return LimitSeat(f"node-{number}", settings, server, registrant)
+        return NodeHost(f"node-{number}", settings, server, registrant)
 
-    async def start(self, seat: LimitSeat) -> None:
-        """Start the node of a seat."""
-        path = self.folder / f"{seat.name}.toml"
-        path.write_text(tomlkit.dumps(seat.settings))
+    async def start(self, host: NodeHost) -> None:
+        """Start the node process of a host."""
+        path = self.folder / f"{host.name}.toml"
+        path.write_text(tomlkit.dumps(host.settings))
         arguments = ["marjoramtide.daemon.main", "--settings", str(path)]
-        seat.process = await start_process(seat.name, arguments, self.folder)
+        host.process = await start_process(host.name, arguments, self.folder)
 
-    async def beat(self, seat: LimitSeat) -> None:
-        """Send the heartbeats of a server, which always say that it is ready."""
+    async def send_heartbeats(self, host: NodeHost) -> None:
+        """Send heartbeats of a server, always with the state ready."""
         while True:
             try:
                 async with asyncio.timeout(1.0):
-                    await seat.registrant.heartbeat(seat.server.instance)
+                    await host.registrant.heartbeat(host.server.instance)
             except (OSError, TimeoutError, aiohttp.ClientError):
-                pass  # the node is down, or stopped
+                pass  # the node is down or suspended
             await asyncio.sleep(HEARTBEAT_S)
 
-    async def wait_ready(self, seat: LimitSeat) -> None:
-        """Wait until callers may be sent to a node."""
+    async def wait_ready(self, host: NodeHost) -> None:
+        """Wait until a node reports readiness for callers."""
         assert self.session is not None
-        ends = time.monotonic() + READY_S
-        while time.monotonic() < ends:
+        ends_at = time.monotonic() + READY_TIMEOUT_S
+        while time.monotonic() < ends_at:
             try:
                 async with self.session.get(
-                    f"http://{seat.settings['readiness']}/readiness"
+                    f"http://{host.settings['readiness']}/readiness"
                 ) as response:
                     if response.status == 200:
                         return
             except aiohttp.ClientError:
                 pass  # not listening yet
             await asyncio.sleep(0.05)
-        raise TimeoutError(f"{seat.name} takes no callers after {READY_S} s")
+        raise TimeoutError(f"{host.name} is not ready after {READY_TIMEOUT_S} s")
 
     async def send(self, turn: int, attempt: str, key: str = "") -> LookupResponse:
-        """Send a lookup through a node, with a caller's key where there is one."""
+        """Send a lookup through a node, with a caller's key if one is given."""
         assert self.session is not None
         headers = {
             "Host": HOST_NAME,
             "X-Attempt-Id": attempt,
             "X-Deadline-Ms": str(TIMEOUT_MS),
         } | ({"Authorization": f"Token {key}"} if key else {})
-        url = f"http://{self.seats[turn].settings['callers']}/tiles/{attempt}"
+        url = f"http://{self.hosts[turn].settings['callers']}/tiles/{attempt}"
         async with (
             asyncio.timeout(2 * TIMEOUT_MS / 1000),
             self.session.get(url, headers=headers) as response,
--- a/bench/limits/_limit_plan.py
+++ b/bench/limits/_limit_plan.py
@@ -1,4 +1,4 @@
-"""What one play of servers that name limits consists of."""
+"""Random plans of a test with servers that announce rate limits."""
 
 import math
 import random
@@ -10,12 +10,12 @@
 FIRST_S = 3.0
 SHAPES = ("one", "some", "all")
 EVENTS = ("kill", "freeze", "store")
-LEAST_PER_S, MOST_PER_S = 0.5, 12.0
+MIN_PER_S, MAX_PER_S = 0.5, 12.0
 
 
 @attrs.frozen(slots=True)
 class LimitChange:
-    """From a time on, in seconds, the limited servers name another rate; ``None`` for none."""
+    """From ``at_s`` on the limited servers announce another rate, ``None`` for no limit."""
 
     at_s: float
     per_s: float | None
@@ -23,7 +23,7 @@
 
 @attrs.frozen(slots=True)
 class NodeEvent:
-    """A node is killed and started, stopped for ``for_s``, or the store is away for so long."""
+    """A node is restarted or suspended, or the store is down, for ``for_s`` seconds."""
 
     at_s: float
     kind: str
@@ -33,10 +33,10 @@
 
 @attrs.frozen(slots=True)
 class LimitPlan:
-    """A fleet of ``nodes`` nodes whose first ``limited`` servers name a limit.
+    """A fleet of ``nodes`` nodes whose first ``limited`` servers announce a rate limit.
 
-    ``flickers`` where each answer names it or doesn't, by chance, for a second at each change.
-    ``leaves_at_s`` is when the last server says that it leaves, ``None`` where none does.
+    With ``flickers`` responses announce the old or the new limit at random for a second after each
+    change. ``leaves_at_s`` is when the last server announces that it leaves, ``None`` for never.
     """
 
     seed: int
@@ -53,7 +53,7 @@
 
 
 def draw_plan(seed: int, shape: str, *, with_events: bool = True) -> LimitPlan:
-    """Return the plan of a seed, with one, some or all servers limited."""
+    """Return the plan of a seed; ``shape`` tells whether one, some or all servers are limited."""
     rng = random.Random(f"{seed} {shape}")
     limited = {"one": 1, "some": 3, "all": NODES}[shape]
     return LimitPlan(
@@ -68,7 +68,7 @@
 
 
 def draw_changes(rng: random.Random) -> tuple[LimitChange, ...]:
-    """Return a limit that stays, rises, falls or ends."""
+    """Return a limit that stays, rises, falls or is withdrawn."""
     rate = draw_rate(rng)
     first = LimitChange(FIRST_S, rate)
     match rng.choice(("stays", "rises", "falls", "ends")):
@@ -82,12 +82,12 @@
 
 
 def draw_rate(rng: random.Random) -> float:
-    spread = math.log(MOST_PER_S / LEAST_PER_S)
-    return round(LEAST_PER_S * math.exp(rng.random() * spread), 2)
+    log_range = math.log(MAX_PER_S / MIN_PER_S)
+    return round(MIN_PER_S * math.exp(rng.random() * log_range), 2)
 
 
 def draw_events(rng: random.Random) -> tuple[NodeEvent, ...]:
-    """Return up to three events; the first one strikes beside the first, limited server."""
+    """Return up to three events; the first one affects the first node, whose server is limited."""
     times = sorted(rng.uniform(FIRST_S, SECONDS - 4) for _ in range(rng.randint(1, 3)))
     return tuple(
         NodeEvent(at, rng.choice(EVENTS), rng.randrange(NODES) if number else 0, rng.uniform(1, 3))
--- a/bench/limits/_limit_tally.py
+++ b/bench/limits/_limit_tally.py
@@ -1,4 +1,4 @@
-"""What came of one play of servers that name limits."""
+"""The result of a test with servers that announce rate limits."""
 
 from collections import Counter
 
@@ -11,10 +11,11 @@
 
 @attrs.frozen(slots=True)
 class LimitTally:
-    """The fullest window of any limited server, and what callers got.
+    """The fullest window of any limited server, and the callers' responses.
 
-    ``late`` is what a leaving server got though its node had passed its word on two seconds before.
-    ``used`` is the share of what the limits offered that the limited servers ran.
+    ``late`` counts requests to a leaving server that started at a node more than two seconds after
+    the node had passed on the announcement. ``used`` is the share of the allowed requests that the
+    limited servers ran.
     """
 
     worst: FullestWindow | None
@@ -29,7 +30,7 @@
         return self.late == 0 and (self.worst is None or self.worst.is_within)
 
     def line(self) -> str:
-        """Return it for people."""
+        """Return the result as a line of text."""
         worst = "none binds"
         if self.worst is not None:
             worst = f"{self.worst.count:3} of {self.worst.allowed:5.1f}"
--- a/bench/limits/_limit_watch.py
+++ b/bench/limits/_limit_watch.py
@@ -1,22 +1,22 @@
-"""Whether a backend server got no more than the limit that it had named allows."""
+"""Checks whether a backend server got more requests than its announced rate limit allows."""
 
 import bisect
 from collections.abc import Iterable, Mapping, Sequence
 
 import attrs
 
-# A limit binds from so long after it was first named, in seconds.
+# Time after the first announcement from which a limit is enforced.
 GRACE_S = 3.0
 WINDOW_S = 4.0
 EXCESS = 1.5
 SLACK = 5
-# A node is bound by an answer that it passed on so long before, in seconds.
-TOLD_S = 0.5
+# Time after a node passed on the announcement from which the node must keep to the limit.
+NOTIFICATION_GRACE_S = 0.5
 
 
 @attrs.frozen(slots=True)
 class AnnouncedRate:
-    """What a server names from a time on, in requests a second; ``None`` for no limit."""
+    """The rate limit per second that a server announces from ``at`` on; ``None`` for no limit."""
 
     at: float
     per_s: float | None
@@ -24,7 +24,7 @@
 
 @attrs.frozen(slots=True)
 class ReceivedRequest:
-    """A request that reached a server, and the node at which it began."""
+    """A request that reached a server, and the node through which it entered."""
 
     at: float
     entry: str
@@ -32,7 +32,7 @@
 
 @attrs.frozen(slots=True)
 class FullestWindow:
-    """The window that comes closest to what is allowed, or exceeds it by most."""
+    """The window with the largest excess over the allowed number of requests."""
 
     count: int
     allowed: float
@@ -47,37 +47,44 @@
         return self.excess <= 0
 
 
-def allowed_between(rates: Sequence[AnnouncedRate], begins: float, ends: float) -> float:
-    """Return what the limits in force between two times allow, all the excess included.
+def allowed_between(rates: Sequence[AnnouncedRate], starts_at: float, ends_at: float) -> float:
+    """Return the number of requests that the limits allow between two times, tolerance included.
 
-    Before the first one as much as the first one.
+    The first limit counts also for the time before it.
     """
     total = 0.0
     starts = [-float("inf"), *(rate.at for rate in rates[1:]), float("inf")]
     for rate, since, until in zip(rates, starts, starts[1:], strict=False):
-        seconds = max(0.0, min(ends, until) - max(begins, since))
+        seconds = max(0.0, min(ends_at, until) - max(starts_at, since))
         total += seconds * (float("inf") if rate.per_s is None and seconds else rate.per_s or 0.0)
     return EXCESS * total + SLACK
 
 
 def fullest_window(
-    rates: Sequence[AnnouncedRate], requests: Iterable[ReceivedRequest], told: Mapping[str, float]
+    rates: Sequence[AnnouncedRate],
+    requests: Iterable[ReceivedRequest],
+    notified_at: Mapping[str, float],
 ) -> FullestWindow | None:
-    """Return the window that exceeds its limit by most, ``None`` where none binds.
+    """Return the window that exceeds its limit most, ``None`` if no limit is enforced.
 
-    ``told`` is when each node had first passed on an answer that named the limit. A node that was
-    started anew, stopped or cut off counts as another one from then on.
+    ``notified_at`` is when each node first passed on a response that announced the limit. A node
+    that was restarted, suspended or partitioned counts as another node from then on.
     """
-    binding = rates[0].at + GRACE_S
-    counted = sorted((each for each in requests if each.entry in told), key=lambda each: each.at)
-    times = [each.at for each in counted]
+    binding_at = rates[0].at + GRACE_S
+    considered = sorted(
+        (each for each in requests if each.entry in notified_at), key=lambda each: each.at
+    )
+    times = [each.at for each in considered]
     windows = []
-    for last, request in enumerate(counted):
-        ends = request.at
-        allowed = allowed_between(rates, ends - WINDOW_S, ends)
-        if ends < binding or allowed == float("inf"):
+    for last, request in enumerate(considered):
+        ends_at = request.at
+        allowed = allowed_between(rates, ends_at - WINDOW_S, ends_at)
+        if ends_at < binding_at or allowed == float("inf"):
             continue
-        first = bisect.bisect_right(times, ends - WINDOW_S)
-        count = sum(told[each.entry] + TOLD_S <= ends for each in counted[first : last + 1])
-        windows.append(FullestWindow(count, allowed, ends))
+        first = bisect.bisect_right(times, ends_at - WINDOW_S)
+        count = sum(
+            notified_at[each.entry] + NOTIFICATION_GRACE_S <= ends_at
+            for each in considered[first : last + 1]
+        )
+        windows.append(FullestWindow(count, allowed, ends_at))
     return max(windows, key=lambda each: each.excess, default=None)
--- a/bench/limits/_lookups.py
+++ b/bench/limits/_lookups.py
@@ -1,4 +1,4 @@
-"""Lookups that come evenly through all nodes of a fleet."""
+"""Sends lookups at an even rate through all nodes of a fleet."""
 
 import asyncio
 import itertools
@@ -13,7 +13,7 @@
 
 @attrs.frozen(slots=True)
 class LookupResponse:
-    """What a caller got."""
+    """The response to a caller."""
 
     status: int
     headers: Mapping[str, str]
@@ -21,7 +21,7 @@
 
 @attrs.frozen(slots=True)
 class Lookup:
-    """A lookup with its answer, the run of a node at which it began, and when, in seconds."""
+    """A completed lookup; ``entry`` is the run of the node that received it."""
 
     attempt: str
     entry: str
@@ -31,68 +31,68 @@
 
 
 Send = Callable[[int, str], Awaitable[LookupResponse]]
-"""Sends a lookup with an attempt's id through the node of a number."""
+"""Sends a lookup with an attempt id through the node with a number."""
 
 
 @attrs.define(slots=True, eq=False)
 class Lookups:
-    """Sends lookups in turn through ``nodes`` nodes, and keeps what becomes of each.
+    """Sends lookups in turn through ``nodes`` nodes, and records the responses.
 
-    A node that is started anew or stopped is another one to whoever judges by what it has passed
-    on, so ``entered_anew`` gives it another name. Nothing is sent through nodes that are ``down``.
+    A node that was restarted or suspended may have lost what it had learnt, so ``start_new_run``
+    gives it another name. Nothing is sent through nodes that are ``down``.
     """
 
     nodes: int
     send: Send
     completed: list[Lookup] = attrs.Factory(list)
     sent: dict[str, tuple[str, float]] = attrs.Factory(dict)
-    calls: list["asyncio.Task[None]"] = attrs.Factory(list)
+    tasks: list["asyncio.Task[None]"] = attrs.Factory(list)
     runs: dict[int, int] = attrs.Factory(dict)
     down: set[int] = attrs.Factory(set)
     lost: int = 0
 
     async def send_at_rate(self, per_s: float) -> None:
-        """Send so many a second until cancelled."""
-        began = time.monotonic()
+        """Send ``per_s`` lookups per second until cancelled."""
+        started_at = time.monotonic()
         for number in itertools.count():
-            await asyncio.sleep(max(0.0, began + number / per_s - time.monotonic()))
+            await asyncio.sleep(max(0.0, started_at + number / per_s - time.monotonic()))
             if (turn := number % self.nodes) not in self.down:
-                self.calls.append(asyncio.create_task(self.call(turn, number)))
+                self.tasks.append(asyncio.create_task(self.send_one(turn, number)))
 
-    async def call(self, turn: int, number: int) -> None:
-        """Send one, and keep its answer; one that its node took with it is counted as lost."""
-        attempt, entry, began = f"{number:016x}", self.entry(turn), time.monotonic()
-        self.sent[attempt] = entry, began
+    async def send_one(self, turn: int, number: int) -> None:
+        """Send one lookup and record its response; without one it counts as lost."""
+        attempt, entry, started_at = f"{number:016x}", self.entry(turn), time.monotonic()
+        self.sent[attempt] = entry, started_at
         try:
             response = await self.send(turn, attempt)
         except (OSError, TimeoutError):
             self.lost += 1
             return
-        self.completed.append(Lookup(attempt, entry, began, time.monotonic(), response))
+        self.completed.append(Lookup(attempt, entry, started_at, time.monotonic(), response))
 
     async def wait_for_responses(self) -> None:
-        """Wait for the answers to all that was sent."""
-        await asyncio.gather(*self.calls, return_exceptions=True)
+        """Wait for the responses to all lookups."""
+        await asyncio.gather(*self.tasks, return_exceptions=True)
 
     def entry(self, turn: int) -> str:
-        """Return the name of a node's present run."""
+        """Return the name of the current run of a node."""
         return f"{turn}#{self.runs.get(turn, 0)}"
 
     def start_new_run(self, turn: int) -> None:
-        """Take a node for another one from now on."""
+        """Count a node as another one from now on."""
         self.runs[turn] = self.runs.get(turn, 0) + 1
 
     def first_notified_at(self, server: PlatformBackendServer, header: str) -> dict[str, float]:
-        """Return when each node had first passed on an answer of a server with a header."""
-        ran = {each.attempt for each in server.received}
-        found: dict[str, float] = {}
+        """Return when each node first passed on a response of a server with a header."""
+        received = {each.attempt for each in server.received}
+        first: dict[str, float] = {}
         for each in self.completed:
-            if each.attempt in ran and header in each.response.headers:
-                found[each.entry] = min(each.ended_at, found.get(each.entry, each.ended_at))
-        return found
+            if each.attempt in received and header in each.response.headers:
+                first[each.entry] = min(each.ended_at, first.get(each.entry, each.ended_at))
+        return first
 
     def requests_at(self, server: PlatformBackendServer) -> list[ReceivedRequest]:
-        """Return what a server got, with the run of a node at which each request began."""
+        """Return the requests that a server got, with the run of the node each entered through."""
         return [
             ReceivedRequest(each.at, self.sent[each.attempt][0])
             for each in server.received
@@ -102,7 +102,7 @@
     def late_at(
         self, server: PlatformBackendServer, first_notified_at: Mapping[str, float], after_s: float
     ) -> list[str]:
-        """Return what a server got though it began later than ``after_s`` after a node was told."""
+        """Return requests a server got that started over ``after_s`` after a notification."""
         return [
             each.attempt
             for each in server.received
@@ -112,5 +112,5 @@
     def _is_late(
         self, attempt: str, first_notified_at: Mapping[str, float], after_s: float
     ) -> bool:
-        entry, began = self.sent[attempt]
-        return began > first_notified_at.get(entry, float("inf")) + after_s
+        entry, started_at = self.sent[attempt]
+        return started_at > first_notified_at.get(entry, float("inf")) + after_s
--- a/bench/memory_store.py
+++ b/bench/memory_store.py
@@ -1,4 +1,4 @@
-"""A store in memory, for measurements that are not about the store."""
+"""An in-memory object store, for measurements that don't concern the store."""
 
 from collections.abc import AsyncIterator
 
@@ -7,7 +7,7 @@
 
 
 class MemoryStore(ObjectStore):
-    """Answers at once and never fails; ``watch`` is not offered."""
+    """Responds immediately and never fails; doesn't support ``watch``."""
 
     def __init__(self) -> None:
         self.objects: dict[str, StoredObject] = {}
--- a/bench/model/_experiment.py
+++ b/bench/model/_experiment.py
@@ -64,7 +64,7 @@
     """
     with ProcessPoolExecutor(processes, initializer=begin) as pool:
         for number, run in enumerate(pool.map(run_job, jobs), 1):
-            print(f"\r{number} of {len(jobs)} played", end="", file=sys.stderr, flush=True)
+            print(f"\r{number} of {len(jobs)} simulated", end="", file=sys.stderr, flush=True)
             yield run
     print(file=sys.stderr)
 
--- a/bench/processor/__init__.py
+++ b/bench/processor/__init__.py
@@ -1,1 +1,1 @@
-"""Where a node's processor time goes: ``python -m bench.processor``."""
+"""Measures the CPU time of a node by cause: ``python -m bench.processor``."""
--- a/bench/quarantine/__init__.py
+++ b/bench/quarantine/__init__.py
@@ -1,20 +1,25 @@
-"""Plays the quarantine of a fleet without a network, in virtual time.
+"""Simulates the quarantine of a fleet in virtual time, without a network.
 
-Real ``QuarantineService`` objects tell each other bulletins that take time and get lost. ``spread``
-measures until when all nodes hold a request back; ``play`` lets servers end, by a request or of
-themselves, and counts what becomes of all others.
+Real ``QuarantineService`` objects exchange bulletins that are delayed and may be lost.
+``measure_spread`` measures how soon all nodes hold a request back. ``simulate_quarantine`` crashes
+servers, by a guilty request or at random, and counts the outcomes of all requests.
 """
 
 from bench.quarantine._news_network import BulletinNetwork
-from bench.quarantine._play import PlayedFleet, QuarantinePlan, Tally, simulate_quarantine
+from bench.quarantine._play import (
+    QuarantinePlan,
+    QuarantineTally,
+    SimulatedFleet,
+    simulate_quarantine,
+)
 from bench.quarantine._spread import SpreadResult, measure_spread
 
 __all__ = [
     "BulletinNetwork",
-    "PlayedFleet",
     "QuarantinePlan",
+    "QuarantineTally",
+    "SimulatedFleet",
     "SpreadResult",
-    "Tally",
     "measure_spread",
     "simulate_quarantine",
 ]
--- a/bench/quarantine/__main__.py
+++ b/bench/quarantine/__main__.py
@@ -1,4 +1,4 @@
-"""Prints how soon a fleet holds a guilty request back, and what that costs innocent ones."""
+"""Prints how soon a fleet holds a guilty request back, and the cost for innocent requests."""
 
 import argparse
 import logging
@@ -7,7 +7,7 @@
 import attrs
 import structlog
 
-from bench.quarantine import QuarantinePlan, Tally, measure_spread, simulate_quarantine
+from bench.quarantine import QuarantinePlan, QuarantineTally, measure_spread, simulate_quarantine
 
 SIZES = (12, 69, 195)
 PLANS = {
@@ -30,7 +30,7 @@
 
 
 def quantile(values: Iterable[float], share: float) -> float:
-    """Return a quantile of a few values."""
+    """Return a quantile of ``values``, without interpolation."""
     ordered = sorted(values)
     return ordered[min(len(ordered) - 1, int(share * len(ordered)))]
 
@@ -39,19 +39,19 @@
     print("nodes  loss  all know after: p50 ms  p99 ms  most ms   datagrams an end  bytes an end")
     for size in sizes:
         for loss in (0.0, 0.03):
-            found = [measure_spread(size, seed, loss) for seed in range(seeds)]
-            times = [each.seconds * 1000 for each in found]
+            results = [measure_spread(size, seed, loss) for seed in range(seeds)]
+            times = [each.seconds * 1000 for each in results]
             middle, late = quantile(times, 0.5), quantile(times, 0.99)
             print(
                 f"{size:5}  {loss:.2f}  {middle:22.0f}  {late:6.0f}  {max(times):7.0f}  "
-                f"{found[0].datagrams_per_crash:17.0f}  {found[0].bytes_per_crash:12.0f}"
+                f"{results[0].datagrams_per_crash:17.0f}  {results[0].bytes_per_crash:12.0f}"
             )
 
 
-def added(tallies: Sequence[Tally]) -> Tally:
-    """Return the sum of several plays."""
+def add_up(tallies: Sequence[QuarantineTally]) -> QuarantineTally:
+    """Return the sum of several tallies."""
     rows = [attrs.astuple(each) for each in tallies]
-    return Tally(*(sum(column) for column in zip(*rows, strict=True)))
+    return QuarantineTally(*(sum(column) for column in zip(*rows, strict=True)))
 
 
 def print_plays(seeds: int) -> None:
@@ -62,11 +62,11 @@
     for name, plan in PLANS.items():
         for after in (0, 2, 3):
             plans = [attrs.evolve(plan, quarantine_after=after, seed=seed) for seed in range(seeds)]
-            tally = added([simulate_quarantine(each) for each in plans])
+            tally = add_up([simulate_quarantine(each) for each in plans])
             print(
                 f"{name:32} {after:5}  {tally.asked:6}  {tally.served / tally.asked:7.4f}  "
                 f"{tally.failed:7}  {tally.held:5}  {tally.common_held:10}  "
-                f"{tally.guilty_crashes} of {tally.ends}"
+                f"{tally.guilty_crashes} of {tally.crashes}"
             )
 
 
--- a/bench/quarantine/_news_network.py
+++ b/bench/quarantine/_news_network.py
@@ -1,4 +1,4 @@
-"""Nodes' quarantines, and bulletins between them."""
+"""Quarantine services of many nodes, and the simulated bulletins between them."""
 
 import asyncio
 import random
@@ -15,15 +15,15 @@
 
 SERVICE = "mapdesk"
 KEY = "a key for played fleets"
-# What a datagram carries besides the fields: mark, code, sender and the frame of a list.
+# Bytes of a datagram besides the fields: prefix, MAC, sender and list header.
 ENVELOPE_BYTES = 4 + 16 + 9 + 2
 DELAY_S = (0.0005, 0.003)
 
 
 class BulletinNetwork:
-    """One quarantine for each node of a service; ``loss`` of all datagrams never arrive.
+    """One quarantine per node of a service; a share ``loss`` of the datagrams is lost.
 
-    Nodes in ``cut`` neither hear nor are heard. ``sent`` and ``sent_bytes`` count datagrams.
+    Nodes in ``partitioned`` neither send nor receive. ``sent`` and ``sent_bytes`` count datagrams.
     """
 
     def __init__(self, size: int, seed: int = 1, loss: float = 0.0) -> None:
@@ -38,7 +38,7 @@
         self.tasks = [asyncio.ensure_future(node.run()) for node in self.nodes]
 
     def make_node(self, number: int) -> QuarantineService:
-        """Return the quarantine of a node that knows nothing yet."""
+        """Return the quarantine of a newly started node."""
         directory = ModelDirectory(self.members[number], lambda node: None)
         for member in self.members:
             directory.apply_update(member)
@@ -57,7 +57,7 @@
         )
 
     def restart(self, number: int) -> None:
-        """Have a node lose all it knew."""
+        """Restart a node without its state."""
         self.tasks[number].cancel()
         self.nodes[number] = self.make_node(number)
         self.tasks[number] = asyncio.ensure_future(self.nodes[number].run())
@@ -78,7 +78,7 @@
         self.nodes[target].take(self.members[sender], fields)
 
     def count_holding(self, fingerprint: int) -> int:
-        """Return how many nodes hold a request back."""
+        """Return the number of nodes that hold a request back."""
         now = self.loop.time()
         return sum(
             any(each.fingerprint == fingerprint for each in node.policy.held(now))
@@ -86,13 +86,13 @@
         )
 
     def close(self) -> None:
-        """End all tasks."""
+        """Cancel all tasks."""
         for task in self.tasks:
             task.cancel()
 
 
 def make_member(number: int) -> Member:
-    """Return the member of a node that is named by its number."""
+    """Return a member whose name is its number."""
     address = f"10.0.{number // 250}.{number % 250 + 1}:7104"
     return Member(
         str(number), SERVICE, "viti-west", "nadi-hall", address, address, address, MemberState.READY
--- a/bench/quarantine/_play.py
+++ b/bench/quarantine/_play.py
@@ -1,4 +1,4 @@
-"""Servers that end, by a request or of themselves, and what becomes of all other requests."""
+"""Simulates servers that crash, by a guilty request or at random, and the other requests."""
 
 import asyncio
 import random
@@ -15,22 +15,23 @@
 from marjoramtide.settings import RouteSettings
 
 GUILTY = "/guilty"
-HOP_S = 0.001
-# How soon a node knows that nobody listens after a connection has ended.
-NOTICED_S = 0.002
+LATENCY_S = 0.001
+# Time from a lost connection until the node knows that its server refuses connections.
+DETECTION_S = 0.002
 SLOTS = 18
-CALLER_WAITS_S = 0.3
+RETRY_DELAY_S = 0.3
 NO_BODY: RequestBody = inline_body()
 
 
 @attrs.frozen(slots=True)
 class QuarantinePlan:
-    """A service of ``servers``, with ``per_s`` requests a second of ``work_s`` on the mean.
+    """A service of ``servers`` servers and ``per_s`` requests per second of mean work ``work_s``.
 
-    ``common`` of them ask for one of ``pages`` pages, the others for something of their own. The
-    guilty request comes ``guilty_per_s`` times a second from ``guilty_from_s`` on, and ends a
-    server after ``deadly_s``. Every ``loss_every_s`` seconds a ``loss_share`` of the servers ends
-    at one moment. Servers are back after ``back_s``.
+    A share ``common_share`` of the requests is for one of ``pages`` pages, each other one for a
+    path of its own. The guilty request arrives ``guilty_per_s`` times a second from
+    ``guilty_from_s`` on, and crashes a server after ``deadly_s``. Every ``crash_every_s`` seconds
+    a share ``crash_share`` of the servers crashes at the same time. Servers restart after
+    ``restart_s``.
     """
 
     servers: int = 6
@@ -51,31 +52,31 @@
 
 
 @attrs.define(slots=True)
-class Tally:
-    """What became of the requests; the guilty ones are counted apart."""
+class QuarantineTally:
+    """Outcomes of the requests; guilty requests count only in ``guilty_sent``."""
 
     asked: int = 0
     served: int = 0
     held: int = 0
     failed: int = 0
     common_held: int = 0
-    ends: int = 0
+    crashes: int = 0
     guilty_crashes: int = 0
-    guilty_asked: int = 0
+    guilty_sent: int = 0
 
 
-class PlayedServer:
-    """A backend server: what it runs, and whether it is up."""
+class SimulatedServer:
+    """A simulated backend server with its running requests."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self.loop = loop
-        self.up = True
+        self.is_up = True
         self.runs: dict[int, tuple[InFlightRequest, asyncio.Future[bool]]] = {}
-        self.watch = CrashDetector()
+        self.crash_detector = CrashDetector()
 
 
-class PlayedFleet:
-    """Places requests at random on servers that are up and have room."""
+class SimulatedFleet:
+    """Sends requests to random servers that are up and have a free slot."""
 
     def __init__(self, plan: QuarantinePlan) -> None:
         self.plan = plan
@@ -84,58 +85,58 @@
         self.network = BulletinNetwork(plan.servers, plan.seed, plan.bulletin_loss)
         for node in self.network.nodes:
             node.configure(RouteSettings(quarantine_after=plan.quarantine_after))
-        self.servers = [PlayedServer(self.loop) for _ in range(plan.servers)]
-        self.tally = Tally()
+        self.servers = [SimulatedServer(self.loop) for _ in range(plan.servers)]
+        self.tally = QuarantineTally()
         self.reasons: Counter[str] = Counter()
-        self.tickets = 0
+        self.last_run_id = 0
         self.tasks: set[asyncio.Task[None]] = set()
 
-    async def play(self) -> Tally:
-        """Play the plan and return what became of its requests."""
-        ends = self.loop.time() + self.plan.seconds
-        arrivals = [self.arrive(self.plan.per_s, self.ordinary, ends)]
+    async def run_all(self) -> QuarantineTally:
+        """Run the simulation and return the outcomes of its requests."""
+        ends_at = self.loop.time() + self.plan.seconds
+        arrivals = [self.generate_requests(self.plan.per_s, self.innocent_path, ends_at)]
         if self.plan.guilty_per_s:
-            arrivals.append(self.ask_for_guilty(ends))
+            arrivals.append(self.send_guilty(ends_at))
         if self.plan.crash_every_s:
-            arrivals.append(self.lose_some(ends))
+            arrivals.append(self.crash_some(ends_at))
         await asyncio.gather(*arrivals)
         await asyncio.gather(*self.tasks)
         self.network.close()
         return self.tally
 
-    def ordinary(self) -> str:
-        """Return the path of another request."""
+    def innocent_path(self) -> str:
+        """Return the path of an innocent request."""
         if self.rng.random() < self.plan.common_share:
             return f"/page/{self.rng.randrange(self.plan.pages)}"
         return f"/own/{self.rng.getrandbits(48):x}"
 
-    async def arrive(self, per_s: float, path, ends: float) -> None:  # type: ignore[no-untyped-def]
-        while self.loop.time() < ends:
+    async def generate_requests(self, per_s: float, path, ends_at: float) -> None:  # type: ignore[no-untyped-def]
+        while self.loop.time() < ends_at:
             await asyncio.sleep(self.rng.expovariate(per_s))
-            task = self.loop.create_task(self.call(path()))
+            task = self.loop.create_task(self.send_request(path()))
             self.tasks.add(task)
             task.add_done_callback(self.tasks.discard)
 
-    async def ask_for_guilty(self, ends: float) -> None:
+    async def send_guilty(self, ends_at: float) -> None:
         await asyncio.sleep(self.plan.guilty_from_s)
-        await self.arrive(self.plan.guilty_per_s, lambda: GUILTY, ends)
+        await self.generate_requests(self.plan.guilty_per_s, lambda: GUILTY, ends_at)
 
-    async def lose_some(self, ends: float) -> None:
-        while self.loop.time() < ends:
+    async def crash_some(self, ends_at: float) -> None:
+        while self.loop.time() < ends_at:
             await asyncio.sleep(self.plan.crash_every_s)
             count = max(1, round(self.plan.crash_share * len(self.servers)))
             for number in self.rng.sample(range(len(self.servers)), count):
-                self.end(number)
+                self.crash(number)
 
-    async def call(self, path: str) -> None:
-        """Ask as a caller does: once more after a failure, unless told to come back later."""
+    async def send_request(self, path: str) -> None:
+        """Send a request as a caller does: retry once after a failure, unless it is held back."""
         served, held = await self.attempt(path)
         if not served and not held:
-            await asyncio.sleep(CALLER_WAITS_S)
+            await asyncio.sleep(RETRY_DELAY_S)
             served, held = await self.attempt(path)
         tally = self.tally
         if path == GUILTY:
-            tally.guilty_asked += 1
+            tally.guilty_sent += 1
             return
         tally.asked += 1
         tally.served += served
@@ -144,19 +145,19 @@
         tally.common_held += held and path.startswith("/page/")
 
     async def attempt(self, path: str) -> tuple[bool, bool]:
-        """Try two servers; return whether it was served, and whether it is held back."""
+        """Try up to two servers; return whether it was served, and whether it is held back."""
         tried: set[int] = set()
         for _ in range(2):
-            places = [
+            candidates = [
                 number
                 for number, server in enumerate(self.servers)
-                if server.up and len(server.runs) < SLOTS and number not in tried
+                if server.is_up and len(server.runs) < SLOTS and number not in tried
             ]
-            if not places:
+            if not candidates:
                 return False, False
-            number = self.rng.choice(places)
+            number = self.rng.choice(candidates)
             tried.add(number)
-            await asyncio.sleep(HOP_S)
+            await asyncio.sleep(LATENCY_S)
             try:
                 if await self.run(number, path):
                     return True, False
@@ -166,69 +167,69 @@
         return False, False
 
     async def run(self, number: int, path: str) -> bool:
-        """Run a request at a server; return whether it was answered."""
+        """Run a request at a server; return whether it completed."""
         node, server = self.network.nodes[number], self.servers[number]
         request = Request(SERVICE, "GET", path, (), False, True, 0.0)
         fingerprint = node.fingerprint(request, NO_BODY)
         node.check(request, fingerprint)
-        if not server.up:
+        if not server.is_up:
             return False
         node.begin(request, fingerprint)
-        self.tickets += 1
-        ticket = self.tickets
-        run = InFlightRequest(fingerprint, str(ticket), request.label, self.loop.time())
-        ended: asyncio.Future[bool] = self.loop.create_future()
-        server.runs[ticket] = (run, ended)
-        server.watch.request_started(ticket, run)
+        self.last_run_id += 1
+        run_id = self.last_run_id
+        run = InFlightRequest(fingerprint, str(run_id), request.label, self.loop.time())
+        completion: asyncio.Future[bool] = self.loop.create_future()
+        server.runs[run_id] = (run, completion)
+        server.crash_detector.request_started(run_id, run)
         if path == GUILTY:
-            timer = self.loop.call_later(self.plan.deadly_s, self.end, number, ticket)
+            timer = self.loop.call_later(self.plan.deadly_s, self.crash, number, run_id)
         else:
             work_s = self.rng.uniform(0.5, 1.5) * self.plan.work_s
-            timer = self.loop.call_later(work_s, self.answer, number, ticket)
-        if await ended:
+            timer = self.loop.call_later(work_s, self.complete, number, run_id)
+        if await completion:
             node.completed(fingerprint)
             return True
         timer.cancel()
-        await asyncio.sleep(NOTICED_S)
+        await asyncio.sleep(DETECTION_S)
         return False
 
-    def answer(self, number: int, ticket: int) -> None:
+    def complete(self, number: int, run_id: int) -> None:
         server = self.servers[number]
-        if ticket in server.runs:
-            server.watch.request_completed(ticket, self.loop.time())
-            server.runs.pop(ticket)[1].set_result(True)
+        if run_id in server.runs:
+            server.crash_detector.request_completed(run_id, self.loop.time())
+            server.runs.pop(run_id)[1].set_result(True)
 
-    def end(self, number: int, by: int | None = None) -> None:
-        """End a server, by one of its runs or of itself."""
+    def crash(self, number: int, crashed_by: int | None = None) -> None:
+        """Crash a server, by one of its running requests or at random."""
         server, now = self.servers[number], self.loop.time()
-        if not server.up or (by is not None and by not in server.runs):
+        if not server.is_up or (crashed_by is not None and crashed_by not in server.runs):
             return
-        server.up = False
-        self.tally.ends += 1
-        self.tally.guilty_crashes += by is not None
-        for ticket, (_, ended) in server.runs.items():
-            server.watch.request_lost(ticket, by_server=True, now=now)
-            ended.set_result(False)
+        server.is_up = False
+        self.tally.crashes += 1
+        self.tally.guilty_crashes += crashed_by is not None
+        for run_id, (_, completion) in server.runs.items():
+            server.crash_detector.request_lost(run_id, by_server=True, now=now)
+            completion.set_result(False)
         server.runs.clear()
-        self.loop.call_later(NOTICED_S / 2, self.noticed, number)
-        self.loop.call_later(self.plan.restart_s, self.back, number)
+        self.loop.call_later(DETECTION_S / 2, self.detect_crash, number)
+        self.loop.call_later(self.plan.restart_s, self.restart, number)
 
-    def noticed(self, number: int) -> None:
-        suspects = self.servers[number].watch.connection_refused(self.loop.time())
+    def detect_crash(self, number: int) -> None:
+        suspects = self.servers[number].crash_detector.connection_refused(self.loop.time())
         if suspects:
             self.network.nodes[number].server_ended(suspects)
 
-    def back(self, number: int) -> None:
+    def restart(self, number: int) -> None:
         server = self.servers[number]
-        server.up = True
-        server.watch.note_response(self.loop.time(), self.loop.time())
+        server.is_up = True
+        server.crash_detector.note_response(self.loop.time(), self.loop.time())
 
 
-def simulate_quarantine(plan: QuarantinePlan) -> Tally:
-    """Play a plan in virtual time."""
+def simulate_quarantine(plan: QuarantinePlan) -> QuarantineTally:
+    """Simulate a plan in virtual time."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
 
-        async def run() -> Tally:
-            return await PlayedFleet(plan).play()
+        async def run() -> QuarantineTally:
+            return await SimulatedFleet(plan).run_all()
 
         return runner.run(run())
--- a/bench/quarantine/_spread.py
+++ b/bench/quarantine/_spread.py
@@ -1,4 +1,4 @@
-"""How soon all nodes hold a request back, and what that costs."""
+"""Measures how soon all nodes hold a request back, and the messages needed."""
 
 import asyncio
 
@@ -9,17 +9,17 @@
 from marjoramtide.serving import InFlightRequest
 
 GUILTY = 0xBAD
-GIVEN_UP_S = 30.0
-STEP_S = 0.001
-# Two ends a second apart: by the second, at another node, the request is held back.
-BETWEEN_S = 1.0
+TIMEOUT_S = 30.0
+POLL_S = 0.001
+# Time between two crashes at different nodes; the second one causes the quarantine.
+CRASH_INTERVAL_S = 1.0
 
 
 @attrs.frozen(slots=True)
 class SpreadResult:
-    """Seconds from the second end until all nodes hold the request back, and datagrams of an end.
+    """Seconds from the second crash until all nodes hold the request back, and cost per crash.
 
-    ``bytes_an_end`` are those of all nodes together.
+    Datagrams and bytes are those of all nodes together.
     """
 
     seconds: float
@@ -28,7 +28,7 @@
 
 
 def measure_spread(size: int, seed: int = 1, loss: float = 0.03, running: int = 10) -> SpreadResult:
-    """Measure one fleet, whose servers run ``running`` requests at their end."""
+    """Measure one fleet whose servers run ``running`` requests when they crash."""
     with asyncio.Runner(loop_factory=VirtualLoop) as runner:
         return runner.run(measure(size, seed, loss, running))
 
@@ -38,21 +38,21 @@
     loop = asyncio.get_running_loop()
     first, second = network.rng.sample(range(size), 2)
     network.nodes[first].server_ended(make_runs(network, running))
-    await asyncio.sleep(BETWEEN_S)
-    began = loop.time()
+    await asyncio.sleep(CRASH_INTERVAL_S)
+    started_at = loop.time()
     network.nodes[second].server_ended(make_runs(network, running))
-    while network.count_holding(GUILTY) < size and loop.time() < began + GIVEN_UP_S:
-        await asyncio.sleep(STEP_S)
-    took = loop.time() - began
-    # What is told again of both ends belongs to their price; what is told of a request that is held
-    # back, for as long as it is, does not.
-    await asyncio.sleep(BETWEEN_S)
+    while network.count_holding(GUILTY) < size and loop.time() < started_at + TIMEOUT_S:
+        await asyncio.sleep(POLL_S)
+    took = loop.time() - started_at
+    # Repeated bulletins about both crashes count as their cost. Those about a request that is held
+    # back, which go on for as long as it is, don't.
+    await asyncio.sleep(CRASH_INTERVAL_S)
     network.close()
     return SpreadResult(took, network.sent / 2, network.sent_bytes / 2)
 
 
 def make_runs(network: BulletinNetwork, running: int) -> list[InFlightRequest]:
-    """Return the guilty request amid others, each of which runs once in its life."""
+    """Return the guilty request among others with fingerprints of their own."""
     others = [network.rng.getrandbits(64) for _ in range(running - 1)]
     now = network.loop.time()
     return [InFlightRequest(each, f"{each:x}", f"GET /{each:x}", now) for each in (GUILTY, *others)]
--- a/bench/quota/__init__.py
+++ b/bench/quota/__init__.py
@@ -1,4 +1,4 @@
-"""How well many nodes keep one limit for each workspace, in virtual time."""
+"""Simulates in virtual time how well many nodes enforce one limit for each workspace."""
 
 from bench.quota._play import QuotaPlan, simulate_quota
 from bench.quota._tally import QuotaFigures
--- a/bench/quota/__main__.py
+++ b/bench/quota/__main__.py
@@ -1,4 +1,4 @@
-"""Prints how well fleets keep one limit for each workspace, by way, demand and fault."""
+"""Prints how well fleets enforce workspace limits, by quota scheme, demand and fault."""
 
 import argparse
 import itertools
@@ -11,7 +11,7 @@
 from bench.quota import QuotaFigures, QuotaPlan, simulate_quota
 
 SIZES = (70, 300)
-WAYS = ("leases", "one owner", "even shares", "told use")
+SCHEMES = ("leases", "one owner", "even shares", "told use")
 ENTRY_PATTERNS = ("spread", "one", "moving")
 FAULTS = (
     "owner ends",
@@ -30,20 +30,20 @@
 
 
 def plan_of(size: int, **fields: Any) -> QuotaPlan:
-    """Return the plan of a fleet whose workspaces and requests grow with its nodes."""
+    """Return a plan with workspaces and requests in proportion to the nodes."""
     return QuotaPlan(size=size, workspaces=77 * size // 70, per_s=390.0 * size / 70, **fields)
 
 
-def row(plan: QuotaPlan, found: list[QuotaFigures]) -> str:
-    """Return the worst excess and the means of some seeds of a plan."""
-    worst = max(found, key=lambda each: each.excess)
+def row(plan: QuotaPlan, results: list[QuotaFigures]) -> str:
+    """Return a table row: the worst excess and the means over the seeds of a plan."""
+    worst = max(results, key=lambda each: each.excess)
 
     def mean(name: str) -> float:
-        return sum(getattr(each, name) for each in found) / len(found)
+        return sum(getattr(each, name) for each in results) / len(results)
 
     return (
-        f"{plan.size:5}  {plan.way:12} {plan.entry_pattern:12} {plan.fault or '-':24} {worst.excess:7.1f} "
-        f"{worst.limit:6.0f} {mean('served'):6.3f} {mean('small_served'):6.3f} "
+        f"{plan.size:5}  {plan.scheme:12} {plan.entry_pattern:12} {plan.fault or '-':24} "
+        f"{worst.excess:7.1f} {worst.limit:6.0f} {mean('served'):6.3f} {mean('small_served'):6.3f} "
         f"{mean('datagrams_per_s'):6.0f} {mean('bytes_per_s') / 1000:6.1f} "
         f"{mean('crossed_bytes_per_s') / 1000:6.1f}"
     )
@@ -56,10 +56,10 @@
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(logging.CRITICAL))
     print(HEAD)
     plans = [
-        plan_of(size, way=way, entry_pattern=entry_pattern)
-        for size, way, entry_pattern in itertools.product(SIZES, WAYS, ENTRY_PATTERNS)
-        # All tell all: at 300 nodes that is more than can be played.
-        if not (way == "told use" and size > SIZES[0])
+        plan_of(size, scheme=scheme, entry_pattern=entry_pattern)
+        for size, scheme, entry_pattern in itertools.product(SIZES, SCHEMES, ENTRY_PATTERNS)
+        # Every node broadcasts to all others, too many messages to simulate at 300 nodes.
+        if not (scheme == "told use" and size > SIZES[0])
     ]
     plans += [plan_of(size, fault=fault) for size, fault in itertools.product(SIZES, FAULTS)]
     for plan in plans:
--- a/bench/quota/_way.py
+++ b/bench/quota/_way.py
@@ -1,4 +1,4 @@
-"""The ways by which nodes may keep one limit together."""
+"""Schemes by which nodes can enforce one limit together."""
 
 import asyncio
 import random
@@ -10,10 +10,10 @@
 from marjoramtide.settings import WorkspaceSettings
 
 DELAY_S = (0.0005, 0.003)
-TOLD_EVERY_S = 0.25
+BROADCAST_INTERVAL_S = 0.25
 
 
-class Way(ABC):
+class QuotaScheme(ABC):
     """Decides at each node whether a request of a workspace is admitted."""
 
     sent = 0
@@ -22,12 +22,12 @@
 
     @abstractmethod
     async def admit(self, node: int, workspace: WorkspaceSettings) -> bool:
-        """Tell whether a request that enters by a node is admitted."""
+        """Tell whether a request that arrives at a node is admitted."""
 
 
 @attrs.define(slots=False, eq=False, repr=False)
-class EvenShares(Way):
-    """Each node has an even share, which nobody lends."""
+class EvenShares(QuotaScheme):
+    """Each node has a fixed equal share of the limit."""
 
     size: int
     buckets: dict[tuple[int, str], TokenBucket] = attrs.Factory(dict)
@@ -43,17 +43,17 @@
 
 
 @attrs.define(slots=False, eq=False, repr=False)
-class ToldUse(Way):
-    """Each node tells all others what it has admitted, four times a second.
+class UsageBroadcast(QuotaScheme):
+    """Each node broadcasts its admitted requests to all others up to four times a second.
 
-    It admits while what it knows of is within the limit.
+    It admits requests while all the usage that it knows of is within the limit.
     """
 
     size: int
     rng: random.Random
     message_bytes: int = 60
     buckets: dict[tuple[int, str], TokenBucket] = attrs.Factory(dict)
-    untold: dict[tuple[int, str], int] = attrs.Factory(dict)
+    unreported: dict[tuple[int, str], int] = attrs.Factory(dict)
 
     def bucket(self, node: int, workspace: WorkspaceSettings, now: float) -> TokenBucket:
         found = self.buckets.get((node, workspace.name))
@@ -67,21 +67,25 @@
         if not self.bucket(node, workspace, loop.time()).take(1, loop.time()):
             return False
         key = (node, workspace.name)
-        if key not in self.untold:
-            loop.call_later(self.rng.uniform(0, TOLD_EVERY_S), self.tell, node, workspace)
-        self.untold[key] = self.untold.get(key, 0) + 1
+        if key not in self.unreported:
+            loop.call_later(
+                self.rng.uniform(0, BROADCAST_INTERVAL_S), self.broadcast, node, workspace
+            )
+        self.unreported[key] = self.unreported.get(key, 0) + 1
         return True
 
-    def tell(self, node: int, workspace: WorkspaceSettings) -> None:
+    def broadcast(self, node: int, workspace: WorkspaceSettings) -> None:
         loop = asyncio.get_running_loop()
-        used = self.untold.pop((node, workspace.name))
+        used = self.unreported.pop((node, workspace.name))
         for other in range(self.size):
             if other != node:
                 self.sent += 1
                 self.sent_bytes += self.message_bytes
                 self.crossed_bytes += self.message_bytes if other % 3 != node % 3 else 0
-                loop.call_later(self.rng.uniform(*DELAY_S), self.hear, other, workspace, used)
+                loop.call_later(
+                    self.rng.uniform(*DELAY_S), self.apply_usage, other, workspace, used
+                )
 
-    def hear(self, node: int, workspace: WorkspaceSettings, used: int) -> None:
+    def apply_usage(self, node: int, workspace: WorkspaceSettings, used: int) -> None:
         now = asyncio.get_running_loop().time()
         self.bucket(node, workspace, now).spend(used, now)
--- a/bench/settings_cost.py
+++ b/bench/settings_cost.py
@@ -1,9 +1,9 @@
-"""Measures what following the shared settings costs a node, and extrapolates it.
+"""Measures the cost per node of following the shared settings, and extrapolates it.
 
 Fleets of settings services run in one process and in real time, without sockets: messages are
-encoded as between nodes and counted, the members know each other at once, and a change is heard by
-all at once. So the figures are the settings part alone; what gossip and connections cost is
-measured elsewhere (``bench.control``). A straight line is fitted to the fleet's cost over its size.
+encoded as between nodes and counted, the members know each other from the start, and all of them
+learn of a change immediately. So the figures are those of the settings alone; ``bench.control``
+measures the cost of gossip. The fleet's cost is fitted linearly over its size.
 """
 
 import argparse
@@ -36,13 +36,13 @@
 SERVICES = 53
 ROUTES = 5
 WINDOW_S = 8.0
-SETTLE_S = 5.0
+SETTLING_S = 5.0
 CHANGES = 3
 WATCH_POLL_S = 0.05
 
 
 class CountingStore(MemoryStore):
-    """Counts calls; a watch looks for a newer version now and then."""
+    """Counts calls; a watch polls for a newer version."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -66,7 +66,7 @@
 
 
 class Fleet:
-    """Services that reach each other by call."""
+    """Settings services that call each other directly."""
 
     def __init__(self, size: int) -> None:
         self.store = CountingStore()
@@ -79,9 +79,16 @@
         self.services = [self.add(number) for number in range(size)]
 
     def add(self, number: int) -> SettingsService:
-        name, place = f"127.0.0.1:{number + 1}", number % DATA_CENTRES
+        name, data_centre = f"127.0.0.1:{number + 1}", number % DATA_CENTRES
         member = Member(
-            name, "s0", f"r{place % 2}", f"d{place}", name, name, name, MemberState.READY
+            name,
+            "s0",
+            f"r{data_centre % 2}",
+            f"d{data_centre}",
+            name,
+            name,
+            name,
+            MemberState.READY,
         )
         self.members[name] = member
         self.handlers[name] = {}
@@ -98,7 +105,7 @@
         )
 
     async def change(self, number: int) -> None:
-        """Change one value, and wait until every node has it."""
+        """Change one value, and wait until it is in force at every node."""
         service = self.services[0]
         edit = Edit(EditAction.SET, "/services/s0", "timeout_ms", 400 + number)
         base = service.view.revision
@@ -108,7 +115,7 @@
 
 @attrs.define(slots=True)
 class FleetChannel(ControlChannel):
-    """Encodes and counts what is asked and answered."""
+    """Encodes and counts requests and responses."""
 
     fleet: Fleet
     node: str
@@ -117,12 +124,12 @@
         self, address: str, subject: str, body: dict[str, Any], *, timeout: float = 2.0
     ) -> dict[str, Any]:
         await asyncio.sleep(0)
-        question = cbor2.dumps([subject, body])
-        answer = cbor2.dumps(await self.fleet.handlers[address][subject](cbor2.loads(question)[1]))
+        request = cbor2.dumps([subject, body])
+        answer = cbor2.dumps(await self.fleet.handlers[address][subject](cbor2.loads(request)[1]))
         self.fleet.messages += 1
-        self.fleet.message_bytes += len(question) + len(answer)
-        found: dict[str, Any] = cbor2.loads(answer)
-        return found
+        self.fleet.message_bytes += len(request) + len(answer)
+        response: dict[str, Any] = cbor2.loads(answer)
+        return response
 
     def answer(self, subject: str, handler: Any) -> None:
         self.fleet.handlers[self.node][subject] = handler
@@ -130,7 +137,7 @@
 
 @attrs.define(slots=True)
 class FleetDirectory(Directory):
-    """Everyone knows everyone at once."""
+    """A directory in which all members know all changes immediately."""
 
     fleet: Fleet
     node: str
@@ -149,7 +156,7 @@
         return self.fleet.members.get(node)
 
     def set_state(self, state: MemberState) -> None:
-        """States stay."""
+        """States don't change here."""
 
     def set_settings(self, revision: int, digest: str) -> None:
         member = attrs.evolve(self.self_member, revision=revision, digest=digest)
@@ -158,18 +165,18 @@
             listener(member)
 
     def report_failure(self, node: str) -> None:
-        """Nobody fails."""
+        """Members don't fail here."""
 
     def on_change(self, listener: Callable[[Member], None]) -> None:
         self.fleet.listeners.append(listener)
 
 
 def make_text() -> str:
-    """Return a tree of the size to come."""
+    """Return a settings tree of the size expected in production."""
     lines = ["timeout_ms = 900"]
-    for place in range(DATA_CENTRES):
-        region = f"regions.r{place % 2}"
-        lines.append(f"[{region}.data_centres.d{place}]\nmax_depth = 20")
+    for data_centre in range(DATA_CENTRES):
+        region = f"regions.r{data_centre % 2}"
+        lines.append(f"[{region}.data_centres.d{data_centre}]\nmax_depth = 20")
     for number in range(SERVICES):
         lines.append(f"[services.s{number}]\nslots = 20\ntimeout_ms = 700\nqueue_limit = 30")
         lines += [
@@ -180,12 +187,12 @@
 
 
 async def measure(size: int) -> dict[str, float]:
-    """Measure one fleet; values are for each node."""
+    """Measure one fleet; the figures are per node."""
     fleet = Fleet(size)
-    first = ChangeRequest(author="bench", base=0, text=make_text(), wait_s=0)
-    await fleet.services[0].change(first)
+    initial = ChangeRequest(author="bench", base=0, text=make_text(), wait_s=0)
+    await fleet.services[0].change(initial)
     tasks = [asyncio.create_task(service.run()) for service in fleet.services]
-    await asyncio.sleep(SETTLE_S)
+    await asyncio.sleep(SETTLING_S)
     fleet.store.calls.clear()
     fleet.messages = fleet.message_bytes = 0
     cpu = time.process_time()
@@ -213,7 +220,7 @@
 
 
 def print_fit(name: str, sizes: list[int], values: list[float]) -> None:
-    """Fit the whole fleet's cost, of which a part is the asked node's and the store's alone."""
+    """Fit the fleet's cost; its fixed part is that of the store and the changing node."""
     totals = [value * size for value, size in zip(values, sizes, strict=True)]
     slope, fixed = statistics.linear_regression(sizes, totals)
     fitted = [fixed + slope * size for size in sizes]
@@ -232,15 +239,15 @@
     parser.add_argument("--sizes", type=int, nargs="+", default=list(SIZES))
     sizes = parser.parse_args().sizes
     structlog.configure(wrapper_class=structlog.make_filtering_bound_logger(50))
-    found = []
+    results = []
     for size in sizes:
-        found.append(asyncio.run(measure(size)))
-        figures = "  ".join(f"{name} {value:.3g}" for name, value in found[-1].items())
+        results.append(asyncio.run(measure(size)))
+        figures = "  ".join(f"{name} {value:.3g}" for name, value in results[-1].items())
         print(f"{size} nodes: {figures}", flush=True)
     print(f"tree of {len(make_text())} bytes; bytes count both ends of each message")
     if len(sizes) > 1:
-        for name in found[0]:
-            print_fit(name, sizes, [one[name] for one in found])
+        for name in results[0]:
+            print_fit(name, sizes, [one[name] for one in results])
     return 0
 
 
--- a/bench/stops/__init__.py
+++ b/bench/stops/__init__.py
@@ -1,7 +1,7 @@
-"""Plays a fleet of real nodes that stand still at one moment, and counts what callers get."""
+"""Tests a fleet of real nodes that are all suspended at the same time."""
 
-from bench.stops._play import play_stop
+from bench.stops._play import run_stop_test
 from bench.stops._stop_plan import StopPlan
 from bench.stops._stop_tally import StopTally
 
-__all__ = ["StopPlan", "StopTally", "play_stop"]
+__all__ = ["StopPlan", "StopTally", "run_stop_test"]
--- a/bench/stops/__main__.py
+++ b/bench/stops/__main__.py
@@ -1,4 +1,4 @@
-"""Prints what callers get of a fleet whose nodes all stand still at one moment."""
+"""Prints the outcomes of requests to a fleet whose nodes are all suspended at the same time."""
 
 import argparse
 import asyncio
@@ -6,7 +6,7 @@
 import tempfile
 from pathlib import Path
 
-from bench.stops import StopPlan, play_stop
+from bench.stops import StopPlan, run_stop_test
 
 STORES = {
     "up": {},
@@ -30,11 +30,11 @@
                     folder = (options.logs or Path(temporary)) / f"{store}-{stop_s}-{seed}"
                     folder.mkdir(parents=True)
                     plan = StopPlan(stop_s=stop_s, store=faults, seed=seed)
-                    found = asyncio.run(play_stop(plan, folder))
+                    result = asyncio.run(run_stop_test(plan, folder))
                     print(
                         f"{store:6} {stop_s:6}  {seed:4}  {os.getloadavg()[0]:4.1f}  "
-                        f"{found.completed:4} of {found.asked:4}  {found.served_again_s:10.2f} s  "
-                        f"{dict(found.refused)}",
+                        f"{result.completed:4} of {result.asked:4}  {result.recovery_s:10.2f} s  "
+                        f"{dict(result.refused)}",
                         flush=True,
                     )
 
--- a/bench/stops/_play.py
+++ b/bench/stops/_play.py
@@ -1,4 +1,4 @@
-"""One play of a mesh of real processes that are stopped by a signal, all at one moment."""
+"""Runs one test of a mesh whose node processes are all suspended by a signal."""
 
 import asyncio
 import re
@@ -15,8 +15,8 @@
 REASON = re.compile(r'details="([^"]*)"|error=([\w-]+)')
 
 
-async def stop_all(mesh: Mesh, plan: StopPlan) -> None:
-    """Stop all nodes when it is time, and let them go on."""
+async def suspend_all(mesh: Mesh, plan: StopPlan) -> None:
+    """Suspend all nodes at the planned time, and resume them."""
     processes = [node.process for node in mesh.nodes if node.process is not None]
     await asyncio.sleep(plan.before_s - 1.0)
     if plan.store:
@@ -29,8 +29,8 @@
         process.thaw()
 
 
-async def play_stop(plan: StopPlan, folder: Path) -> StopTally:
-    """Play one plan; the processes' logs stay in ``folder``."""
+async def run_stop_test(plan: StopPlan, folder: Path) -> StopTally:
+    """Run one plan; ``folder`` keeps the logs of the processes."""
     seconds = plan.before_s + plan.stop_s + plan.after_s
     calls = [
         PlannedCall(number / plan.per_s, f"lookup-{number}", SERVICE, "lookup", TIMEOUT_MS)
@@ -38,21 +38,25 @@
     ]
     async with Mesh(folder, make_plan({SERVICE: plan.nodes})) as mesh:
         await mesh.ready()
-        stopping = asyncio.create_task(stop_all(mesh, plan))
+        suspension = asyncio.create_task(suspend_all(mesh, plan))
         entries = {SERVICE: [node.callers for node in mesh.nodes]}
         results = await play(calls, entries, seed=plan.seed)
-        await stopping
-    since = [result for result in results if result.call.at_s >= plan.before_s]
-    bad = [result for result in since if result.outcome is not Outcome.COMPLETED]
+        await suspension
+    measured = [result for result in results if result.call.at_s >= plan.before_s]
+    failed = [result for result in measured if result.outcome is not Outcome.COMPLETED]
     refused = Counter(
-        f"{each.outcome} {reason_of(each.reason)}" for one in bad for each in one.attempts
+        f"{each.outcome} {error_code(each.reason)}" for one in failed for each in one.attempts
+    )
+    resumed_at = plan.before_s + plan.stop_s
+    last = max(
+        (result.call.at_s + result.latency_ms / 1000 for result in failed), default=resumed_at
+    )
+    return StopTally(
+        len(measured), len(measured) - len(failed), refused, max(0.0, last - resumed_at)
     )
-    ended_at = plan.before_s + plan.stop_s
-    last = max((result.call.at_s + result.latency_ms / 1000 for result in bad), default=ended_at)
-    return StopTally(len(since), len(since) - len(bad), refused, max(0.0, last - ended_at))
 
 
-def reason_of(status: str) -> str:
-    """Return the code of a refusal, as its header tells it."""
-    found = REASON.search(status)
-    return (found[1] or found[2]) if found else status
+def error_code(status: str) -> str:
+    """Return the error code in the header of a refusal."""
+    match = REASON.search(status)
+    return (match[1] or match[2]) if match else status
--- a/bench/stops/_stop_plan.py
+++ b/bench/stops/_stop_plan.py
@@ -1,4 +1,4 @@
-"""What one play of a fleet that stands still consists of."""
+"""The plan of a test with a suspended fleet."""
 
 from typing import Any
 
@@ -7,9 +7,9 @@
 
 @attrs.frozen(slots=True)
 class StopPlan:
-    """A mesh of ``nodes`` nodes, all of which are stopped for ``stop_s`` seconds at one moment.
+    """A mesh of ``nodes`` nodes, all of which are suspended at once for ``stop_s`` seconds.
 
-    ``store`` are the faults that the store shows from a second before on.
+    ``store`` are faults of the store from a second before the suspension on.
     """
 
     nodes: int = 12
--- a/bench/stops/_stop_tally.py
+++ b/bench/stops/_stop_tally.py
@@ -1,4 +1,4 @@
-"""What callers of a fleet get that stood still."""
+"""The result of a test with a suspended fleet."""
 
 from collections import Counter
 
@@ -7,13 +7,13 @@
 
 @attrs.frozen(slots=True)
 class StopTally:
-    """What became of the requests that were sent from the stop on.
+    """Outcomes of the requests that were sent after the start of the suspension.
 
-    ``refused`` counts attempts by the reason of their refusal, ``served_again_s`` is how long after
-    the end of the stop the last one was refused.
+    ``refused`` counts failed attempts by reason. ``recovery_s`` is the time from the end of the
+    suspension until the last failure.
     """
 
     asked: int
     completed: int
     refused: Counter[str]
-    served_again_s: float
+    recovery_s: float
--- a/bench/witness.py
+++ b/bench/witness.py
@@ -1,8 +1,8 @@
-"""Prints what it costs to have another node know of a run.
+"""Prints the cost of reporting a run to another node, its witness.
 
-``python -m bench.witness --runs 20000``: a teller and its witness in one process, on loopback. Each
-run is told, and its end with the next one. Processor time is that of both ends; bytes are those of
-the messages, without the headers of TCP and IP.
+``python -m bench.witness --runs 20000``: a reporting node and its witness in one process, on
+loopback. Each run is reported when it starts, and its end together with the next one. CPU time is
+that of both ends; bytes are those of the messages, without TCP and IP headers.
 """
 
 import argparse
@@ -22,47 +22,47 @@
 
 KEY = "a key for witnesses on loopback only"
 HOST = "127.0.0.1"
-NOWHERE = "127.0.0.1:9"
-# Runs that are told before the witness gets a turn, as where requests come a few at a time.
-AT_ONCE = 4
+UNUSED_ADDRESS = "127.0.0.1:9"
+# Runs that are reported before the witness gets to run, as when a few requests arrive together.
+BATCH_SIZE = 4
 
 
-class NobodyLost(RunListener):
-    """Is never told of a lost node here."""
+class NoLostNodes(RunListener):
+    """A listener that expects no lost node."""
 
     def lost(self, node: str, runs: Sequence[ToldRun]) -> None:
         raise AssertionError(node)
 
 
 def make_member(name: str, address: str) -> Member:
-    return Member(name, "s", "r", "d", address, NOWHERE, NOWHERE, MemberState.READY)
+    return Member(name, "s", "r", "d", address, UNUSED_ADDRESS, UNUSED_ADDRESS, MemberState.READY)
 
 
 async def measure(runs: int) -> float:
-    """Return the processor time of one run, both ends together, in microseconds."""
+    """Return the CPU time of one run, both ends together, in microseconds."""
     clock = SystemClock()
     server = PeerServer(KEY, clock, FreezeDetector(clock))
-    server.run_listener = NobodyLost()
+    server.run_listener = NoLostNodes()
     await server.start(HOST, 0)
     assert server.server is not None
     address = "{}:{}".format(*next(iter(server.server.sockets)).getsockname())
-    directory = ModelDirectory(make_member("teller", NOWHERE), lambda node: None)
+    directory = ModelDirectory(make_member("teller", UNUSED_ADDRESS), lambda node: None)
     directory.apply_update(make_member("witness", address))
     client = PeerClient(KEY, clock)
     teller = RunTeller(directory, client, lambda _: False, clock, random.Random(1), Metrics())
-    telling = asyncio.create_task(teller.run())
+    teller_task = asyncio.create_task(teller.run())
     while teller.link is None:
         await asyncio.sleep(0.01)
     rng = random.Random(1)
     began = time.process_time()
-    for ticket in range(runs):
-        await teller.request_started(ticket, rng.getrandbits(64))
-        teller.request_finished(ticket)
-        if not ticket % AT_ONCE:
+    for run_id in range(runs):
+        await teller.request_started(run_id, rng.getrandbits(64))
+        teller.request_finished(run_id)
+        if not run_id % BATCH_SIZE:
             await asyncio.sleep(0)
     took = time.process_time() - began
-    telling.cancel()
-    await asyncio.gather(telling, return_exceptions=True)
+    teller_task.cancel()
+    await asyncio.gather(teller_task, return_exceptions=True)
     await client.close()
     await server.close()
     return took / runs * 1e6
--- a/bench/workspaces/__init__.py
+++ b/bench/workspaces/__init__.py
@@ -1,7 +1,7 @@
-"""Whether keys, the end of keys and quotas hold over real nodes amid faults."""
+"""Tests whether real nodes enforce keys, revocations and quotas during faults."""
 
 from bench.workspaces._plan import WorkspacePlan, draw_plan
-from bench.workspaces._play import play_workspaces
+from bench.workspaces._play import run_workspace_test
 from bench.workspaces._tally import WorkspaceTally
 
-__all__ = ["WorkspacePlan", "WorkspaceTally", "draw_plan", "play_workspaces"]
+__all__ = ["WorkspacePlan", "WorkspaceTally", "draw_plan", "run_workspace_test"]
--- a/bench/workspaces/__main__.py
+++ b/bench/workspaces/__main__.py
@@ -1,4 +1,4 @@
-"""Prints whether keys, their ends and quotas hold over real nodes amid faults, by seed."""
+"""Prints by seed whether real nodes enforce keys, revocations and quotas during faults."""
 
 import argparse
 import asyncio
@@ -7,7 +7,7 @@
 import tempfile
 from pathlib import Path
 
-from bench.workspaces import draw_plan, play_workspaces
+from bench.workspaces import draw_plan, run_workspace_test
 
 
 def main() -> int:
@@ -22,12 +22,12 @@
             folder = (options.logs or Path(temporary)) / f"{seed}"
             folder.mkdir(parents=True)
             plan = draw_plan(seed)
-            found = asyncio.run(play_workspaces(plan, folder))
-            broken += not found.is_within
+            result = asyncio.run(run_workspace_test(plan, folder))
+            broken += not result.is_within
             events = " ".join(f"{each.at_s:.0f}s:{each.kind}-{each.node}" for each in plan.events)
             print(
-                f"{seed:3} load {os.getloadavg()[0]:4.1f}  {found.line()}  | {plan.how} "
-                f"{plan.quota.per_s:g}x{plan.hot:.1f} {events}",
+                f"{seed:3} load {os.getloadavg()[0]:4.1f}  {result.line()}  | {plan.entry_pattern} "
+                f"{plan.quota.per_s:g}x{plan.surge_factor:.1f} {events}",
                 flush=True,
             )
     print(f"{broken} broken")
--- a/bench/workspaces/_plan.py
+++ b/bench/workspaces/_plan.py
@@ -1,4 +1,4 @@
-"""What one play of callers with keys consists of."""
+"""Random plans of a test with callers that send keys."""
 
 import random
 
@@ -10,12 +10,12 @@
 SECONDS = 20.0
 FIRST_S = 2.0
 EVENTS = ("kill", "freeze", "store", "turned away", "outage")
-HOWS = ("spread", "one", "moving", "random")
+ENTRY_PATTERNS = ("spread", "one", "moving", "random")
 
 
 @attrs.frozen(slots=True)
 class Quota:
-    """What a workspace may send, in requests a second and at once."""
+    """The rate limit and burst of a workspace."""
 
     per_s: float
     burst: float
@@ -23,17 +23,18 @@
 
 @attrs.frozen(slots=True)
 class WorkspacePlan:
-    """Callers of three workspaces come by ``nodes`` nodes, the large one ``how``.
+    """Callers of three workspaces send requests through ``nodes`` nodes.
 
-    The large one comes at ``hot`` times its quota, which is ``later`` from ``changes_at_s`` on. The
-    key of the third one is taken away at ``revoked_at_s``, and its callers go on with it.
+    The large workspace sends ``surge_factor`` times its quota, through nodes chosen by
+    ``entry_pattern``. Its quota becomes ``changed_quota`` at ``changes_at_s``. The key of the third
+    workspace is revoked at ``revoked_at_s``, and its callers go on using it.
     """
 
     seed: int
-    how: str
-    hot: float
+    entry_pattern: str
+    surge_factor: float
     quota: Quota
-    later: Quota
+    changed_quota: Quota
     changes_at_s: float
     revoked_at_s: float
     events: tuple[NodeEvent, ...]
@@ -48,10 +49,10 @@
     quota = Quota(per_s, round(per_s * rng.choice((0.5, 1.0, 2.0))))
     return WorkspacePlan(
         seed=seed,
-        how=rng.choice(HOWS),
-        hot=rng.uniform(2.0, 5.0),
+        entry_pattern=rng.choice(ENTRY_PATTERNS),
+        surge_factor=rng.uniform(2.0, 5.0),
         quota=quota,
-        later=attrs.evolve(quota, per_s=per_s * rng.choice((0.5, 1.0, 1.5))),
+        changed_quota=attrs.evolve(quota, per_s=per_s * rng.choice((0.5, 1.0, 1.5))),
         changes_at_s=rng.uniform(6.0, 12.0),
         revoked_at_s=rng.uniform(4.0, 10.0),
         events=draw_events(rng),
@@ -59,7 +60,7 @@
 
 
 def draw_events(rng: random.Random) -> tuple[NodeEvent, ...]:
-    """Return two to five events, which may overlap."""
+    """Return two to five fault events, which may overlap."""
     times = sorted(rng.uniform(FIRST_S, SECONDS - 5) for _ in range(rng.randint(2, 5)))
     return tuple(
         NodeEvent(at, rng.choice(EVENTS), rng.randrange(NODES), rng.uniform(1, 4)) for at in times
--- a/bench/workspaces/_tally.py
+++ b/bench/workspaces/_tally.py
@@ -1,4 +1,4 @@
-"""What a play of callers with keys gave."""
+"""The result of a test with callers that send keys."""
 
 import bisect
 from collections import Counter
@@ -14,7 +14,7 @@
 
 @attrs.frozen(slots=True)
 class KeyedCall:
-    """A request of a workspace: when it was sent, and the status that came."""
+    """A request of a workspace: when it was sent, and the status of its response."""
 
     attempt: str
     workspace: str
@@ -24,10 +24,10 @@
 
 @attrs.frozen(slots=True)
 class WorkspaceTally:
-    """Figures of one play.
+    """The figures of one test.
 
-    ``excess`` is how many more ran in a window than was allowed, ``large_served`` and
-    ``small_served`` how much of what one bucket would have admitted of a workspace was served.
+    ``excess`` is the excess of the fullest window over the allowed requests. ``large_served`` and
+    ``small_served`` are the served shares of the requests that a single bucket would have admitted.
     """
 
     excess: float
@@ -45,21 +45,23 @@
         return self.excess <= 0 and not broken
 
     def line(self) -> str:
-        told = " ".join(f"{status}:{count}" for status, count in sorted(self.statuses.items()))
+        statuses = " ".join(f"{status}:{count}" for status, count in sorted(self.statuses.items()))
         return (
             f"{'ok    ' if self.is_within else 'BROKEN'} excess {self.excess:6.1f} "
             f"late runs {self.late_runs} misnamed {self.misnamed} keys shown {self.shown_keys} "
             f"denied {self.denied} large {self.large_served:.2f} "
-            f"small {self.small_served:.2f}  {told}"
+            f"small {self.small_served:.2f}  {statuses}"
         )
 
 
-def worst_excess(runs: list[tuple[float, float]], quota: Quota, begins: float) -> float:
-    """Return by how many requests some window held more than allowed, of ``(sent, ran)``."""
+def worst_excess(runs: list[tuple[float, float]], quota: Quota, starts_at: float) -> float:
+    """Return the excess of the fullest window; ``runs`` holds pairs ``(sent, ran)`` of times."""
     allowed = (quota.per_s * WINDOW_S + quota.burst) * (1 + EXCESS) + SLACK
-    within = sorted(sent for sent, ran in runs if sent >= begins and ran - sent < WINDOW_S)
-    most = max(
-        (bisect.bisect_right(within, at + WINDOW_S) - place for place, at in enumerate(within)),
+    within = sorted(
+        sent for sent, received_at in runs if sent >= starts_at and received_at - sent < WINDOW_S
+    )
+    fullest = max(
+        (bisect.bisect_right(within, at + WINDOW_S) - index for index, at in enumerate(within)),
         default=0,
     )
-    return most - allowed
+    return fullest - allowed
--- a/features/bench/model.feature
+++ b/features/bench/model.feature
@@ -1,8 +1,8 @@
-Feature: Policies are simulated in virtual time on random deployments
+Feature: Decisions are played in virtual time on deployments that nobody chose
 
   Scenario: The same seed gives the same day, and the same verdict on two settings
     # An experiment compares two sets of simulations pair by pair. If they differed for any other
-    # reason than the nodes' decisions, an improvement could not be told from chance.
+    # reason than the nodes' decisions, an improvement could not be separated from chance.
     Given a deployment of 4 servers with neighbours that is simulated for 8 seconds
     When it is simulated twice with seed 1
     Then both simulations have the same figures
--- a/features/bench/workspaces.feature
+++ b/features/bench/workspaces.feature
@@ -1,7 +1,7 @@
 Feature: A play of callers with keys counts as the bounds are stated
 
   Scenario Outline: What a workspace got in any 5 s is held against its quota, a tenth and 20 more
-    Given a workspace with a quota of 10 a second and 10 at once
+    Given a workspace with a quota of 10 a second and a burst of 10
     When <count> of its requests run, one each <gap> s, <later> s after they were sent
     Then the worst window holds <excess> more than allowed
 
@@ -12,8 +12,8 @@
       | 200   | 0.04 | 6     | -86    |
 
   Scenario Outline: What one bucket would have admitted
-    Given a workspace with a quota of 2 a second and 3 at once
-    When <count> of its requests come, one each <gap> s
+    Given a workspace with a quota of 2 a second and a burst of 3
+    When <count> of its requests arrive, one each <gap> s
     Then a single bucket admits <admitted> of them
 
     Examples:
--- a/features/steps/bench_limits_steps.py
+++ b/features/steps/bench_limits_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a play of limits counts."""
+"""Steps for the evaluation of tests with announced rate limits."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -21,12 +21,12 @@
 
 
 @given(
-    "a server that names {rate:g} requests a second at second {at:g}, "
-    "and node {node} passes that on at second {told:g}"
+    "a server that announces {rate:g} requests a second at second {at:g}, "
+    "and node {node} passes that on at second {notified_at:g}"
 )
-def given_named(context: Any, rate: float, at: float, node: str, told: float) -> None:
+def given_named(context: Any, rate: float, at: float, node: str, notified_at: float) -> None:
     context.rates = [AnnouncedRate(at, rate)]
-    context.told = {node: told}
+    context.notified_at = {node: notified_at}
 
 
 @when("it gets {count:d} requests of {entry} from second {first:g} on, one each {gap:g} s")
@@ -36,7 +36,7 @@
 
 @then("the fullest window holds {held:d} of {allowed:g} allowed, {verdict}")
 def then_held(context: Any, held: int, allowed: float, verdict: str) -> None:
-    found = fullest_window(context.rates, context.requests, context.told)
+    found = fullest_window(context.rates, context.requests, context.notified_at)
     count = 0 if found is None else found.count
     assert count == held, found
     assert found is None or abs(found.allowed - allowed) < 1e-9, found
@@ -65,14 +65,14 @@
     raise OSError
 
 
-@given("a server that leaves, whose word node {node} passes on at second {told:g}")
-def given_leaving(context: Any, node: str, told: float) -> None:
-    context.told = {node: told}
+@given("a server that leaves, whose announcement node {node} passes on at second {notified_at:g}")
+def given_leaving(context: Any, node: str, notified_at: float) -> None:
+    context.notified_at = {node: notified_at}
     context.lookups = Lookups(2, unsent)
 
 
 @when(
-    "it gets requests that began at node {one} at second {first:g} and {second:g}, "
+    "it gets requests that started at node {one} at second {first:g} and {second:g}, "
     "and at node {other} at second {third:g}"
 )
 def when_began(
@@ -83,9 +83,9 @@
     context.server = SimpleNamespace(received=received)
 
 
-@then("one of them came later than {seconds:d} s after its node was told")
+@then("one of them arrived later than {seconds:d} s after its node was notified")
 def then_late(context: Any, seconds: int) -> None:
-    late = context.lookups.late_at(context.server, context.told, seconds)
+    late = context.lookups.late_at(context.server, context.notified_at, seconds)
     assert late == ["2"], late
 
 
--- a/features/steps/bench_workspaces_steps.py
+++ b/features/steps/bench_workspaces_steps.py
@@ -1,10 +1,10 @@
-"""Steps on what a play of callers with keys counts."""
+"""Steps for the evaluation of tests with callers that send keys."""
 
 from typing import Any
 
 from behave import given, then, use_step_matcher, when  # type: ignore[attr-defined]
 
-from bench.quota._tally import admitted_by_one
+from bench.quota._tally import admitted_by_single_bucket
 from bench.workspaces import draw_plan
 from bench.workspaces._plan import Quota
 from bench.workspaces._tally import worst_excess
@@ -12,7 +12,7 @@
 use_step_matcher("parse")
 
 
-@given("a workspace with a quota of {rate:g} a second and {burst:g} at once")
+@given("a workspace with a quota of {rate:g} a second and a burst of {burst:g}")
 def given_quota(context: Any, rate: float, burst: float) -> None:
     context.quota = Quota(rate, burst)
 
@@ -28,7 +28,7 @@
     assert abs(found - excess) < 1e-9, found
 
 
-@when("{count:d} of its requests come, one each {gap:g} s")
+@when("{count:d} of its requests arrive, one each {gap:g} s")
 def when_come(context: Any, count: int, gap: float) -> None:
     context.came = [number * gap for number in range(count)]
 
@@ -36,7 +36,7 @@
 @then("a single bucket admits {admitted:d} of them")
 def then_admits(context: Any, admitted: int) -> None:
     quota = context.quota
-    found = admitted_by_one(context.came, quota.per_s, quota.burst, 0.0)
+    found = admitted_by_single_bucket(context.came, quota.per_s, quota.burst, 0.0)
     assert found == admitted, found
 
 
--- a/features/steps/fuzz_steps.py
+++ b/features/steps/fuzz_steps.py
@@ -1,4 +1,4 @@
-"""Steps that feed broken input to what reads bytes from outside."""
+"""Steps that fuzz readers of bytes from outside the process."""
 
 import time
 from typing import Any
@@ -7,14 +7,16 @@
 
 from bench.fuzz import run_readers
 
-LIMIT_S = 60.0
+TIMEOUT_S = 60.0
 
 
 @when("each reader gets {count:d} broken inputs of seed {seed:d}")
 def when_fuzzed(context: Any, count: int, seed: int) -> None:
-    context.tallies = run_readers(count, seed, time.monotonic() + LIMIT_S)
-    tried = {tally.name: sum(tally.seen.values()) + len(tally.faults) for tally in context.tallies}
-    assert all(number >= count for number in tried.values()), tried
+    context.tallies = run_readers(count, seed, time.monotonic() + TIMEOUT_S)
+    counts = {
+        tally.name: sum(tally.outcomes.values()) + len(tally.faults) for tally in context.tallies
+    }
+    assert all(number >= count for number in counts.values()), counts
 
 
 @then("there is no fault")
