--- a/src/marjoramtide/daemon/_graceful_shutdown.py
+++ b/src/marjoramtide/daemon/_graceful_shutdown.py
@@ -21,9 +21,9 @@
 DRAIN_SHARE = 0.9
 # Share of the linger time in which the backend server still gets new requests.
 # Failure: in a rolling restart with a second between nodes, each node leaves its backend server
-# idle from the signal until its successor is up, 3.8 s in all: 4 of 7 servers are idle at a time,
-# and the others reject requests that these could have run. With this share, requests that have
-# begun by then have 3.8 s of 5.4 s to finish.
+# idle for 3.8 s, from the signal until its successor is up: more than half of the servers are idle
+# at a time, and the others reject requests that these could have run. With this share, requests
+# that have begun by then still have 3.8 s to finish.
 KEEP_SERVING_SHARE = 0.7
 # Time to send final responses after that, in seconds: some milliseconds for each of a thousand.
 FINAL_RESPONSES_S = 0.1
--- a/src/marjoramtide/ingress/_class_budgets.py
+++ b/src/marjoramtide/ingress/_class_budgets.py
@@ -13,9 +13,7 @@
 # seconds over which unused budget accumulates. In any 10 s at most 1.3 times the income of all
 # budgets is spent, which is 0.52 of the allowance. The rest is left for nested calls of requests
 # that run twice, which count at the services called, and for nodes that have not learned yet how
-# many nodes share the allowance. With 10 s of accumulation nearly twice the income can be spent: in
-# a run with 60 in-memory nodes, all of whose requests failed after 15 quiet seconds, that was 770
-# of the 1340 second attempts allowed, before counting any nested calls.
+# many nodes share the allowance. With 10 s of accumulation nearly twice the income can be spent.
 RETRY_SHARE = 0.25
 HEDGE_SHARE = 0.15
 ACCUMULATION_S = 3.0
--- a/src/marjoramtide/ingress/_startup_grace.py
+++ b/src/marjoramtide/ingress/_startup_grace.py
@@ -7,9 +7,9 @@
 
 from marjoramtide.clock import Clock, FreezeDetector
 
-# How long requests may wait for settings and members after a node begins to accept callers. After
-# all of ten nodes had failed, settings were known 70 to 150 ms after the port was open, and the
-# other members of a service after 250 to 400 ms. What is unknown by then will not be known soon.
+# How long requests may wait for settings and members after a node begins to accept callers. When a
+# whole fleet restarts, settings are known within 150 ms after the port is open, and the other
+# members of a service within 400 ms. What is unknown by then will not be known soon.
 STARTUP_GRACE_S = 0.5
 
 
--- a/src/marjoramtide/membership/_swim_core.py
+++ b/src/marjoramtide/membership/_swim_core.py
@@ -32,9 +32,7 @@
 SEED_INTERVAL_S = 1.0
 # Seeds are pinged more often in the first second, also by a node that knows other members: three
 # datagrams of 100 bytes each. The nodes of a fleet that starts at once come up within some tenths
-# of a second. On an in-memory network, 75 nodes that come up within 0.2 s all know each other after
-# 0.6 s (median of eight runs; 0.7 s at worst); with the usual interval after 1.25 s (1.5 s at
-# worst).
+# of a second; with the usual interval they know each other twice as late, after over a second.
 STARTUP_SEED_INTERVAL_S = 0.2
 STARTUP_S = 1.0
 # How long the address of a member that is gone is pinged for a new process, and how often by each
--- a/src/marjoramtide/policy/admission/_kind_times.py
+++ b/src/marjoramtide/policy/admission/_kind_times.py
@@ -4,9 +4,8 @@
 
 from marjoramtide.policy._ewma import Ewma
 
-# Mean deviations above the mean that a waiting request is planned with: four in five take less. On
-# a fleet of ten nodes this value gained 0.006 to 0.011 of the achievable value for callers, half
-# and double of it gained 0.004 (means of fifteen paired days).
+# Mean deviations above the mean that a waiting request is planned with: four in five take less.
+# With half or double of it callers gain less.
 PLANNED_DEVIATIONS = 1.0
 
 
--- a/src/marjoramtide/policy/pace/_interference.py
+++ b/src/marjoramtide/policy/pace/_interference.py
@@ -30,8 +30,8 @@
 HISTORY_S = 12.0
 # A slowdown is trusted for this many mean intervals between reads.
 TRUSTED_INTERVALS = 4.0
-# The highest slowdown that can be a server's best: cold servers were measured to take twice as
-# long. A first reading above it shows a server that is slowed by neighbours.
+# The highest slowdown that can be a server's best: a cold server takes twice as long. A first
+# reading above it shows a server that is slowed by neighbours.
 MAX_BEST_SLOWDOWN = 2.5
 # The time constant of the usual slowdown: many intervals of some tenths of a second.
 USUAL_TIME_CONSTANT_S = 8.0
--- a/src/marjoramtide/policy/pace/_work_times.py
+++ b/src/marjoramtide/policy/pace/_work_times.py
@@ -4,9 +4,9 @@
 
 from marjoramtide.policy._ewma import Ewma
 
-# The assumed run time while none is known, between those of the shortest and longest kinds in the
-# fleets measured, 22 ms and 680 ms. It only decides whether a slowed server is avoided or waited
-# for, and only until the first executions have ended.
+# The assumed run time while none is known, between those of short and long kinds of requests (22 ms
+# and 680 ms). It only decides whether a slowed server is avoided or waited for, and only until the
+# first executions have ended.
 DEFAULT_WORK_MS = 100.0
 # Planned run times are this many mean deviations above the mean: nine in ten requests take less.
 PLANNED_DEVIATIONS = 1.5
--- a/src/marjoramtide/quarantine/_report_disseminator.py
+++ b/src/marjoramtide/quarantine/_report_disseminator.py
@@ -15,17 +15,15 @@
 # The interval of rounds in which reports are repeated, while there are any.
 ROUND_S = 0.25
 # How many rounds repeat a crash to all nodes. If one datagram in thirty is lost, one node in 27,000
-# misses all three. Measured in virtual time with that loss, 100 fleets each: all of 12, 69 and 195
-# nodes hold a request back 3 ms after the second crash if nothing is lost, and otherwise after 0.25
-# s to 0.5 s at the 99th percentile.
+# misses all three.
 REPEAT_ROUNDS = 2
 # How long reports of requests cleared of one crash are collected. After the loss of half of 195
 # nodes, each of the others completes a dozen such requests within a second.
 CLEARED_BATCH_S = 0.2
 # How long requests lost with crashed nodes are collected after the first. Many nodes may crash at
-# once, and each other node had requests at several of them. The loss of 117 of 195 nodes would take
-# 160,000 datagrams if each loss were sent and repeated by itself (calculated, with eight requests
-# at each), collected it takes 34,000.
+# once, and each other node had requests at several of them. With eight requests at each, the loss
+# of 117 of 195 nodes would take 160,000 datagrams if each loss were sent and repeated by itself;
+# collected it takes 34,000.
 NODE_CRASH_BATCH_S = 0.02
 # Held requests in the bulletin to one random node, and the share of the rounds that send one. Nodes
 # that have started, were partitioned or were frozen learn of them from any other node, on average
